--- a/pkg/dispatcher/acknowledge_test.go
+++ b/pkg/dispatcher/acknowledge_test.go
@@ -9,12 +9,11 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// TestStoppedTasksAreKeptUntilTheAnswerIsHeld: symptom: a task starts a second time
-// after the lead has died. Sequence: a job fails and its other task is stopped; the
-// backend server's word of that is acknowledged, so it forgets the task; the lead
-// dies before a second host holds the job's answer; the new lead finds no trace of
-// the task and starts it. Cause: answers for a job that has ended are acknowledged
-// at once.
+// TestStoppedTasksAreKeptUntilTheAnswerIsHeld guards against a task that starts a second time after
+// its lead has died. A job fails and its other task is stopped. If the stopped task's answer is
+// acknowledged at once because the job has ended, the backend server forgets the task. If the lead
+// then dies before a second host holds the job's answer, the new lead finds no trace of the task
+// and starts it.
 func TestStoppedTasksAreKeptUntilTheAnswerIsHeld(t *testing.T) {
 	lead := &dispatcher.Dispatcher{Self: "entry-0", FailureDomain: fake.Domain, Settings: dispatcher.DefaultSettings()}
 	now := identifier.Moment(0)
--- a/pkg/dispatcher/acknowledged_test.go
+++ b/pkg/dispatcher/acknowledged_test.go
@@ -10,13 +10,13 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// A task ran a second time after its job had ended well. The job's answer stood at two hosts, so
-// its backend server was told to forget it, and both hosts were lost; the third one took the
-// resend for new: "task t-0 started for the second time, at binh-chanh-3; the first time at
-// binh-chanh-1". The backend server that had been told was never asked.
+// Guards against a task that runs a second time after its job has completed. The job's answer is at
+// two hosts, so its backend server was told to forget it, and both hosts are lost. If the third
+// host does not ask the backend servers, it mistakes the resubmission for a new job: "task t-0
+// started for the second time, at binh-chanh-3; the first time at binh-chanh-1".
 //
-// A lead that misses two hosts asks, tells the caller that the answer is lost, and starts what
-// no backend server knows.
+// A lead that misses two hosts must ask, must report to the caller that the answer is lost, and
+// may start only what no backend server knows.
 func TestAcknowledgedSubmissionIsNotStartedAgain(t *testing.T) {
 	const server = identifier.BackendServerID("server-0")
 	lead := &dispatcher.Dispatcher{Self: "entry-0", FailureDomain: fake.Domain, Settings: dispatcher.DefaultSettings()}
@@ -25,7 +25,7 @@
 		&dispatcher.LeadTaken{Epoch: 2, Hosts: []identifier.HostID{"entry-0"}, Missing: []identifier.HostID{"entry-1", "entry-2"}},
 	})
 	if !asksForAcknowledged(outputs) {
-		t.Error("a lead that misses two hosts does not ask what was acknowledged")
+		t.Error("a lead that misses two hosts does not request the acknowledged submissions")
 	}
 	outputs = lead.Tick(1, []dispatcher.Input{
 		&dispatcher.TakeoverReplied{From: "entry-0", Reply: messenger.TakeoverReply{Epoch: 2}},
@@ -46,8 +46,8 @@
 	}
 }
 
-// A lead that misses one host alone, and has not lately started itself, knows every submission and
-// asks for nothing.
+// A lead that misses only one host, and has not recently started itself, knows every submission and
+// requests nothing.
 func TestLeadWithoutDoubtDoesNotAsk(t *testing.T) {
 	lead := &dispatcher.Dispatcher{Self: "entry-0", FailureDomain: fake.Domain, Settings: dispatcher.DefaultSettings()}
 	lead.Tick(0, []dispatcher.Input{&dispatcher.ServerAnnounced{Server: "server-0", Incarnation: 1, Slots: 4}})
@@ -55,7 +55,7 @@
 		&dispatcher.LeadTaken{Epoch: 2, Hosts: []identifier.HostID{"entry-0"}, Missing: []identifier.HostID{"entry-1"}},
 	})
 	if asksForAcknowledged(outputs) {
-		t.Error("the lead asks what was acknowledged")
+		t.Error("the lead requests the acknowledged submissions")
 	}
 }
 
--- a/pkg/dispatcher/answers.go
+++ b/pkg/dispatcher/answers.go
@@ -23,13 +23,13 @@
 	if task == nil {
 		return
 	}
-	dispatcher.noteTask(explainer.KindRefused, task, refusal.Kind.String())
+	dispatcher.recordTaskStep(explainer.KindRefused, task, refusal.Kind.String())
 	switch refusal.Kind {
 	case RefusalNoFreeSlot:
 		server.refusedFull = true
 	case RefusalStaleEpoch:
-		// Another host leads, and its takeover counts on no more starts from here.
-		// The server's report tells the epoch.
+		// Another host leads, and its takeover relies on there being no more starts from here. The
+		// server's report will carry the epoch.
 		cell.deposed = true
 		dispatcher.fence(cell, server)
 	case RefusalLeaving:
@@ -39,7 +39,7 @@
 		dispatcher.failJob(task.job, messenger.ReasonDeadlinePassed, "the deadline passed before every task was answered")
 		return
 	}
-	dispatcher.returnToQueue(cell, server, task)
+	dispatcher.requeue(cell, server, task)
 }
 
 func (dispatcher *Dispatcher) recordAnswers(input *TasksAnswered) {
@@ -55,38 +55,37 @@
 	}
 }
 
-// recordAnswer takes the outcome of one task. An answer that comes twice, late,
-// or for a job that has ended is acknowledged and otherwise ignored.
+// recordAnswer records the outcome of one task. An answer that is repeated, late or for a job that
+// has ended is acknowledged and otherwise ignored.
 func (dispatcher *Dispatcher) recordAnswer(cell *cell, server *server, answer ServerAnswer) {
-	dispatcher.noteAnswer(cell, server.running[answer.TaskKey], answer)
+	dispatcher.recordTaskEnd(cell, server.running[answer.TaskKey], answer)
 	delete(server.running, answer.TaskKey)
 	cell.free.update(server)
 	job := dispatcher.jobs.Get(answer.Submission)
 	if job == nil {
-		answers := cell.orphanOf(answer.Submission).answers
-		answers[answer.Task] = orphanAnswer{server: server.id, answer: answer}
+		answers := cell.unmatchedOf(answer.Submission).answers
+		answers[answer.Task] = unmatchedAnswer{server: server.id, answer: answer}
 		return
 	}
 	task := job.byID[answer.Task]
 	if job.state == jobFinished {
-		dispatcher.noteOutcome(job, server, answer)
+		dispatcher.recordOutcome(job, server, answer)
 		dispatcher.keepLateAnswer(job, task, server, answer.TaskKey)
 		return
 	}
 	if task == nil || task.state == taskAnswered {
 		return
 	}
-	dispatcher.takeFromQueue(cell, job, task)
-	dispatcher.noteOutcome(job, server, answer)
+	dispatcher.removeFromQueue(cell, job, task)
+	dispatcher.recordOutcome(job, server, answer)
 	dispatcher.resolve(task, server.id, answer)
 }
 
-// keepLateAnswer handles an answer for a job that has ended. The answer is
-// acknowledged only once a second host holds the answer of the job: if the
-// backend server forgot the task before and this lead died, the next lead would
-// find no trace of the task and start it again.
+// keepLateAnswer handles an answer for a job that has ended. The answer is acknowledged only once
+// a second host holds the answer of the job. If the backend server forgot the task earlier and
+// this lead died, the next lead would find no trace of the task and start it again.
 func (dispatcher *Dispatcher) keepLateAnswer(job *job, task *task, server *server, key TaskKey) {
-	if !job.answerHeld {
+	if !job.answerReplicated {
 		if task != nil {
 			task.state = taskAnswered
 			task.server = server.id
@@ -97,14 +96,14 @@
 	batch.Received = append(batch.Received, key)
 }
 
-// resolve gives a task its outcome and the job its answer once it is the last.
+// resolve sets the outcome of a task and completes the job after its last task.
 func (dispatcher *Dispatcher) resolve(task *task, server identifier.BackendServerID, answer ServerAnswer) {
 	job := task.job
 	task.state = taskAnswered
 	task.server = server
 	task.result = answer.Result
 	task.runTime = answer.RunTime
-	dispatcher.noteTask(explainer.KindAnswered, task, answer.Reason)
+	dispatcher.recordTaskStep(explainer.KindAnswered, task, answer.Reason)
 	job.unresolved--
 	if answer.Failed || answer.Cancelled {
 		dispatcher.failTask(task, answer)
@@ -135,8 +134,8 @@
 	dispatcher.finish(job, answer)
 }
 
-// failJob ends a job that can't be complete any more. Where no task has started
-// or can have started, the answer is a true "not run".
+// failJob ends a job that can't complete. The answer says "not run" if no task has started or can
+// have started.
 func (dispatcher *Dispatcher) failJob(job *job, reason messenger.Reason, detail string) {
 	if job.state == jobFinished {
 		return
@@ -146,7 +145,7 @@
 		return
 	}
 	if job.state == jobAwaitingClaim {
-		dispatcher.failUnclaimed(job, reason, detail)
+		dispatcher.failWithoutClaim(job, reason, detail)
 		return
 	}
 	if !job.mayHaveStarted() {
@@ -154,8 +153,8 @@
 		return
 	}
 	if cell := dispatcher.cells.Get(job.cell); cell != nil && cell.mayMissRecords() && !job.hasStarted() {
-		// An earlier lead may have answered it: a caller that had heard "complete" must not
-		// hear "failed".
+		// An earlier lead may have answered it: a caller that has received "complete" must not receive
+		// "failed".
 		dispatcher.finish(job, messenger.RefuseUnknown(job.spec.Submission, reason, detail))
 		return
 	}
@@ -167,14 +166,14 @@
 	})
 }
 
-// mayHaveStarted tells whether any task was started by this lead, or may have
-// been by an earlier one. A start that was refused did not happen.
+// mayHaveStarted reports whether any task was started by this lead or may have been started by an
+// earlier one. A start that was refused did not happen.
 func (job *job) mayHaveStarted() bool {
-	return job.again || job.state == jobRecovering || job.hasStarted()
+	return job.mayHaveEarlierStarts || job.state == jobRecovering || job.hasStarted()
 }
 
-// hasStarted tells whether a task of the job was started or is reported by a
-// backend server.
+// hasStarted reports whether a task of the job was started here or is reported by a backend
+// server.
 func (job *job) hasStarted() bool {
 	for index := range job.tasks {
 		if state := job.tasks[index].state; state != taskQueued && state != taskHeld {
@@ -184,23 +183,22 @@
 	return false
 }
 
-// failAfterTakeover stops what runs for a job and fails it when the takeover of its
-// cell is over. Another host may keep the submission's answer already, and a
-// submission has one answer. The takeover tells; it ends soon.
+// failAfterTakeover stops the running tasks of a job and fails it once the takeover of its cell is
+// over, which is soon. Another host may already keep an answer of the submission, and a submission
+// has only one answer; the takeover finds out.
 func (dispatcher *Dispatcher) failAfterTakeover(job *job, cause *failure) {
 	if job.failure != nil {
 		return
 	}
 	job.failure = cause
 	dispatcher.stopRunning(job)
-	dispatcher.stopOrphans(dispatcher.cells.Get(job.cell), job)
+	dispatcher.stopUnmatched(dispatcher.cells.Get(job.cell), job)
 }
 
-// finish gives a job its one answer, sends it to all who wait, and stops what
-// still runs for it.
+// finish sets the only answer of a job, sends it to all who wait, and stops its running tasks.
 func (dispatcher *Dispatcher) finish(job *job, answer *messenger.JobAnswer) {
 	cell := dispatcher.cells.Get(job.cell)
-	dispatcher.planRelease(cell, job)
+	dispatcher.scheduleClaimRelease(cell, job)
 	dispatcher.leaveQueue(cell, job)
 	if job.state == jobSpilled && answer.Outcome != messenger.OutcomeComplete {
 		dispatcher.stopSpilled(job)
@@ -212,24 +210,24 @@
 	}
 	job.answer = answer
 	submission := job.spec.Submission
-	dispatcher.noteJob(explainer.KindEnded, submission, describeAnswer(answer))
+	dispatcher.recordJobStep(explainer.KindEnded, submission, describeAnswer(answer))
 	dispatcher.timers.Clear(timerKey{kind: timerJobDeadline, submission: submission})
 	dispatcher.timers.Clear(timerKey{kind: timerUnknownWait, submission: submission})
 	dispatcher.timers.Clear(timerKey{kind: timerRetry, submission: submission})
 	forgetAt := dispatcher.now.Add(dispatcher.Settings.AnswerRetention)
 	dispatcher.timers.Set(timerKey{kind: timerForget, submission: submission}, forgetAt)
-	for _, holder := range job.holders {
-		dispatcher.outputs.add(&JobAnswered{To: holder, Answer: answer})
+	for _, recipient := range job.recipients {
+		dispatcher.outputs.add(&JobAnswered{To: recipient, Answer: answer})
 	}
-	if job.guestOf != "" {
-		dispatcher.outputs.add(&AnswerSpill{To: job.guestOf, Answer: answer})
+	if job.homeLead != "" {
+		dispatcher.outputs.add(&AnswerSpill{To: job.homeLead, Answer: answer})
 	}
 	dispatcher.timers.Clear(job.timer(timerSpill))
-	dispatcher.awaitHolder(job)
-	dispatcher.answerAskers(job)
+	dispatcher.awaitSecondHolder(job)
+	dispatcher.answerLookups(job)
 	dispatcher.stopRunning(job)
-	dispatcher.stopOrphans(cell, job)
-	dispatcher.endLostFlights(job)
+	dispatcher.stopUnmatched(cell, job)
+	dispatcher.removeLostInFlight(job)
 }
 
 func (dispatcher *Dispatcher) leaveQueue(cell *cell, job *job) {
@@ -255,14 +253,14 @@
 	}
 }
 
-// releaseAnswers acknowledges the task answers of a finished job to the backend
-// servers, once a second host holds the answer of the whole job.
+// releaseAnswers acknowledges the task answers of a finished job to the backend servers, once a
+// second host holds the answer of the whole job.
 func (dispatcher *Dispatcher) releaseAnswers(input *AnswerHeld) {
 	job := dispatcher.jobs.Get(input.Submission)
-	if job == nil || job.state != jobFinished || job.answerHeld {
+	if job == nil || job.state != jobFinished || job.answerReplicated {
 		return
 	}
-	job.answerHeld = true
+	job.answerReplicated = true
 	dispatcher.timers.Clear(job.timer(timerConfirm))
 	for index := range job.tasks {
 		task := &job.tasks[index]
@@ -272,7 +270,7 @@
 		batch := dispatcher.outputs.toServer(job.cell, task.server)
 		batch.Received = append(batch.Received, task.key())
 	}
-	// The results now stand in the answer only.
+	// The results are now kept in the answer only.
 	job.tasks = nil
 	job.byID = nil
 }
--- a/pkg/dispatcher/assignment.go
+++ b/pkg/dispatcher/assignment.go
@@ -8,13 +8,13 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// enqueue puts all tasks of a fresh job into its cell's queue.
+// enqueue adds all tasks of a fresh job to its cell's queue.
 func (dispatcher *Dispatcher) enqueue(cell *cell, job *job) {
 	job.state = jobRunning
 	dispatcher.pushTasks(cell, job, len(job.tasks))
 }
 
-// joinQueue puts the queued tasks of a resumed job into its cell's queue.
+// joinQueue adds the queued tasks of a resumed job to its cell's queue.
 func (dispatcher *Dispatcher) joinQueue(cell *cell, job *job) {
 	queued := 0
 	for index := range job.tasks {
@@ -55,14 +55,14 @@
 
 func (dispatcher *Dispatcher) assignCell(cell *cell) {
 	if dispatcher.evacuated() {
-		dispatcher.clearQueue(cell)
+		dispatcher.evacuateQueue(cell)
 		return
 	}
-	if cell.queue.Tasks() > 0 && dispatcher.emptyForLong(cell) {
+	if cell.queue.Tasks() > 0 && dispatcher.noServerForLong(cell) {
 		dispatcher.refuseQueued(cell)
 	}
 	for entry := cell.queue.Next(); entry != nil; entry = cell.queue.Next() {
-		server := cell.free.most()
+		server := cell.free.pick()
 		if server == nil {
 			return
 		}
@@ -73,8 +73,8 @@
 func (dispatcher *Dispatcher) start(cell *cell, server *server, task *task) {
 	task.state = taskStarted
 	task.server = server.id
-	dispatcher.noteStart(cell, task)
-	dispatcher.noteTask(explainer.KindStarted, task, "")
+	dispatcher.recordStart(cell, task)
+	dispatcher.recordTaskStep(explainer.KindStarted, task, "")
 	key := task.key()
 	server.running[key] = task
 	cell.free.update(server)
@@ -89,27 +89,27 @@
 	})
 }
 
-// returnToQueue puts a task back whose start is known not to have happened.
-func (dispatcher *Dispatcher) returnToQueue(cell *cell, server *server, task *task) {
+// requeue puts a task back into the queue whose start provably did not happen.
+func (dispatcher *Dispatcher) requeue(cell *cell, server *server, task *task) {
 	dispatcher.undoStart(cell, server, task)
 	if task.job.state != jobFinished {
-		dispatcher.repeat(cell, task)
+		dispatcher.retryStart(cell, task)
 	}
 }
 
-// undoStart notes that a start is known not to have happened.
+// undoStart records that a start provably did not happen.
 func (dispatcher *Dispatcher) undoStart(cell *cell, server *server, task *task) {
 	delete(server.running, task.key())
 	cell.free.update(server)
-	dispatcher.endFlight(task)
+	dispatcher.removeInFlight(task)
 	if task.job.state != jobFinished {
 		task.state = taskQueued
 		task.server = ""
 	}
 }
 
-// takeFromQueue removes a queued task that turned out to run already.
-func (dispatcher *Dispatcher) takeFromQueue(cell *cell, job *job, task *task) {
+// removeFromQueue removes a queued task that turned out to be running already.
+func (dispatcher *Dispatcher) removeFromQueue(cell *cell, job *job, task *task) {
 	if task.state == taskQueued {
 		cell.queue.Take(&job.entry, 1)
 	}
--- a/pkg/dispatcher/bench_test.go
+++ b/pkg/dispatcher/bench_test.go
@@ -11,9 +11,8 @@
 	"github.com/stoathitch/stoathitch/pkg/limiter"
 )
 
-// BenchmarkTask is the whole way of a job with one task through the lead:
-// admitted, started, answered and acknowledged, in three ticks, with 740 teams
-// and all slots but one busy.
+// BenchmarkTask runs a job with one task through the lead: admitted, started, answered and
+// acknowledged, in three ticks, with 740 teams and all slots but one busy.
 func BenchmarkTask(b *testing.B) {
 	for _, executors := range []int{50, 250, 5000} {
 		b.Run(fmt.Sprintf("executors=%d", executors), func(b *testing.B) {
@@ -62,7 +61,7 @@
 	return bench.lead.Tick(bench.now, inputs)
 }
 
-// serve hands the lead a job of one task and, if finish, answers it.
+// serve submits a job of one task and, if finish is set, answers it.
 func (bench *bench) serve(number int, finish bool) {
 	runTimes := []time.Duration{100 * time.Millisecond}
 	job := newJob(fmt.Sprintf("s-%d", number), benchTeam(number), "counter", runTimes, nil)
--- a/pkg/dispatcher/burst_test.go
+++ b/pkg/dispatcher/burst_test.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	warm       = identifier.Moment(5 * time.Second)
+	warmupEnd  = identifier.Moment(5 * time.Second)
 	burstStart = identifier.Moment(30 * time.Second)
 	burstEnd   = identifier.Moment(40 * time.Second)
 	burstOver  = identifier.Moment(42 * time.Second)
 	loadEnd    = identifier.Moment(90 * time.Second)
 )
 
-// runBurst lets ten teams keep eight tenths of the slots busy for 90 s. For ten
-// seconds the teams in burst send ten times as much as all slots can serve.
+// runBurst has ten teams keep eight tenths of the slots busy for 90 s. For ten seconds the teams in
+// burst send ten times as much as all slots can serve.
 func runBurst(t *testing.T, burst []identifier.TeamID) *fake.Cell {
 	cell := newCell()
 	cell.Open()
@@ -27,13 +27,13 @@
 	for number := range 10 {
 		team := identifier.TeamID(string(rune('a' + number)))
 		calm := &load{cell: cell, random: randomOf(number), team: team, slots: capacity * []float64{0.04, 0.12}[number%2], until: loadEnd}
-		calm.declared = wrongly(int(team[0]))
+		calm.declared = misdeclared(int(team[0]))
 		calm.start()
 	}
 	cell.At(burstStart, func() {
 		for number, team := range burst {
 			flood := &load{cell: cell, random: randomOf(100 + number), team: team, slots: 10 * capacity / float64(len(burst)), until: burstEnd}
-			flood.declared = wrongly(int(team[0]))
+			flood.declared = misdeclared(int(team[0]))
 			flood.sent = 1_000_000
 			flood.start()
 		}
@@ -47,18 +47,18 @@
 			t.Errorf("%s has %d answers", id, len(record.Answers))
 		}
 		if answer := record.Answer(); answer != nil && answer.NotRun && answer.RetryAfter <= 0 {
-			t.Errorf("%s was refused without telling when to come back", id)
+			t.Errorf("%s was refused without a time to retry after", id)
 		}
 	}
 	return cell
 }
 
-// randomOf returns a source of its own for each load, so that a burst changes
-// nothing in the arrivals of the others.
+// randomOf returns a separate random source for each load, so that a burst does not change the
+// arrivals of the others.
 func randomOf(number int) *rand.Rand { return rand.New(rand.NewPCG(7, uint64(number))) }
 
-// wrongly returns a declaration that is three times too short or too long.
-func wrongly(number int) func(time.Duration) time.Duration {
+// misdeclared returns a function whose declared run time is three times too short or too long.
+func misdeclared(number int) func(time.Duration) time.Duration {
 	return func(actual time.Duration) time.Duration {
 		if number%2 == 0 {
 			return actual * 3
@@ -67,12 +67,12 @@
 	}
 }
 
-// checkBurst compares a run with a burst with one without, in which the same jobs
-// arrive but for those of the burst.
+// checkBurst compares a run with a burst with a run in which the same jobs arrive except those of
+// the burst.
 func checkBurst(t *testing.T, burst []identifier.TeamID) *fake.Cell {
 	without := runBurst(t, nil)
 	with := runBurst(t, burst)
-	calm := summarize(without, warm, loadEnd, nil)
+	calm := summarize(without, warmupEnd, loadEnd, nil)
 	during := summarize(with, burstStart, burstEnd, nil)
 	quiet := summarize(without, burstOver, loadEnd, nil)
 	after := summarize(with, burstOver, loadEnd, nil)
@@ -92,17 +92,17 @@
 	return with
 }
 
-// TestBurstOfAllTeams: symptom: response times grow with the length of a burst
-// and stay high after it (row 12). Sequence: all teams send ten times the
-// capacity for ten seconds. Cause: work is admitted that can't be served in time.
+// TestBurstOfAllTeams guards against response times that grow with the length of a burst and stay
+// high after it (row 12), because work is admitted that can't be served in time. All teams send ten
+// times the capacity for ten seconds.
 func TestBurstOfAllTeams(t *testing.T) {
 	teams := []identifier.TeamID{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}
 	checkBurst(t, teams)
 }
 
-// TestBurstOfOneTeam: symptom: jobs of other teams are refused or slow while one
-// team floods. Sequence: one team sends ten times the capacity for ten seconds.
-// Cause: the queue's room and the slots go to who sends most.
+// TestBurstOfOneTeam guards against jobs of other teams that are refused or slow while one team
+// floods, because queue capacity and slots go to the team that sends most. One team sends ten times
+// the capacity for ten seconds.
 func TestBurstOfOneTeam(t *testing.T) {
 	flood := []identifier.TeamID{"flood"}
 	cell := checkBurst(t, flood)
--- a/pkg/dispatcher/claims.go
+++ b/pkg/dispatcher/claims.go
@@ -7,8 +7,7 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// HolderWanted asks for the answer of the submission that holds the claim of a
-// not-repeatable job.
+// HolderWanted requests the answer of the submission that holds the claim of a not-repeatable job.
 type HolderWanted struct {
 	Claimant identifier.SubmissionID
 	Caller   identifier.CallerID
@@ -16,21 +15,20 @@
 	Home     identifier.FailureDomain
 }
 
-// ClaimReleased gives back the claim of a submission of which nothing has started
-// or ever will.
+// ClaimReleased releases the claim of a submission of which nothing has started or ever will.
 type ClaimReleased struct {
 	Submission identifier.SubmissionID
 	Caller     identifier.CallerID
 	Job        identifier.JobID
 }
 
-// HolderAnswered answers a HolderWanted.
+// HolderAnswered delivers the answer to a HolderWanted.
 type HolderAnswered struct {
 	Claimant identifier.SubmissionID
 	Answer   *messenger.JobAnswer
 }
 
-// ClaimsGrantedLate names submissions that were refused before their claims were granted.
+// ClaimsGrantedLate lists submissions that were refused before their claims were granted.
 type ClaimsGrantedLate struct {
 	Submissions []identifier.SubmissionID
 }
@@ -40,9 +38,9 @@
 func (*HolderAnswered) isDispatcherInput()    {}
 func (*ClaimsGrantedLate) isDispatcherInput() {}
 
-// followHolder has a submission wait for the answer of the one that holds its claim.
-func (dispatcher *Dispatcher) followHolder(job *job, input *ClaimDecided) {
-	job.again = true
+// awaitClaimHolder has a submission wait for the answer of the one that holds its claim.
+func (dispatcher *Dispatcher) awaitClaimHolder(job *job, input *ClaimDecided) {
+	job.mayHaveEarlierStarts = true
 	job.claimHolder = input.Holder
 	if input.Holder == "" {
 		dispatcher.finish(job, messenger.RefuseUnknown(input.Submission, messenger.ReasonAlreadyClaimed,
@@ -54,8 +52,8 @@
 	})
 }
 
-// takeHolderAnswer gives a submission the answer of the one that holds its claim.
-func (dispatcher *Dispatcher) takeHolderAnswer(input *HolderAnswered) {
+// handleHolderAnswer answers a submission with the answer of the one that holds its claim.
+func (dispatcher *Dispatcher) handleHolderAnswer(input *HolderAnswered) {
 	job := dispatcher.jobs.Get(input.Claimant)
 	if job == nil || job.state != jobAwaitingClaim || job.claimHolder != input.Answer.Submission {
 		return
@@ -65,7 +63,7 @@
 	case input.Answer.NotRun:
 		refusal := messenger.RefuseUnknown(input.Claimant, messenger.ReasonAlreadyClaimed,
 			holder+" had the claim of this not-repeatable job and was refused; its claim is given back soon")
-		refusal.RetryAfter = 2 * claimReleaseWait
+		refusal.RetryAfter = 2 * claimReleaseDelay
 		dispatcher.finish(job, refusal)
 	case input.Answer.ClaimsNothing():
 		dispatcher.finish(job, messenger.RefuseUnknown(input.Claimant, messenger.ReasonAlreadyClaimed,
@@ -78,49 +76,49 @@
 	}
 }
 
-// failUnclaimed ends a submission whose claim is not decided. Another submission of
-// the job may have run, so the refusal does not say "not run".
-func (dispatcher *Dispatcher) failUnclaimed(job *job, reason messenger.Reason, detail string) {
+// failWithoutClaim ends a submission whose claim is undecided. Another submission of the job may
+// have run, so the refusal does not say "not run".
+func (dispatcher *Dispatcher) failWithoutClaim(job *job, reason messenger.Reason, detail string) {
 	dispatcher.finish(job, messenger.RefuseUnknown(job.spec.Submission, reason,
 		detail+"; another submission of this not-repeatable job may have run"))
 }
 
-// claimReleaseWait is how long a claim is kept after its submission was refused.
-// A lead that was replaced hears of it within this time.
-const claimReleaseWait = 3 * time.Second
+// claimReleaseDelay is how long a claim is kept after its submission was refused. A lead that was
+// replaced learns of it within this time.
+const claimReleaseDelay = 3 * time.Second
 
-// planRelease gives the claim of a refused submission back after a while, so that a
+// scheduleClaimRelease schedules the release of the claim of a refused submission, so that a
 // resubmission can run. It is called before the job ends.
 //
-// If the claim went back although something had started, a resubmission would run
-// the job a second time; it would show as two submissions of one job with starts.
-// That can only be when another host leads the cell without this one knowing. So the
-// claim goes back only after that would have become known, and while no host of the
-// failure domain is out of sight.
-func (dispatcher *Dispatcher) planRelease(cell *cell, job *job) {
+// If the claim were released although something had started, a resubmission would run the job a
+// second time: two submissions of one job would have starts. That requires that another host leads
+// the cell without this one knowing. The claim is therefore released only after this host would
+// have learned of another lead, and only while every host of the failure domain can be reached.
+func (dispatcher *Dispatcher) scheduleClaimRelease(cell *cell, job *job) {
 	holds := job.claimed || job.state == jobAwaitingClaim
-	if job.spec.Repeatable || job.guestOf != "" || job.claimHolder != "" || !holds {
+	if job.spec.Repeatable || job.homeLead != "" || job.claimHolder != "" || !holds {
 		return
 	}
 	if cell == nil || cell.mayMissRecords() || job.mayHaveStarted() {
 		return
 	}
 	job.releasable = true
-	dispatcher.timers.Set(job.timer(timerRelease), dispatcher.now.Add(claimReleaseWait))
+	dispatcher.timers.Set(job.timer(timerRelease), dispatcher.now.Add(claimReleaseDelay))
 }
 
-// releaseLate plans the release of claims that were granted after their submissions had been
-// refused. It waits as long as any release: a lead that was replaced hears of it meanwhile.
-func (dispatcher *Dispatcher) releaseLate(input *ClaimsGrantedLate) {
+// scheduleLateClaimReleases schedules the release of claims that were granted after their
+// submissions had been refused. It waits the full delay, in which a replaced lead learns of its
+// successor.
+func (dispatcher *Dispatcher) scheduleLateClaimReleases(input *ClaimsGrantedLate) {
 	for _, submission := range input.Submissions {
 		if job := dispatcher.jobs.Get(submission); job != nil && job.releasable {
-			dispatcher.timers.Set(job.timer(timerRelease), dispatcher.now.Add(claimReleaseWait))
+			dispatcher.timers.Set(job.timer(timerRelease), dispatcher.now.Add(claimReleaseDelay))
 		}
 	}
 }
 
-// releaseClaim is reached only while this host leads the cell without a break: jobs
-// are forgotten with the lead, and their timers with them.
+// releaseClaim releases the claim of a refused submission. It runs only while this host has led
+// the cell without interruption: losing the lead removes the jobs and their timers.
 func (dispatcher *Dispatcher) releaseClaim(submission identifier.SubmissionID) {
 	job := dispatcher.jobs.Get(submission)
 	if job == nil {
@@ -133,8 +131,8 @@
 	dispatcher.outputs.add(&ClaimReleased{Submission: submission, Caller: job.spec.Caller, Job: job.spec.Job})
 }
 
-// noteHost follows which hosts of the failure domain are out of sight.
-func (dispatcher *Dispatcher) noteHost(host identifier.HostID, lost bool) {
+// recordHostVisibility records whether a host of the failure domain can be reached.
+func (dispatcher *Dispatcher) recordHostVisibility(host identifier.HostID, lost bool) {
 	if lost {
 		dispatcher.lostHosts[host] = true
 		return
--- a/pkg/dispatcher/confirming.go
+++ b/pkg/dispatcher/confirming.go
@@ -7,53 +7,53 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// RecordsReplicated brings what another host can't keep alone any more, or hands
-// over because it leaves.
+// RecordsReplicated delivers records that another host can't keep as their only holder, or that it
+// hands over because it leaves.
 type RecordsReplicated struct {
 	Replicas []messenger.Replica
 }
 
 func (*RecordsReplicated) isDispatcherInput() {}
 
-// SecondHolderWanted asks that another host of the failure domain holds the answer
-// of a submission.
+// SecondHolderWanted asks that another host of the failure domain holds the answer of a
+// submission.
 type SecondHolderWanted struct {
 	Submission identifier.SubmissionID
 }
 
 func (*SecondHolderWanted) isDispatcherOutput() {}
 
-// awaitHolder sees to it that a second host holds the answer of a finished job. The
-// answer, the receipt or the host that waited for it may be lost; backend servers
-// would keep the answers of the tasks for ever.
-func (dispatcher *Dispatcher) awaitHolder(job *job) {
+// awaitSecondHolder sets the timer that retries until a second host holds the answer of a finished
+// job. The answer, its receipt or the waiting host may be lost, and backend servers would
+// otherwise keep the task answers for ever.
+func (dispatcher *Dispatcher) awaitSecondHolder(job *job) {
 	dispatcher.timers.Set(job.timer(timerConfirm), dispatcher.now.Add(dispatcher.Settings.AnswerResend))
 }
 
-// confirmAgain sends an unconfirmed answer again, and has another host hold it. A
-// host that stays alone does without in the end.
-func (dispatcher *Dispatcher) confirmAgain(submission identifier.SubmissionID) {
+// resendUnconfirmedAnswer resends an answer whose replication is not confirmed and asks for another
+// host to hold it. After LoneAnswerWait it goes on without a second holder.
+func (dispatcher *Dispatcher) resendUnconfirmedAnswer(submission identifier.SubmissionID) {
 	job := dispatcher.jobs.Get(submission)
-	if job == nil || job.state != jobFinished || job.answerHeld {
+	if job == nil || job.state != jobFinished || job.answerReplicated {
 		return
 	}
 	if job.finishedAt.Add(dispatcher.Settings.LoneAnswerWait).Due(dispatcher.now) {
 		dispatcher.releaseAnswers(&AnswerHeld{Submission: submission})
 		return
 	}
-	for _, holder := range job.holders {
-		dispatcher.outputs.add(&JobAnswered{To: holder, Answer: job.answer})
+	for _, recipient := range job.recipients {
+		dispatcher.outputs.add(&JobAnswered{To: recipient, Answer: job.answer})
 	}
-	if job.guestOf != "" {
-		dispatcher.outputs.add(&AnswerSpill{To: job.guestOf, Answer: job.answer})
+	if job.homeLead != "" {
+		dispatcher.outputs.add(&AnswerSpill{To: job.homeLead, Answer: job.answer})
 	}
 	dispatcher.outputs.add(&SecondHolderWanted{Submission: submission})
-	dispatcher.awaitHolder(job)
+	dispatcher.awaitSecondHolder(job)
 }
 
-// learnReplicas lets a lead know at once what has come to its host. A resend may
-// come while the host that knew of it is gone.
-func (dispatcher *Dispatcher) learnReplicas(input *RecordsReplicated) {
+// recordReplicas makes records that have reached this host known to the lead at once. A
+// resubmission may arrive while the host that knew of the first one is gone.
+func (dispatcher *Dispatcher) recordReplicas(input *RecordsReplicated) {
 	for _, replica := range input.Replicas {
 		cell := dispatcher.cells.Get(messenger.CellOf(replica.Record.Submission, dispatcher.Settings.Cells))
 		if cell == nil || dispatcher.jobs.Get(replica.Record.Submission) != nil {
@@ -65,25 +65,25 @@
 	}
 }
 
-// mostTakeoverAttempts bounds how long a new lead waits for a host that lives by the
-// membership and does not answer. It is longer than a loss takes to be noticed.
-const mostTakeoverAttempts = 6
+// maxTakeoverAttempts bounds how long a new lead waits for a host that is live according to the
+// membership and does not reply. The wait is longer than the detection of a lost host takes.
+const maxTakeoverAttempts = 6
 
-// retryTakeover asks the hosts again that have not told what they know. A query or
-// a reply may be lost with a connection while both hosts live; a lead that went on
-// without would take the submissions of that host for new.
+// retryTakeover queries the hosts again that have not replied. A query or a reply may be lost with
+// a connection while both hosts live. A lead that went on without the reply would mistake the
+// submissions of that host for new ones.
 func (dispatcher *Dispatcher) retryTakeover(cell *cell) {
 	cell.takeoverAttempts++
-	asked := cell.wantsAcknowledged
-	if cell.takeoverAttempts >= mostTakeoverAttempts {
+	alreadyRequested := cell.acknowledgedRequested
+	if cell.takeoverAttempts >= maxTakeoverAttempts {
 		for host := range cell.awaitedHosts {
 			cell.missingHosts[host] = true
 		}
 		clear(cell.awaitedHosts)
 	}
-	dispatcher.askGuestsAgain(cell)
-	justAsked := !asked && cell.wantsAcknowledged && len(cell.awaitedServers) > 0
-	if len(cell.awaitedHosts) == 0 && len(cell.awaitedDomains) == 0 && !justAsked {
+	dispatcher.retryGuestQueries(cell)
+	justRequested := !alreadyRequested && cell.acknowledgedRequested && len(cell.awaitedServers) > 0
+	if len(cell.awaitedHosts) == 0 && len(cell.awaitedDomains) == 0 && !justRequested {
 		dispatcher.finishTakeover(cell)
 		return
 	}
--- a/pkg/dispatcher/dispatcher.go
+++ b/pkg/dispatcher/dispatcher.go
@@ -1,19 +1,19 @@
-// Package dispatcher decides, on the host that leads a cell, which backend
-// server starts which task, and keeps the record that makes every submission run
-// at most once and be answered exactly once.
+// Package dispatcher decides, on the host that leads a cell, which backend server runs which
+// task. It keeps the records that make every submission run at most once and be answered
+// exactly once.
 //
-// It is pure: time, messages and seed come in through Tick, messages to send go
-// out of it. The daemon, the trace replay and the fuzz tests run the same code.
+// The package is pure: time, messages and the random seed come in through Tick, and Tick returns
+// the messages to send. The daemon, the trace replay and the fuzz tests run the same code.
 //
-// Four rules carry the promises:
-//   - A task is handed to a backend server once. It is started again only after
-//     a refusal or a report which proves that the first start never happened.
-//   - A new lead starts nothing before every backend server of the cell has
-//     reported under the new epoch, which fences the starts of earlier leads, and
-//     every host of the failure domain has told which submissions it knows.
-//   - Answers of tasks are acknowledged to the backend server only after a second
-//     host holds the answer of the whole job. Until then they can be had again.
-//   - A refusal says "not run" only when the record shows that no task started.
+// Four rules guarantee this:
+//   - A task is sent to a backend server once. It is started again only after a refusal or a
+//     report which proves that the first start never happened.
+//   - A new lead starts nothing before every backend server of the cell has reported under the
+//     new epoch, which fences the starts of earlier leads, and every host of the failure domain
+//     has listed the submissions that it knows.
+//   - Task answers are acknowledged to the backend server only after a second host holds the
+//     answer of the whole job. Until then the backend server can send them again.
+//   - A refusal says "not run" only if the records show that no task has started.
 package dispatcher
 
 import (
@@ -29,45 +29,45 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// Settings bounds what the dispatcher holds and how long it waits.
+// Settings sets the limits and timeouts of a Dispatcher.
 type Settings struct {
-	// Cells is how many cells the failure domain's slots are divided into.
+	// Cells is the number of cells into which the failure domain's slots are divided.
 	Cells int
 	// QueuedTasks bounds the tasks that wait for a slot, over all jobs of a cell.
 	QueuedTasks int
-	// UnknownTaskWait is how long a task of a lost backend server may stay
-	// unknown before its job fails; the job's deadline may come earlier.
+	// UnknownTaskWait is how long a task of a lost backend server may stay unknown before its job
+	// fails; the job's deadline may pass earlier.
 	UnknownTaskWait time.Duration
-	// AnswerRetention is how long a finished submission is remembered.
+	// AnswerRetention is how long a finished submission is kept.
 	AnswerRetention time.Duration
-	// TakeoverTimeout is how long a new lead waits for reports before it goes on
-	// without the silent ones.
+	// TakeoverTimeout is how long a new lead waits for reports before it goes on without the
+	// unresponsive hosts and servers.
 	TakeoverTimeout time.Duration
-	// HeartbeatTimeout is how long a backend server may stay silent before it
-	// gets no new work and its tasks count as unknown.
+	// HeartbeatTimeout is how long a backend server may send no heartbeat before it gets no new
+	// tasks and its running tasks count as unknown.
 	HeartbeatTimeout time.Duration
-	// AnswerResend is how long a lead waits until another host holds an answer
-	// before it sends the answer again.
+	// AnswerResend is how long a lead waits for another host to hold an answer before it sends the
+	// answer again.
 	AnswerResend time.Duration
-	// LoneAnswerWait is how long backend servers keep the answers of a job's tasks
-	// for want of a second host.
+	// LoneAnswerWait is how long backend servers must keep the task answers of a job for which no
+	// second host can be found.
 	LoneAnswerWait time.Duration
-	// ServerDiscovery is how long after its start a host may not yet have a
-	// stream of every backend server.
+	// ServerDiscovery is how long after its start a host may still lack streams from some backend
+	// servers.
 	ServerDiscovery time.Duration
-	// Selection adjusts which server gets the next task.
+	// Selection configures the policy that picks the server for the next task.
 	Selection selector.Settings
-	// SharedServers lets the leads of all cells start tasks on all backend servers
-	// of the failure domain. Each lead then sees only its own starts and, with the
-	// heartbeats, how many slots are busy. It is meant for baselines.
+	// SharedServers lets the leads of all cells start tasks on all backend servers of the failure
+	// domain. Each lead then sees only its own starts and, from heartbeats, the number of busy
+	// slots. It is meant for baseline comparisons.
 	SharedServers bool
-	// Spill adjusts when jobs are handed to other failure domains.
+	// Spill configures when jobs are handed to other failure domains.
 	Spill SpillSettings
-	// Health adjusts how servers are judged.
+	// Health configures how the health of servers is assessed.
 	Health assessor.Settings
-	// ExplainedSteps is how many decisions are kept for operators' questions.
+	// ExplainedSteps is the number of recent decisions kept for operators' queries.
 	ExplainedSteps int
-	// Limits says who may queue how much, and what is refused early.
+	// Limits configures the teams' shares of the queue and what is refused at admission.
 	Limits LimitSettings
 }
 
@@ -91,43 +91,43 @@
 	}
 }
 
-// Dispatcher holds the cells that this host leads. Set the exported fields
-// before the first Tick.
+// Dispatcher holds the state of the cells that this host leads. Set the exported fields before
+// the first Tick.
 type Dispatcher struct {
 	Self          identifier.HostID
 	FailureDomain identifier.FailureDomain
 	Settings      Settings
 
 	now identifier.Moment
-	// startedAt is when this host's process began to decide.
+	// startedAt is the time of the first tick of this host's process.
 	startedAt identifier.Moment
 	cells     *tabulator.Table[messenger.CellNumber, cell]
 	servers   *tabulator.Table[serverKey, server]
 	jobs      *tabulator.Table[identifier.SubmissionID, job]
 	timers    *tabulator.Timers[timerKey]
 	outputs   outbox
-	// lostHosts are the hosts of the failure domain that are out of sight.
+	// lostHosts are the hosts of the failure domain that can't be reached.
 	lostHosts map[identifier.HostID]bool
-	// emptiedUntil is until when a host of the failure domain that has lost its memory
-	// counts as lost in a takeover; this one is among them after its start.
-	emptiedUntil map[identifier.HostID]identifier.Moment
-	// remotes are the leads of other failure domains.
+	// withoutStateUntil holds, for each host of the failure domain that restarted without state,
+	// until when a takeover counts it as lost. After its own start this host is among them.
+	withoutStateUntil map[identifier.HostID]identifier.Moment
+	// remotes are the leads of the cells of other failure domains.
 	remotes *tabulator.Table[remoteKey, remote]
-	// evacuations are the failure domains where nothing is started.
+	// evacuations are the failure domains where nothing may be started.
 	evacuations messenger.Evacuated
-	// assessor judges servers by outcomes, the events of this tick.
+	// assessor assesses the health of servers; outcomes are its inputs, collected during the tick.
 	assessor *assessor.Assessor
 	outcomes []assessor.Input
 
-	// explainer keeps what was decided, for operators.
+	// explainer keeps recent decisions for operators' queries.
 	explainer  explainer.Explainer
 	estimator  *estimator.Estimator
 	teamLimits []limiter.TeamLimits
 	classes    map[identifier.ClassName]ClassLimits
 }
 
-// Tick applies the inputs in order, lets deadlines fall due, assigns queued tasks
-// to free slots and returns the messages to send.
+// Tick applies the inputs in order, handles deadlines that are due, assigns queued tasks to free
+// slots and returns the messages to send.
 func (dispatcher *Dispatcher) Tick(now identifier.Moment, inputs []Input) []Output {
 	dispatcher.prepare(now)
 	for _, input := range inputs {
@@ -136,7 +136,7 @@
 	dispatcher.expire()
 	dispatcher.assess()
 	dispatcher.assign()
-	dispatcher.tellLoad()
+	dispatcher.announceLoad()
 	return dispatcher.outputs.drain()
 }
 
@@ -156,7 +156,7 @@
 	dispatcher.startedAt = now
 	dispatcher.explainer.Bound = dispatcher.Settings.ExplainedSteps
 	dispatcher.lostHosts = make(map[identifier.HostID]bool)
-	dispatcher.emptiedUntil = map[identifier.HostID]identifier.Moment{dispatcher.Self: now.Add(recopyTime)}
+	dispatcher.withoutStateUntil = map[identifier.HostID]identifier.Moment{dispatcher.Self: now.Add(rereplicationTime)}
 	dispatcher.assessor = &assessor.Assessor{Settings: dispatcher.Settings.Health}
 	dispatcher.cells = tabulator.New[messenger.CellNumber, cell]()
 	dispatcher.servers = tabulator.New[serverKey, server]()
@@ -168,16 +168,16 @@
 }
 
 func (dispatcher *Dispatcher) apply(input Input) {
-	dispatcher.noteCapacity(input)
+	dispatcher.invalidateCapacity(input)
 	switch input := input.(type) {
 	case *LeadTaken:
-		dispatcher.takeLead(input)
+		dispatcher.handleLeadTaken(input)
 	case *LeadLost:
-		dispatcher.loseLead(input)
+		dispatcher.handleLeadLost(input)
 	case *RemoteLeadKnown:
 		dispatcher.recordRemoteLead(input)
 	case *RemoteReconnected:
-		dispatcher.askReconnected(input)
+		dispatcher.handleReconnected(input)
 	case *LoadNoticed:
 		dispatcher.recordLoad(input)
 	case *SpillRecorded:
@@ -185,19 +185,19 @@
 	case *SpillArrived:
 		dispatcher.admitGuest(input)
 	case *GuestsQueried:
-		dispatcher.takeGuestQuery(input)
+		dispatcher.handleGuestQuery(input)
 	case *GuestsListed:
 		dispatcher.recordGuests(input)
 	case *SpillAnswered:
 		dispatcher.recordSpillAnswer(input)
 	case *HolderAnswered:
-		dispatcher.takeHolderAnswer(input)
+		dispatcher.handleHolderAnswer(input)
 	case *RecordsReplicated:
-		dispatcher.learnReplicas(input)
+		dispatcher.recordReplicas(input)
 	case *HostReturned:
-		dispatcher.askReturnedHost(input)
+		dispatcher.handleHostReturned(input)
 	case *HostGone:
-		dispatcher.stopAwaitingHost(input)
+		dispatcher.handleHostGone(input)
 	case *TakeoverReplied:
 		dispatcher.recordTakeoverReply(input)
 	case *JobForwarded:
@@ -209,17 +209,17 @@
 	case *AnswerHeld:
 		dispatcher.releaseAnswers(input)
 	case *IsolationEnded:
-		dispatcher.noteIsolation()
+		dispatcher.recordIsolation()
 	case *ClaimsGrantedLate:
-		dispatcher.releaseLate(input)
+		dispatcher.scheduleLateClaimReleases(input)
 	case *ClaimDecided:
 		dispatcher.decideClaim(input)
 	case *LimitsConfigured:
 		dispatcher.configureLimits(input)
 	case *EvacuationsKnown:
-		dispatcher.takeEvacuations(input)
+		dispatcher.handleEvacuations(input)
 	case *ServerAnnounced:
-		dispatcher.announceServer(input)
+		dispatcher.handleServerAnnounced(input)
 	case *ServerReported:
 		dispatcher.recordReport(input)
 	case *ServerHeartbeat:
@@ -227,7 +227,7 @@
 	case *ServerLeaving:
 		dispatcher.markLeaving(input)
 	case *ServerLost:
-		dispatcher.loseServer(input)
+		dispatcher.handleServerLost(input)
 	case *TasksRefused:
 		dispatcher.recordRefusals(input)
 	case *TasksAnswered:
--- a/pkg/dispatcher/entities.go
+++ b/pkg/dispatcher/entities.go
@@ -9,72 +9,73 @@
 	"github.com/stoathitch/stoathitch/pkg/queuer"
 )
 
-// cell is a share of the failure domain's slots that this host leads.
+// cell is the share of the failure domain's slots and submissions that this host leads.
 type cell struct {
 	number messenger.CellNumber
 	epoch  identifier.Epoch
-	// ready tells that the takeover is over and tasks may start.
+	// ready is set once the takeover is over and tasks may start.
 	ready bool
-	// deposed tells that a backend server follows another lead: nothing more is
-	// started until the hosts have settled who leads.
+	// deposed is set when a backend server follows another lead. Nothing more is started until the
+	// hosts have agreed on who leads.
 	deposed bool
-	// awaitedHosts and awaitedServers have not yet answered the takeover.
+	// awaitedHosts and awaitedServers have not yet replied to the takeover.
 	awaitedHosts   map[identifier.HostID]bool
 	awaitedServers map[identifier.BackendServerID]bool
 	// takenAt is when the takeover began.
 	takenAt identifier.Moment
-	// vouchers are the hosts that have told which backend servers they have seen.
-	vouchers map[identifier.HostID]voucher
-	// takeoverAttempts counts how often hosts were asked.
+	// seenServers holds the replies of the hosts that have listed the backend servers they have seen.
+	seenServers map[identifier.HostID]seenServersReply
+	// takeoverAttempts counts how often the takeover's queries were sent again.
 	takeoverAttempts int
-	// missingHosts could not be asked at the takeover.
+	// missingHosts could not be queried at the takeover.
 	missingHosts map[identifier.HostID]bool
-	// emptiedHosts have lost their memory before this lead had all of it, and live.
-	emptiedHosts map[identifier.HostID]bool
-	// awaitedDomains are the failure domains that were asked for this home's jobs and
-	// have not answered; toldDomains are those that have.
+	// hostsWithoutState are live hosts that restarted without state before this lead had received
+	// all of that state.
+	hostsWithoutState map[identifier.HostID]bool
+	// awaitedDomains are the failure domains that were queried for this home's jobs and have not
+	// replied; repliedDomains are those that have. The value is false where the list was cut off.
 	awaitedDomains map[identifier.FailureDomain]bool
-	toldDomains    map[identifier.FailureDomain]bool
-	// wantsAcknowledged tells that the backend servers were asked for what was acknowledged.
-	wantsAcknowledged bool
-	// guestQueries wait for their reports.
+	repliedDomains map[identifier.FailureDomain]bool
+	// acknowledgedRequested is set once the backend servers were asked which submissions they have
+	// acknowledged answers for.
+	acknowledgedRequested bool
+	// guestQueries wait for the reports of backend servers.
 	guestQueries []*GuestsQueried
-	// acknowledged are the submissions whose answers backend servers were told to forget,
-	// as far as they were asked.
+	// acknowledged are the submissions whose answers backend servers were told to forget, according
+	// to the servers and leads that were asked.
 	acknowledged map[messenger.SubmissionDigest]bool
-	// guestAttempts counts how often failure domains were asked.
-	guestAttempts int
+	// guestQueryAttempts counts how often failure domains were queried.
+	guestQueryAttempts int
 	// recovered lists the submissions that other hosts knew at the takeover.
 	recovered map[identifier.SubmissionID]recoveredRecord
-	// orphans are the tasks that backend servers reported for submissions whose
-	// job has not been forwarded again yet.
-	orphans map[identifier.SubmissionID]*orphan
+	// unmatched are the tasks that backend servers reported for submissions whose job has not been
+	// forwarded to this lead yet.
+	unmatched map[identifier.SubmissionID]*unmatchedTasks
 	// queue holds the jobs with queued tasks.
 	queue   *queuer.Queue[*job, queuer.Order]
 	limiter *limiter.Limiter
 	free    freeSlots
-	// unplaced are jobs with tasks that some backend server may have which has not
-	// reported yet.
-	unplaced []*job
-	// toldFree and toldAt are the free slots that were last told to the leads of
-	// other failure domains, and when.
-	toldFree identifier.Slots
-	toldAt   identifier.Moment
-	// slots are those of the usable servers; they are counted again when stale.
+	// unlocated are jobs with tasks that may be on a backend server which has not reported yet.
+	unlocated []*job
+	// announcedFree is the number of free slots last announced to the leads of other failure domains,
+	// announcedAt the time of that announcement.
+	announcedFree identifier.Slots
+	announcedAt   identifier.Moment
+	// slots is the number of slots of the usable servers; it is recomputed when capacityStale is set.
 	slots         identifier.Slots
 	capacityStale bool
-	// emptySince is when the last usable server was lost.
-	emptySince identifier.Moment
+	// noServerSince is when the last usable server was lost, or Never.
+	noServerSince identifier.Moment
 }
 
 // holdersOfRecord is how many hosts know a submission before its first start.
 const holdersOfRecord = 2
 
-// mayMissRecords tells whether a submission may be known to missing hosts only.
-// Then nobody here can say of any submission that it did not run.
+// mayMissRecords reports whether a submission may be known to missing hosts only. In that case no
+// host here can say of any submission that it did not run.
 func (cell *cell) mayMissRecords() bool {
 	lost := len(cell.missingHosts)
-	for host := range cell.emptiedHosts {
+	for host := range cell.hostsWithoutState {
 		if !cell.missingHosts[host] {
 			lost++
 		}
@@ -86,69 +87,70 @@
 type recoveredRecord struct {
 	holder identifier.HostID
 	record messenger.CopyRecord
-	// knownSince is the record's moment on this host's clock, knownAfter one that is surely
-	// not later.
+	// knownSince is the record's time on this host's clock; knownAfter is a time that is provably not
+	// later than it.
 	knownSince identifier.Moment
 	knownAfter identifier.Moment
 	keptUntil  identifier.Moment
 }
 
-// keptBySelf tells whether this host keeps the answer.
+// keptBySelf reports whether this host keeps the answer.
 func (recovered recoveredRecord) keptBySelf(self identifier.HostID) bool {
 	return recovered.holder == self && recovered.record.Answered && recovered.record.AnswerAt == ""
 }
 
-// orphan gathers what backend servers told of a submission's tasks.
-type orphan struct {
-	running map[identifier.TaskID]orphanTask
-	answers map[identifier.TaskID]orphanAnswer
+// unmatchedTasks collects what backend servers reported of a submission's tasks.
+type unmatchedTasks struct {
+	running map[identifier.TaskID]unmatchedTask
+	answers map[identifier.TaskID]unmatchedAnswer
 }
 
-// orphanTask is where a task runs: in one process of a backend server.
-type orphanTask struct {
+// unmatchedTask is where a task runs: in one incarnation of a backend server.
+type unmatchedTask struct {
 	server      identifier.BackendServerID
 	incarnation uint64
 }
 
-type orphanAnswer struct {
+type unmatchedAnswer struct {
 	server identifier.BackendServerID
 	answer ServerAnswer
 }
 
-// server is a backend server as this host sees it.
+// server is a backend server as one cell of this host sees it.
 type server struct {
 	id          identifier.BackendServerID
 	cell        messenger.CellNumber
 	incarnation uint64
 	rack        identifier.RackID
 	slots       identifier.Slots
-	// allowed is how many of the slots may be used, by the server's health.
+	// allowed is how many of the slots may be used, given the server's health.
 	allowed identifier.Slots
-	// others are the slots that other leads use; zero unless servers are shared.
+	// others is the number of slots that other leads use; zero unless servers are shared.
 	others    identifier.Slots
 	slowness  float64
 	connected bool
-	// silent tells that heartbeats are missing although the stream is open.
+	// silent is set while heartbeats are missing although the stream is open.
 	silent  bool
 	leaving bool
-	// fenced tells that the server has reported under the cell's epoch.
+	// fenced is set once the server has reported under the cell's epoch.
 	fenced bool
-	// askedAgain tells that a report was asked for again since it left out what was acknowledged.
-	askedAgain bool
-	// startedAt is when the server's process started, by its own account.
+	// reportRequestedAgain is set after a second report was requested because the first left out the
+	// acknowledged submissions.
+	reportRequestedAgain bool
+	// startedAt is when the server's process started, according to the server.
 	startedAt identifier.Moment
-	// leftAt is when the server first said that it is leaving, or Never.
+	// leftAt is when the server first announced that it is leaving, or Never.
 	leftAt identifier.Moment
-	// running holds the tasks that were started here and have not been resolved.
+	// running holds the tasks that were started here and are not resolved.
 	running map[TaskKey]*task
-	// refusedFull tells that the server refused for want of a slot; nothing more
-	// is sent until it next answers or sends a heartbeat.
+	// refusedFull is set after the server refused a start because it had no free slot. No tasks are
+	// sent until its next answer or heartbeat.
 	refusedFull bool
-	// evacuated tells that nothing is started in the server's failure domain.
+	// evacuated is set while nothing may be started in the server's failure domain.
 	evacuated bool
 }
 
-// usable tells whether tasks may be started on the server now.
+// usable reports whether tasks may be started on the server now.
 func (server *server) usable() bool {
 	return server.serving() && !server.refusedFull
 }
@@ -163,53 +165,52 @@
 	cell     messenger.CellNumber
 	state    jobState
 	deadline identifier.Moment
-	// firstForwarded is when the job was first forwarded to any lead, on this
-	// host's clock.
+	// firstForwarded is when the job was first forwarded to any lead, on this host's clock.
 	firstForwarded identifier.Moment
-	// forwardedAfter is surely not later than that: what others tell of it was under way.
+	// forwardedAfter is a time that is provably not later than firstForwarded, which is computed from
+	// ages in messages and so includes their transit time.
 	forwardedAfter identifier.Moment
-	// again tells that an earlier lead may have started tasks of the job.
-	again bool
-	// claimed tells that the claim of a not-repeatable job is granted.
+	// mayHaveEarlierStarts is set when an earlier lead may have started tasks of the job.
+	mayHaveEarlierStarts bool
+	// claimed is set once the claim of a not-repeatable job is granted.
 	claimed bool
-	// releasable tells that nothing of the refused job has started or ever will here.
+	// releasable is set when the job was refused and none of its tasks has started or will start here.
 	releasable bool
-	// claimHolder is the submission that holds the claim in place of this one.
+	// claimHolder is the other submission that holds the claim of this job.
 	claimHolder identifier.SubmissionID
-	// askers look the submission up.
-	askers []asker
-	// holders are the hosts that wait for the answer.
-	holders []identifier.HostID
-	tasks   []task
-	// byID finds tasks; it points into tasks.
+	// waitingLookups are the hosts that looked the submission up and wait for its end.
+	waitingLookups []waitingLookup
+	// recipients are the hosts that wait for the answer.
+	recipients []identifier.HostID
+	tasks      []task
+	// byID indexes tasks; its values point into tasks.
 	byID map[identifier.TaskID]*task
-	// startOrder numbers the tasks in the order in which they start; nil is as
-	// they came.
+	// startOrder lists the indices of tasks in the order in which they start; nil means the order
+	// in which they were submitted.
 	startOrder []int
 	nextQueued int
 	entry      queuer.Entry[*job]
-	measured   measure
+	estimate   jobEstimate
 	unresolved int
 	answer     *messenger.JobAnswer
-	// answerHeld tells that a second host holds the answer.
-	answerHeld bool
+	// answerReplicated is set once a second host holds the answer.
+	answerReplicated bool
 	// finishedAt is when the job got its answer.
 	finishedAt identifier.Moment
-	// spilledTo is the failure domain that the job is handed over to, spillMode
-	// what its lead may do; after spillUnknownUntil the job fails, because that lead
-	// is out of reach.
+	// spilledTo is the failure domain that the job is handed to, and spillMode what its lead may do.
+	// If that lead can't be reached, the job fails at spillUnknownUntil.
 	spilledTo         identifier.FailureDomain
 	spillMode         messenger.SpillMode
 	spillUnknownUntil identifier.Moment
-	// guestOf is the lead of the job's home in another failure domain; empty for
-	// jobs that are at home here.
-	guestOf identifier.HostID
-	// failure is why the job failed while its cell's takeover was under way; it
-	// is told once the takeover has shown that there is no answer yet.
+	// homeLead is the lead of the job's home in another failure domain; empty for jobs that are at
+	// home here.
+	homeLead identifier.HostID
+	// failure is why the job failed while its cell's takeover was under way. It is answered only
+	// after the takeover has shown that there is no earlier answer.
 	failure *failure
 }
 
-// failure is why a job can't be complete any more.
+// failure is the reason why a job can't complete.
 type failure struct {
 	reason messenger.Reason
 	detail string
@@ -221,14 +222,14 @@
 	spec   *messenger.Task
 	state  taskState
 	server identifier.BackendServerID
-	// unknownUntil is when an unknown task fails its job.
+	// unknownUntil is when the job fails unless this unknown task is resolved.
 	unknownUntil identifier.Moment
 	result       []byte
 	// runTime is how long the backend server ran the task.
 	runTime time.Duration
-	// refusals counts the starts that are known not to have happened.
+	// refusals counts the starts that provably did not happen.
 	refusals int
-	// inFlight tells that the task counts for its team's tasks in flight.
+	// inFlight is set while the task counts toward its team's limit of tasks in flight.
 	inFlight bool
 }
 
@@ -240,7 +241,7 @@
 	return timerKey{kind: kind, submission: job.spec.Submission}
 }
 
-// timerKind tells which deadline a timer stands for.
+// timerKind is the kind of deadline that a timer stands for.
 type timerKind int
 
 const (
@@ -254,17 +255,17 @@
 	timerNoServer
 	timerSpill
 	timerLoad
-	// timerConfirm asks again for the second holder of an answer.
+	// timerConfirm retries the replication of an answer to a second host.
 	timerConfirm
-	// timerRelease gives a claim back.
+	// timerRelease releases a claim.
 	timerRelease
-	// timerSweep forgets recovered records whose retention is over.
+	// timerSweep removes recovered records whose retention is over.
 	timerSweep
-	// timerEmptied ends the doubt because of hosts that have lost their memory.
-	timerEmptied
+	// timerLostState fires when no record that lost hosts held would still be kept.
+	timerLostState
 )
 
-// timerKey names one deadline.
+// timerKey identifies one deadline.
 type timerKey struct {
 	kind       timerKind
 	submission identifier.SubmissionID
--- a/pkg/dispatcher/enums.go
+++ b/pkg/dispatcher/enums.go
@@ -2,10 +2,10 @@
 
 //go:generate enumer -type=RefusalKind,ClaimVerdict,taskState,jobState -trimprefix=Refusal,Claim,task,job -transform=kebab -text -output=enums_enumer.go
 
-// RefusalKind tells why a backend server refused a start.
+// RefusalKind is the reason why a backend server refused a start.
 type RefusalKind int
 
-// The kinds of refusals.
+// The reasons for refused starts.
 const (
 	RefusalUnspecified RefusalKind = iota
 	RefusalNoFreeSlot
@@ -18,9 +18,9 @@
 // ClaimVerdict is the keepers' decision on a claim.
 type ClaimVerdict int
 
-// The verdicts on claims.
+// The decisions on claims.
 const (
-	// ClaimUnavailable means that no quorum could be asked.
+	// ClaimUnavailable means that no quorum could be reached.
 	ClaimUnavailable ClaimVerdict = iota
 	// ClaimGranted means that the submission may run the job.
 	ClaimGranted
@@ -28,21 +28,21 @@
 	ClaimHeld
 )
 
-// taskState is where a task stands.
+// taskState is the state of a task at the lead.
 type taskState int
 
 const (
 	taskQueued taskState = iota
-	// taskHeld means that the task waits for a budget to be started again.
+	// taskHeld means that the task waits for retry budget before it is started again.
 	taskHeld
-	// taskStarted means that a start was sent and nothing was heard since.
+	// taskStarted means that a start was sent and no answer or refusal was received since.
 	taskStarted
 	// taskUnknown means that the backend server was lost after the start.
 	taskUnknown
 	taskAnswered
 )
 
-// jobState is where a job stands.
+// jobState is the state of a job at the lead.
 type jobState int
 
 const (
@@ -50,9 +50,9 @@
 	jobRecovering jobState = iota
 	jobAwaitingClaim
 	jobRunning
-	// jobSpilling means that a second host is to remember where the job goes.
+	// jobSpilling means that a second host is being asked to record where the job goes.
 	jobSpilling
-	// jobSpilled means that another failure domain has the job.
+	// jobSpilled means that the job was handed to another failure domain.
 	jobSpilled
 	jobFinished
 )
--- a/pkg/dispatcher/measuring.go
+++ b/pkg/dispatcher/estimating.go
@@ -8,37 +8,37 @@
 	"github.com/stoathitch/stoathitch/pkg/queuer"
 )
 
-// measure is what a job is expected to take.
-type measure struct {
+// jobEstimate is the expected run time of a job.
+type jobEstimate struct {
 	// work is the slot time of all tasks, longest that of the longest task.
 	work    time.Duration
 	longest time.Duration
-	// ideal is the time that the job takes when all slots are its own.
+	// ideal is the time that the job takes if it has all slots to itself.
 	ideal time.Duration
-	// learned tells that the estimates rest on observed answers.
+	// learned reports whether the estimates are based on observed answers.
 	learned bool
 	class   ClassLimits
 }
 
-// measureJob estimates a job and gives its queue entry its due moment and its cost.
-func (dispatcher *Dispatcher) measureJob(cell *cell, job *job) {
+// estimateJob estimates a job and sets the due time and the cost of its queue entry.
+func (dispatcher *Dispatcher) estimateJob(cell *cell, job *job) {
 	spec := job.spec
 	model := dispatcher.estimator.Model(estimator.Key{Team: spec.Team, Class: spec.Class})
-	measured := measure{class: dispatcher.classes[spec.Class]}
+	estimate := jobEstimate{class: dispatcher.classes[spec.Class]}
 	for index := range job.tasks {
-		estimate := model.Estimate(job.tasks[index].spec.DeclaredRunTime)
-		measured.work += estimate.Mean
-		measured.longest = max(measured.longest, estimate.Typical)
-		measured.learned = estimate.Learned
+		taskEstimate := model.Estimate(job.tasks[index].spec.DeclaredRunTime)
+		estimate.work += taskEstimate.Mean
+		estimate.longest = max(estimate.longest, taskEstimate.Typical)
+		estimate.learned = taskEstimate.Learned
 	}
 	slots := dispatcher.capacity(cell)
-	measured.ideal = max(measured.longest, measured.work/time.Duration(max(slots, 1)))
-	job.measured = measured
+	estimate.ideal = max(estimate.longest, estimate.work/time.Duration(max(slots, 1)))
+	job.estimate = estimate
 	job.entry.Payload = job
 	job.entry.Team = spec.Team
-	job.entry.ClassWeight = measured.class.Weight
-	job.entry.Cost = measured.work / time.Duration(max(len(job.tasks), 1))
-	job.entry.Urgent = measured.class.Urgent
+	job.entry.ClassWeight = estimate.class.Weight
+	job.entry.Cost = estimate.work / time.Duration(max(len(job.tasks), 1))
+	job.entry.Urgent = estimate.class.Urgent
 	job.entry.Due = cell.queue.Order.Due(job.shape())
 }
 
@@ -46,13 +46,13 @@
 	return queuer.Shape{
 		ArrivedAt: job.firstForwarded,
 		Deadline:  job.deadline,
-		Ideal:     job.measured.ideal,
+		Ideal:     job.estimate.ideal,
 		Tasks:     len(job.tasks),
 	}
 }
 
-// orderTasks has the tasks that were declared to run longest start first: a job
-// is as slow as its last task.
+// orderTasks sorts the tasks by declared run time, longest first: a job is as slow as its last
+// task.
 func (job *job) orderTasks() {
 	declared := func(index int) time.Duration { return job.tasks[index].spec.DeclaredRunTime }
 	sorted := true
@@ -71,7 +71,7 @@
 	})
 }
 
-// taskAt returns the task that starts as the number-th.
+// taskAt returns the task at a position of the start order.
 func (job *job) taskAt(number int) *task {
 	if job.startOrder == nil {
 		return &job.tasks[number]
@@ -79,14 +79,14 @@
 	return &job.tasks[job.startOrder[number]]
 }
 
-// noteStart charges a task that leaves the queue for a slot.
-func (dispatcher *Dispatcher) noteStart(cell *cell, task *task) {
+// recordStart charges a task that leaves the queue for a slot.
+func (dispatcher *Dispatcher) recordStart(cell *cell, task *task) {
 	cell.queue.Serve(dispatcher.now, &task.job.entry)
-	dispatcher.beginFlight(cell, task)
+	dispatcher.addInFlight(cell, task)
 }
 
-// beginFlight counts a task as running for its team.
-func (dispatcher *Dispatcher) beginFlight(cell *cell, task *task) {
+// addInFlight counts a task as running for its team.
+func (dispatcher *Dispatcher) addInFlight(cell *cell, task *task) {
 	if task.inFlight {
 		return
 	}
@@ -95,8 +95,8 @@
 	cell.queue.SetPaused(team, !cell.limiter.Start(dispatcher.now, team, task.refusals == 0))
 }
 
-// endFlight takes a task out of its team's count, once.
-func (dispatcher *Dispatcher) endFlight(task *task) {
+// removeInFlight removes a task from its team's count of running tasks. Further calls do nothing.
+func (dispatcher *Dispatcher) removeInFlight(task *task) {
 	cell := dispatcher.cells.Get(task.job.cell)
 	if cell == nil || !task.inFlight {
 		return
@@ -106,9 +106,9 @@
 	cell.queue.SetPaused(team, !cell.limiter.End(dispatcher.now, team))
 }
 
-// endLostFlights takes the tasks of a finished job out of its team's count that
-// no connected backend server will tell the end of.
-func (dispatcher *Dispatcher) endLostFlights(job *job) {
+// removeLostInFlight removes the tasks of a finished job from its team's count whose end no
+// connected backend server will report.
+func (dispatcher *Dispatcher) removeLostInFlight(job *job) {
 	for index := range job.tasks {
 		task := &job.tasks[index]
 		if !task.inFlight {
@@ -116,18 +116,18 @@
 		}
 		server := dispatcher.servers.Get(serverKey{cell: job.cell, server: task.server})
 		if task.state == taskUnknown || server == nil || server.running[task.key()] != task {
-			dispatcher.endFlight(task)
+			dispatcher.removeInFlight(task)
 		}
 	}
 }
 
-// noteAnswer learns from the answer of a task that ran here, whether its job
-// still waits for it or not.
-func (dispatcher *Dispatcher) noteAnswer(cell *cell, task *task, answer ServerAnswer) {
+// recordTaskEnd updates the queue and the estimator with the answer of a task that ran here, even
+// if its job no longer waits for it.
+func (dispatcher *Dispatcher) recordTaskEnd(cell *cell, task *task, answer ServerAnswer) {
 	if task == nil {
 		return
 	}
-	dispatcher.endFlight(task)
+	dispatcher.removeInFlight(task)
 	if answer.RunTime <= 0 {
 		return
 	}
--- a/pkg/dispatcher/evacuating_test.go
+++ b/pkg/dispatcher/evacuating_test.go
@@ -9,7 +9,7 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// outcomes counts what a tick has done.
+// outcomes counts the results of a tick.
 type outcomes struct{ starts, refused, handedOver int }
 
 func countOutcomes(outputs []dispatcher.Output) outcomes {
@@ -30,7 +30,7 @@
 }
 
 // TestEvacuationOfALead guards against starts on servers of an evacuated failure domain, and against
-// jobs that wait there although another one has room, or none ever will.
+// jobs that wait there although another failure domain has capacity, or none ever will.
 func TestEvacuationOfALead(t *testing.T) {
 	const other = identifier.FailureDomain("other")
 	lead := &dispatcher.Dispatcher{Self: "entry-0", FailureDomain: fake.Domain, Settings: dispatcher.DefaultSettings()}
@@ -53,9 +53,9 @@
 		inputs []dispatcher.Input
 		want   outcomes
 	}{
-		{"room", []dispatcher.Input{forward("s-1", fake.Domain)}, outcomes{starts: 2}},
-		{"no room", []dispatcher.Input{forward("s-2", fake.Domain), forward("s-3", fake.Domain, other)}, outcomes{}},
-		{"evacuated, room elsewhere", []dispatcher.Input{free, evacuated}, outcomes{refused: 1, handedOver: 1}},
+		{"free slots", []dispatcher.Input{forward("s-1", fake.Domain)}, outcomes{starts: 2}},
+		{"no free slots", []dispatcher.Input{forward("s-2", fake.Domain), forward("s-3", fake.Domain, other)}, outcomes{}},
+		{"evacuated, free slots elsewhere", []dispatcher.Input{free, evacuated}, outcomes{refused: 1, handedOver: 1}},
 		{"a new job", []dispatcher.Input{forward("s-4", fake.Domain)}, outcomes{refused: 1}},
 		{"readmitted", []dispatcher.Input{&dispatcher.EvacuationsKnown{}, forward("s-5", fake.Domain)}, outcomes{}},
 	} {
--- a/pkg/dispatcher/expiry.go
+++ b/pkg/dispatcher/expiry.go
@@ -5,7 +5,7 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// expire handles every deadline that has been reached.
+// expire handles every deadline that is due.
 func (dispatcher *Dispatcher) expire() {
 	dispatcher.timers.EachDue(dispatcher.now, dispatcher.expireOne)
 }
@@ -21,7 +21,7 @@
 			dispatcher.forget(job)
 		}
 	case timerServerSilence:
-		dispatcher.silenceServer(serverKey{cell: key.cell, server: key.server})
+		dispatcher.markServerSilent(serverKey{cell: key.cell, server: key.server})
 		dispatcher.markCapacityStale()
 	case timerServerForget:
 		dispatcher.forgetServer(serverKey{cell: key.cell, server: key.server})
@@ -29,18 +29,18 @@
 		dispatcher.releaseClaim(key.submission)
 	case timerSweep:
 		dispatcher.sweepRecovered(key.cell)
-	case timerEmptied:
-		dispatcher.endDoubt(key.cell)
+	case timerLostState:
+		dispatcher.expireLostState(key.cell)
 	case timerConfirm:
-		dispatcher.confirmAgain(key.submission)
+		dispatcher.resendUnconfirmedAnswer(key.submission)
 	case timerSpill:
 		dispatcher.expireSpill(key.submission)
 	case timerLoad:
-		// The tick that this timer asks for tells the load.
+		// The tick that this timer causes announces the load.
 	case timerRetry:
-		dispatcher.repeatHeld(key.submission)
+		dispatcher.retryHeld(key.submission)
 	case timerNoServer:
-		// The tick that this timer asks for refuses what waits.
+		// The tick that this timer causes refuses the waiting jobs.
 	case timerTakeover:
 		if cell := dispatcher.cells.Get(key.cell); cell != nil && !cell.ready {
 			dispatcher.retryTakeover(cell)
@@ -54,7 +54,7 @@
 	}
 }
 
-// giveUpUnknown fails a job whose lost backend server did not come back in time.
+// giveUpUnknown fails a job whose lost backend server or failure domain did not return in time.
 func (dispatcher *Dispatcher) giveUpUnknown(submission identifier.SubmissionID) {
 	job := dispatcher.jobs.Get(submission)
 	if job == nil || job.state == jobFinished {
@@ -75,13 +75,12 @@
 	dispatcher.awaitUnknown(job)
 }
 
-// endUnknown ends the job of a task of which nobody can tell what became. Where no backend server
-// is known to have been given it, an earlier lead may have answered the job, which this one has
-// not seen: its end claims nothing then, as a caller that had heard "complete" must not hear
-// "failed".
+// endUnknown ends the job of a task whose state can't be determined. If no backend server is known
+// to have received the task, an earlier lead may have answered the job unknown to this one. The end
+// then claims nothing, as a caller that has received "complete" must not receive "failed".
 func (dispatcher *Dispatcher) endUnknown(task *task) {
 	name := string(task.spec.Task)
-	if task.unplaced() {
+	if task.unlocated() {
 		dispatcher.finish(task.job, messenger.RefuseUnknown(task.job.spec.Submission, messenger.ReasonTaskUnknown,
 			"no backend server that has reported has task "+name+", and one that was lost may have had it"))
 		return
@@ -89,8 +88,9 @@
 	dispatcher.failJob(task.job, messenger.ReasonTaskUnknown, "nobody can tell what became of task "+name+" at "+string(task.server))
 }
 
-// forget drops a submission with all its deadlines. It counts as ended wherever a list or a
-// server still refers to it: a task of it that a late report lacks would else be started again.
+// forget removes a submission with all its deadlines. It is marked as finished for lists and
+// servers that still refer to it; otherwise one of its tasks that is missing from a late report
+// would be started again.
 func (dispatcher *Dispatcher) forget(job *job) {
 	job.state = jobFinished
 	submission := job.spec.Submission
--- a/pkg/dispatcher/explaining.go
+++ b/pkg/dispatcher/explaining.go
@@ -6,18 +6,18 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// Explain returns what is still known of the decisions on a submission.
+// Explain returns the decisions on a submission that are still kept.
 func (dispatcher *Dispatcher) Explain(submission identifier.SubmissionID) []explainer.Step {
 	return dispatcher.explainer.Steps(submission)
 }
 
-// noteJob keeps a step of a whole submission.
-func (dispatcher *Dispatcher) noteJob(kind explainer.Kind, submission identifier.SubmissionID, detail string) {
+// recordJobStep records a step of a whole submission.
+func (dispatcher *Dispatcher) recordJobStep(kind explainer.Kind, submission identifier.SubmissionID, detail string) {
 	dispatcher.explainer.Note(explainer.Step{At: dispatcher.now, Kind: kind, Submission: submission, Detail: detail})
 }
 
-// noteTask keeps a step of one task.
-func (dispatcher *Dispatcher) noteTask(kind explainer.Kind, task *task, detail string) {
+// recordTaskStep records a step of one task.
+func (dispatcher *Dispatcher) recordTaskStep(kind explainer.Kind, task *task, detail string) {
 	dispatcher.explainer.Note(explainer.Step{
 		At:         dispatcher.now,
 		Kind:       kind,
@@ -28,7 +28,7 @@
 	})
 }
 
-// describeAnswer says which answer a submission got.
+// describeAnswer returns the outcome of an answer, with the reason and detail unless it is complete.
 func describeAnswer(answer *messenger.JobAnswer) string {
 	if answer.Outcome == messenger.OutcomeComplete {
 		return answer.Outcome.String()
--- a/pkg/dispatcher/export_test.go
+++ b/pkg/dispatcher/export_test.go
@@ -6,7 +6,7 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Queued returns the tasks and the work that wait in cell 0.
+// Queued returns the number of tasks and the amount of work that wait in cell 0.
 func (dispatcher *Dispatcher) Queued() (int, time.Duration) {
 	queue := dispatcher.cells.Get(0).queue
 	return queue.Tasks(), queue.Work()
--- a/pkg/dispatcher/fake/cell.go
+++ b/pkg/dispatcher/fake/cell.go
@@ -1,6 +1,6 @@
-// Package fake drives a Dispatcher through Tick in virtual time, with stand-ins
-// for the backend servers of one cell and for the callers' host. It checks the
-// promises from what the backend servers see, not from the dispatcher's books.
+// Package fake drives a Dispatcher through Tick in virtual time, with fakes of the backend servers
+// of one cell and of the callers' host. It checks the dispatcher's guarantees by what the backend
+// servers see, not by the dispatcher's own records.
 package fake
 
 import (
@@ -18,7 +18,7 @@
 	Domain identifier.FailureDomain = "thu-duc"
 
 	host              identifier.HostID = "entry-0"
-	oneWay                              = 250 * time.Microsecond
+	transitTime                         = 250 * time.Microsecond
 	heartbeatInterval                   = 500 * time.Millisecond
 )
 
@@ -27,22 +27,22 @@
 	Settings dispatcher.Settings
 	Servers  int
 	Slots    identifier.Slots
-	// Refuse tells whether a backend server refuses a start, and how.
+	// Refuse returns whether a backend server refuses a start, and for which reason;
+	// RefusalUnspecified accepts it.
 	Refuse func(server int, key dispatcher.TaskKey) dispatcher.RefusalKind
 
-	// Now is the present moment.
+	// Now is the present virtual time.
 	Now identifier.Moment
 	// Records holds every submission.
 	Records map[identifier.SubmissionID]*Record
-	// Violations lists the breaches of promises that were seen.
+	// Violations lists the violated guarantees.
 	Violations []string
-	// Starts and Refusals count what the backend servers were sent and refused.
+	// Starts and Refusals count the starts that backend servers received and refused.
 	Starts   int
 	Refusals int
-	// Running counts the tasks of each team that run now, MostRunning the most
-	// that ever ran at once.
-	Running     map[identifier.TeamID]int
-	MostRunning map[identifier.TeamID]int
+	// Running counts the running tasks of each team, MaxRunning the highest count so far.
+	Running    map[identifier.TeamID]int
+	MaxRunning map[identifier.TeamID]int
 
 	dispatcher *dispatcher.Dispatcher
 	servers    []*server
@@ -51,18 +51,18 @@
 	inputs     []dispatcher.Input
 }
 
-// Record is what was seen of one submission.
+// Record is what was observed of one submission.
 type Record struct {
 	Job       *messenger.Job
 	ArrivedAt identifier.Moment
 	Ideal     time.Duration
-	// Answers lists the answers in the order in which they came.
+	// Answers lists the answers in the order of their arrival.
 	Answers    []*messenger.JobAnswer
 	AnsweredAt identifier.Moment
 	// Started counts the starts of each task that a backend server accepted.
 	Started  map[identifier.TaskID]int
 	runTimes map[identifier.TaskID]time.Duration
-	// cancelled tells that the lead has seen the cancellation.
+	// cancelled is set once the cancellation was submitted.
 	cancelled bool
 	resends   int
 }
@@ -75,7 +75,7 @@
 	return record.Answers[0]
 }
 
-// Stretch returns response over ideal.
+// Stretch returns the response time divided by the ideal time.
 func (record *Record) Stretch() float64 {
 	return float64(record.AnsweredAt.Sub(record.ArrivedAt)) / float64(record.Ideal)
 }
@@ -84,25 +84,25 @@
 func (cell *Cell) Open() {
 	cell.Records = make(map[identifier.SubmissionID]*Record)
 	cell.Running = make(map[identifier.TeamID]int)
-	cell.MostRunning = make(map[identifier.TeamID]int)
+	cell.MaxRunning = make(map[identifier.TeamID]int)
 	cell.dispatcher = &dispatcher.Dispatcher{Self: host, FailureDomain: Domain, Settings: cell.Settings}
 	cell.post(&dispatcher.LeadTaken{Cell: 0, Epoch: 1})
 	for number := range cell.Servers {
 		created := &server{cell: cell, number: number, running: make(map[dispatcher.TaskKey]bool)}
 		cell.servers = append(cell.servers, created)
 		created.announce()
-		created.beat()
+		created.sendHeartbeat()
 	}
 	cell.Run(cell.Now.Add(10 * time.Millisecond))
 }
 
-// Post hands any input to the lead now.
+// Post submits an input to the lead now.
 func (cell *Cell) Post(input dispatcher.Input) { cell.post(input) }
 
 // Lead returns the dispatcher that leads the cell.
 func (cell *Cell) Lead() *dispatcher.Dispatcher { return cell.dispatcher }
 
-// Submit hands a job to the lead now. Its tasks run for runTimes.
+// Submit submits a job to the lead now. Its tasks run for runTimes.
 func (cell *Cell) Submit(job *messenger.Job, deadline identifier.Moment, runTimes []time.Duration) *Record {
 	record := &Record{
 		Job:       job,
@@ -112,32 +112,32 @@
 	}
 	for index, runTime := range runTimes {
 		record.runTimes[job.Tasks[index].Task] = runTime
-		record.Ideal = max(record.Ideal, runTime+2*oneWay)
+		record.Ideal = max(record.Ideal, runTime+2*transitTime)
 	}
 	cell.Records[job.Submission] = record
 	cell.post(&dispatcher.JobForwarded{From: host, Job: job, Deadline: deadline})
 	return record
 }
 
-// Cancel hands the lead a cancellation by the submission's caller.
+// Cancel submits a cancellation by the submission's caller.
 func (cell *Cell) Cancel(record *Record) {
 	record.cancelled = true
 	cancel := messenger.Cancel{Submission: record.Job.Submission, Caller: record.Job.Caller}
 	cell.post(&dispatcher.CancelArrived{From: host, Cancel: cancel})
 }
 
-// Resend hands the lead the same submission again.
+// Resend submits the same submission again.
 func (cell *Cell) Resend(record *Record, deadline identifier.Moment) {
 	record.resends++
 	cell.post(&dispatcher.JobForwarded{From: host, Job: record.Job, Deadline: deadline, Again: true})
 }
 
-// Leave has a backend server say that it takes no new start.
+// Leave has a backend server announce that it accepts no new starts.
 func (cell *Cell) Leave(number int) {
 	cell.post(&dispatcher.ServerLeaving{Server: cell.servers[number].id()})
 }
 
-// Stop takes a backend server away at once, with all that it has.
+// Stop ends a backend server at once, with all its tasks.
 func (cell *Cell) Stop(number int) {
 	stopped := cell.servers[number]
 	if stopped.gone {
@@ -150,13 +150,13 @@
 	cell.post(&dispatcher.ServerLost{Server: stopped.id()})
 }
 
-// At calls action at a moment.
+// At schedules action for a moment.
 func (cell *Cell) At(moment identifier.Moment, action func()) {
 	cell.sequence++
 	heap.Push(&cell.events, event{at: moment, sequence: cell.sequence, action: action})
 }
 
-// Run lets time pass until a moment.
+// Run advances virtual time to a moment.
 func (cell *Cell) Run(until identifier.Moment) {
 	for {
 		cell.tick()
@@ -199,25 +199,25 @@
 		record.AnsweredAt = cell.Now
 	}
 	if len(record.Answers) > 1+record.resends {
-		cell.breach("answered more often than asked: %s", answer.Submission)
+		cell.addViolation("answered more often than asked: %s", answer.Submission)
 	}
 	if answer.Outcome != record.Answer().Outcome || answer.NotRun != record.Answer().NotRun {
-		cell.breach("answered in two ways: %s", answer.Submission)
+		cell.addViolation("answered in two ways: %s", answer.Submission)
 	}
 	if answer.Outcome == messenger.OutcomeComplete && len(answer.Answers) != len(record.Job.Tasks) {
-		cell.breach("complete with %d of %d tasks: %s", len(answer.Answers), len(record.Job.Tasks), answer.Submission)
+		cell.addViolation("complete with %d of %d tasks: %s", len(answer.Answers), len(record.Job.Tasks), answer.Submission)
 	}
 	if answer.NotRun && len(record.Started) > 0 {
-		cell.breach("refused as not run after a start: %s", answer.Submission)
+		cell.addViolation("refused as not run after a start: %s", answer.Submission)
 	}
-	cell.after(2*oneWay, func() { cell.post(&dispatcher.AnswerHeld{Submission: answer.Submission}) })
+	cell.after(2*transitTime, func() { cell.post(&dispatcher.AnswerHeld{Submission: answer.Submission}) })
 }
 
-func (cell *Cell) breach(format string, values ...any) {
+func (cell *Cell) addViolation(format string, values ...any) {
 	cell.Violations = append(cell.Violations, fmt.Sprintf("%v: ", time.Duration(cell.Now))+fmt.Sprintf(format, values...))
 }
 
-// event is something that happens at a moment.
+// event is an action that is due at a moment.
 type event struct {
 	at       identifier.Moment
 	sequence int
@@ -237,10 +237,10 @@
 	events[first], events[second] = events[second], events[first]
 }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (events *events) Push(value any) { *events = append(*events, value.(event)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (events *events) Pop() any {
 	last := (*events)[len(*events)-1]
 	*events = (*events)[:len(*events)-1]
--- a/pkg/dispatcher/fake/server.go
+++ b/pkg/dispatcher/fake/server.go
@@ -8,7 +8,7 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// server stands in for one backend server.
+// server is a fake of one backend server.
 type server struct {
 	cell    *Cell
 	number  int
@@ -24,24 +24,24 @@
 	server.cell.post(&dispatcher.ServerAnnounced{Server: server.id(), Incarnation: 1, Slots: server.cell.Slots})
 }
 
-func (server *server) beat() {
+func (server *server) sendHeartbeat() {
 	if server.gone {
 		return
 	}
 	server.cell.post(&dispatcher.ServerHeartbeat{Server: server.id(), Busy: identifier.Slots(len(server.running))})
-	server.cell.after(heartbeatInterval, server.beat)
+	server.cell.after(heartbeatInterval, server.sendHeartbeat)
 }
 
-// send delivers a batch to its backend server after the way there.
+// send delivers a batch to its backend server after one transit time.
 func (cell *Cell) send(batch *dispatcher.ToServer) {
 	number := slices.IndexFunc(cell.servers, func(server *server) bool { return server.id() == batch.Server })
 	receiving := cell.servers[number]
 	for _, start := range batch.Starts {
 		if record := cell.Records[start.Submission]; record.cancelled {
-			cell.breach("started after its cancellation: %s", start.Submission)
+			cell.addViolation("started after its cancellation: %s", start.Submission)
 		}
 	}
-	cell.after(oneWay, func() {
+	cell.after(transitTime, func() {
 		if !receiving.gone {
 			receiving.receive(batch)
 		}
@@ -86,15 +86,15 @@
 	record := server.cell.Records[key.Submission]
 	record.Started[key.Task]++
 	if record.Started[key.Task] > 1 {
-		server.cell.breach("started twice: task %s of %s", key.Task, key.Submission)
+		server.cell.addViolation("started twice: task %s of %s", key.Task, key.Submission)
 	}
 	if answer := record.Answer(); answer != nil && answer.NotRun {
-		server.cell.breach("ran after it was refused as not run: %s", key.Submission)
+		server.cell.addViolation("ran after it was refused as not run: %s", key.Submission)
 	}
 	server.running[key] = true
 	team := record.Job.Team
 	server.cell.Running[team]++
-	server.cell.MostRunning[team] = max(server.cell.MostRunning[team], server.cell.Running[team])
+	server.cell.MaxRunning[team] = max(server.cell.MaxRunning[team], server.cell.Running[team])
 	runTime := record.runTimes[key.Task]
 	server.cell.after(runTime, func() {
 		if server.running[key] && !server.gone {
@@ -110,5 +110,5 @@
 }
 
 func (server *server) reply(input dispatcher.Input) {
-	server.cell.after(oneWay, func() { server.cell.post(input) })
+	server.cell.after(transitTime, func() { server.cell.post(input) })
 }
--- a/pkg/dispatcher/fuzz_test.go
+++ b/pkg/dispatcher/fuzz_test.go
@@ -13,10 +13,10 @@
 	"github.com/stoathitch/stoathitch/pkg/limiter"
 )
 
-// TestPromisesUnderFaults mixes submissions, resends, cancellations, refusals,
-// leaving and lost backend servers and changed quotas. The fake checks the
-// promises from what the backend servers see. At the end every job has an answer
-// and nothing is left in the queue or in flight.
+// TestPromisesUnderFaults mixes submissions, resubmissions, cancellations, refusals, leaving and
+// lost backend servers and changed quotas. The fake checks the guarantees by what the backend
+// servers see. At the end every job must have an answer and nothing may be left in the queue or in
+// flight.
 func TestPromisesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := &machine{refusing: make(map[int]bool)}
@@ -54,7 +54,7 @@
 	return []dispatcher.RefusalKind{dispatcher.RefusalNoFreeSlot, dispatcher.RefusalDeadlinePassed}[len(key.Task)%2]
 }
 
-// server draws one of four; the fifth always stays.
+// server draws one of four backend servers; the fifth always stays.
 func (machine *machine) server(t *rapid.T) int { return rapid.IntRange(0, 3).Draw(t, "server") }
 
 func (machine *machine) submit(t *rapid.T) {
@@ -126,7 +126,7 @@
 	if tasks, work := machine.cell.Lead().Queued(); tasks != 0 || work != 0 {
 		t.Fatalf("%d tasks and %v of work are left in the queue", tasks, work)
 	}
-	for team := range machine.cell.MostRunning {
+	for team := range machine.cell.MaxRunning {
 		if inFlight := machine.cell.Lead().InFlight(team); inFlight != 0 {
 			t.Fatalf("%d tasks of %s count as running", inFlight, team)
 		}
--- a/pkg/dispatcher/lostguests_test.go
+++ b/pkg/dispatcher/guestqueries_test.go
@@ -10,16 +10,15 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// TestFullListOfGuestsIsNotComplete: symptom: a job runs at home although another failure
-// domain has it. Sequence: a lead that misses two hosts asks for the home's jobs, and the
-// reply has as many as it may; a job that an earlier lead knew is not among them. Cause
-// guarded against: a list that was cut off passes for complete. The job is asked for by
-// itself.
+// TestFullListOfGuestsIsNotComplete guards against a job that runs at home although another failure
+// domain has it, because a list of guests that was cut off counts as complete. A lead that misses
+// two hosts asks for the home's jobs, and the reply has the maximum number of records; a job that
+// an earlier lead knew is not among them. The lead must ask for that job separately.
 func TestFullListOfGuestsIsNotComplete(t *testing.T) {
 	const away = identifier.FailureDomain("away")
-	for told, asked := range map[int]int{1: 0, 50_000: 1} {
+	for records, want := range map[int]int{1: 0, 50_000: 1} {
 		reply := messenger.GuestReply{FailureDomain: away, Epoch: 2}
-		for number := range told {
+		for number := range records {
 			submission := identifier.SubmissionID(fmt.Sprintf("other-%d", number))
 			reply.Records = append(reply.Records, messenger.CopyRecord{Submission: submission, SpilledTo: away})
 		}
@@ -33,14 +32,14 @@
 			&dispatcher.GuestsListed{From: "away-0", Reply: reply},
 			&dispatcher.JobForwarded{From: "entry-0", Job: job, Deadline: identifier.Never, Again: true},
 		})
-		asks := 0
+		queries := 0
 		for _, output := range outputs {
 			if spill, isSpill := output.(*dispatcher.SpillJob); isSpill && spill.Request.Mode == messenger.SpillAsk {
-				asks++
+				queries++
 			}
 		}
-		if asks != asked {
-			t.Errorf("with %d told: asked %d times, want %d", told, asks, asked)
+		if queries != want {
+			t.Errorf("with %d records: %d queries, want %d", records, queries, want)
 		}
 	}
 }
--- a/pkg/dispatcher/guests.go
+++ b/pkg/dispatcher/guests.go
@@ -5,8 +5,8 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// admitGuest takes a job from the lead of its home in another failure domain. It
-// runs like a job of this one, but the answer goes to that lead.
+// admitGuest accepts a guest: a job from the lead of its home in another failure domain. It runs
+// like a job of this failure domain, but its answer goes to that lead.
 func (dispatcher *Dispatcher) admitGuest(input *SpillArrived) {
 	request := input.Request
 	if dispatcher.fromDeposedLead(input) {
@@ -14,7 +14,7 @@
 	}
 	cell := dispatcher.cells.Get(messenger.CellOf(request.Job.Submission, dispatcher.Settings.Cells))
 	if cell == nil {
-		// The sender asks again once it learns who leads the cell now.
+		// The sender retries once it learns who leads the cell now.
 		return
 	}
 	if known := dispatcher.jobs.Get(request.Job.Submission); known != nil {
@@ -28,17 +28,17 @@
 	}
 	if input.FromLost {
 		// The job may have waited on the connection since before the sender was lost, and another
-		// lead of the home, of which this host hasn't heard yet, may have run it. It would show as
-		// a task that starts in two failure domains, the second time right after a cut ends. A
-		// sender that still leads asks again; an answer could cross with that.
+		// lead of the home, not yet known here, may have run it. Its tasks would start in two failure
+		// domains, the second time right after a network cut ends. The job is not answered either: a
+		// sender that still leads retries, and an answer could cross with the retry.
 		return
 	}
 	job := dispatcher.newJob(cell, &JobForwarded{
 		Job: request.Job, Deadline: input.Deadline, Again: request.Again, Age: request.Age,
 	})
-	job.guestOf = input.From
-	job.holders = nil
-	// The home has the claim of a not-repeatable job.
+	job.homeLead = input.From
+	job.recipients = nil
+	// The home holds the claim of a not-repeatable job.
 	job.claimed = true
 	dispatcher.jobs.Put(job.spec.Submission, job)
 	if cell.ready {
@@ -46,23 +46,22 @@
 	}
 }
 
-// fromDeposedLead tells whether a job comes from a home lead that another one has
-// replaced.
+// fromDeposedLead reports whether a job comes from a home lead that another one has replaced.
 //
-// Backend servers at home refuse the starts of a deposed lead, which may be cut off and
-// not know it. Those here follow this host's epoch. If this host took the job, it would
-// run here although the new home lead has run it, or will: two starts of one task, in
-// two failure domains. Nothing is answered, as the sender can do nothing with it; it
-// loses its cell when it learns of the other lead.
+// Backend servers of the home refuse the starts of a deposed lead, which may be cut off and not
+// know that it was replaced. Backend servers here follow this host's epoch instead. If this host
+// accepted the job, it would run here although the new home lead has run it or will: one task
+// would start in two failure domains. Nothing is answered, as the sender can't use an answer; it
+// gives up its cell when it learns of the other lead.
 func (dispatcher *Dispatcher) fromDeposedLead(input *SpillArrived) bool {
 	job, epoch := input.Request.Job, input.Request.Epoch
 	key := remoteKey{failureDomain: job.Home(), cell: messenger.CellOf(job.Submission, dispatcher.Settings.Cells)}
-	return epoch != 0 && dispatcher.deposed(key, input.From, epoch)
+	return epoch != 0 && dispatcher.isDeposed(key, input.From, epoch)
 }
 
-// deposed tells whether another lead of a higher epoch than the sender's is known. A
-// sender with the highest epoch so far is known from now on.
-func (dispatcher *Dispatcher) deposed(key remoteKey, from identifier.HostID, epoch identifier.Epoch) bool {
+// isDeposed reports whether another lead with a higher epoch than the sender's is known. A sender
+// with the highest epoch so far is recorded.
+func (dispatcher *Dispatcher) isDeposed(key remoteKey, from identifier.HostID, epoch identifier.Epoch) bool {
 	known := dispatcher.remotes.Get(key)
 	if known != nil && known.host != from && epoch < known.epoch {
 		return true
@@ -75,24 +74,23 @@
 	return false
 }
 
-// answerHomeLead answers a home lead that asks for a job again; it may be a new
-// one.
+// answerHomeLead answers a home lead, possibly a new one, that asks for a job again.
 func (dispatcher *Dispatcher) answerHomeLead(known *job, input *SpillArrived) {
-	if known.guestOf == "" {
-		// The submission is at home here: the id is in use for another request.
+	if known.homeLead == "" {
+		// The submission is at home here: its id is in use for another request.
 		dispatcher.outputs.add(&AnswerSpill{To: input.From, Answer: messenger.RefuseUnknown(
 			known.spec.Submission, messenger.ReasonConflict, "the submission id is in use for another request")})
 		return
 	}
-	known.guestOf = input.From
+	known.homeLead = input.From
 	if known.answer != nil {
 		dispatcher.outputs.add(&AnswerSpill{To: input.From, Answer: known.answer})
 	}
 }
 
-// refuseGuest refuses a guest that would wait here.
+// refuseGuest returns a refusal for a guest that would have to wait here, or nil.
 func (dispatcher *Dispatcher) refuseGuest(cell *cell, job *job) *messenger.JobAnswer {
-	if job.guestOf == "" || (cell.queue.Tasks() == 0 && int(cell.free.slots()) >= len(job.tasks)) {
+	if job.homeLead == "" || (cell.queue.Tasks() == 0 && int(cell.free.slots()) >= len(job.tasks)) {
 		return nil
 	}
 	return messenger.Refuse(job.spec.Submission, messenger.ReasonQueueFull, "no slots are free for jobs of other failure domains")
--- a/pkg/dispatcher/guests_test.go
+++ b/pkg/dispatcher/guests_test.go
@@ -9,12 +9,12 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// TestDeposedLeadHandsNothingOver: symptom: a task starts at home and again in another
-// failure domain. Sequence: a home lead is cut off and replaced; the new one runs a
-// job; the old one, back and not yet aware, finds the forwarded job in its connection
-// and no backend server at hand, and hands it over. Cause: epochs fenced the starts of
-// a deposed lead at its own backend servers, not what it hands to others. A lead whose
-// successor this host doesn't know yet is served.
+// TestDeposedLeadHandsNothingOver guards against a task that starts at home and again in another
+// failure domain. A home lead is cut off and replaced, and the new lead runs a job. The old lead
+// returns, does not know of its successor yet, finds the forwarded job in its connection and no
+// usable backend server, and hands the job over. Epochs fence the starts of a deposed lead at its
+// own backend servers, so the receiving lead must check them too. A lead whose successor this host
+// doesn't know yet is still served.
 func TestDeposedLeadHandsNothingOver(t *testing.T) {
 	const home = identifier.FailureDomain("home")
 	for name, test := range map[string]struct {
@@ -52,13 +52,14 @@
 	}
 }
 
-// TestLostHostHandsNothingOver. Symptom: a task starts in two failure domains, the second time
-// right after a cut ends. Sequence: a home lead is isolated and replaced; back, it hands a job over
-// that its successor has run; the other failure domain is cut off until later and hears of the
-// successor after that job. Cause: a job was taken from a host that counted as dead.
+// TestLostHostHandsNothingOver guards against a task that starts in two failure domains, the second
+// time right after a network cut ends. A home lead is isolated and replaced. When it returns, it
+// hands over a job that its successor has run; the other failure domain was cut off longer and
+// learns of the successor only after that job. A job must not be accepted from a host that counts
+// as dead.
 //
-// Nothing is answered either: the answer "not run" to a first sending crossed with the second one,
-// which was taken, and the job ran at home as well.
+// The job must not be answered either: a "not run" for the first handover crossed with the second
+// one, which was accepted, and the job ran at home as well.
 func TestLostHostHandsNothingOver(t *testing.T) {
 	for _, again := range []bool{false, true} {
 		lead := &dispatcher.Dispatcher{Self: "entry-0", FailureDomain: fake.Domain, Settings: dispatcher.DefaultSettings()}
@@ -75,11 +76,11 @@
 			&dispatcher.SpillArrived{From: "home-0", Request: request, Deadline: identifier.Never, FromLost: true},
 		})
 		if started := startedSubmissions(outputs); len(started) != 0 {
-			t.Errorf("sent again %t: started %v", again, started)
+			t.Errorf("resent %t: started %v", again, started)
 		}
 		for _, output := range outputs {
 			if answer, isAnswer := output.(*dispatcher.AnswerSpill); isAnswer {
-				t.Errorf("sent again %t: answered %+v", again, answer.Answer)
+				t.Errorf("resent %t: answered %+v", again, answer.Answer)
 			}
 		}
 	}
--- a/pkg/dispatcher/health.go
+++ b/pkg/dispatcher/health.go
@@ -7,8 +7,8 @@
 	"github.com/stoathitch/stoathitch/pkg/selector"
 )
 
-// noteJoined tells the assessor of a server whose stream has opened.
-func (dispatcher *Dispatcher) noteJoined(input *ServerAnnounced) {
+// recordServerJoined notifies the assessor of a server whose stream has opened.
+func (dispatcher *Dispatcher) recordServerJoined(input *ServerAnnounced) {
 	dispatcher.outcomes = append(dispatcher.outcomes, &assessor.ServerJoined{
 		Server:      input.Server,
 		Incarnation: input.Incarnation,
@@ -17,9 +17,9 @@
 	})
 }
 
-// noteOutcome tells the assessor how a task ended. A cancelled task says nothing
-// about the server.
-func (dispatcher *Dispatcher) noteOutcome(job *job, server *server, answer ServerAnswer) {
+// recordOutcome notifies the assessor of how a task ended. A cancelled task says nothing about the
+// server.
+func (dispatcher *Dispatcher) recordOutcome(job *job, server *server, answer ServerAnswer) {
 	if answer.Cancelled {
 		return
 	}
@@ -31,8 +31,8 @@
 	})
 }
 
-// assess judges the servers by the outcomes of this tick, before anything is
-// started: a server that has just failed all its tasks has all its slots free.
+// assess updates the servers' allowed slots from the outcomes of this tick. It runs before
+// anything is started: a server that has just failed all its tasks has all its slots free.
 func (dispatcher *Dispatcher) assess() {
 	inputs := dispatcher.outcomes
 	dispatcher.outcomes = nil
@@ -50,7 +50,7 @@
 	}
 }
 
-// selection returns the settings of a cell's policy; each cell draws differently.
+// selection returns the settings of a cell's selection policy. Each cell has its own seed.
 func (dispatcher *Dispatcher) selection(number messenger.CellNumber) selector.Settings {
 	settings := dispatcher.Settings.Selection
 	settings.Seed += uint64(number)
@@ -60,15 +60,15 @@
 	return settings
 }
 
-// serverKey names a server as one cell sees it.
+// serverKey identifies a server as one cell sees it.
 type serverKey struct {
 	cell   messenger.CellNumber
 	server identifier.BackendServerID
 }
 
-// cellsOf calls visit for each cell whose lead may start tasks on a server: its
-// own cell, or all where cells share servers.
-func (dispatcher *Dispatcher) cellsOf(id identifier.BackendServerID, visit func(messenger.CellNumber)) {
+// eachCellOf calls visit for each cell whose lead may start tasks on a server: its own cell, or
+// all cells if they share servers.
+func (dispatcher *Dispatcher) eachCellOf(id identifier.BackendServerID, visit func(messenger.CellNumber)) {
 	if !dispatcher.Settings.SharedServers {
 		visit(messenger.CellOfServer(id, dispatcher.Settings.Cells))
 		return
@@ -78,16 +78,16 @@
 	}
 }
 
-// eachView calls visit for the server as each of its cells sees it.
+// eachView calls visit for each cell's view of a server.
 func (dispatcher *Dispatcher) eachView(id identifier.BackendServerID, visit func(*server)) {
-	dispatcher.cellsOf(id, func(number messenger.CellNumber) {
+	dispatcher.eachCellOf(id, func(number messenger.CellNumber) {
 		if server := dispatcher.servers.Get(serverKey{cell: number, server: id}); server != nil {
 			visit(server)
 		}
 	})
 }
 
-// viewOf returns the server as the cell of a submission sees it, or nil.
+// viewOf returns the server as seen by the cell of a submission, or nil.
 func (dispatcher *Dispatcher) viewOf(id identifier.BackendServerID, submission identifier.SubmissionID) *server {
 	cell := messenger.CellOf(submission, dispatcher.Settings.Cells)
 	return dispatcher.servers.Get(serverKey{cell: cell, server: id})
--- a/pkg/dispatcher/input.go
+++ b/pkg/dispatcher/input.go
@@ -10,69 +10,67 @@
 // Input is a message or event that Tick applies.
 type Input interface{ isDispatcherInput() }
 
-// LeadTaken tells that this host leads a cell from now on. Hosts are the living
-// hosts of the failure domain, this one included, that must tell which
-// submissions they know before anything starts.
+// LeadTaken reports that this host leads a cell from now on. Hosts are the live hosts of the
+// failure domain, this one included, that must list the submissions they know before anything
+// starts.
 type LeadTaken struct {
 	Cell  messenger.CellNumber
 	Epoch identifier.Epoch
 	Hosts []identifier.HostID
-	// Missing are the hosts of the failure domain that this host has seen and that
-	// do not live.
+	// Missing are the hosts of the failure domain that this host has seen and that are not live.
 	Missing []identifier.HostID
 }
 
-// LeadLost tells that another host leads a cell.
+// LeadLost reports that another host leads a cell.
 type LeadLost struct {
 	Cell messenger.CellNumber
 }
 
-// RemoteLeadKnown tells who leads a cell of another failure domain; without a
-// host, that no living host does.
+// RemoteLeadKnown reports the lead of a cell of another failure domain. An empty host means that
+// no live host leads it.
 type RemoteLeadKnown struct {
 	Notice messenger.LeadNotice
 }
 
-// RemoteReconnected tells that a new connection to a host stands.
+// RemoteReconnected reports a new connection to a host of another failure domain.
 type RemoteReconnected struct {
 	Host identifier.HostID
 }
 
-// LoadNoticed brings the load of a cell of another failure domain.
+// LoadNoticed delivers the load of a cell of another failure domain.
 type LoadNoticed struct {
 	From   identifier.HostID
 	Notice messenger.LoadNotice
 }
 
-// SpillRecorded tells that a second host remembers where submissions were handed
-// over to.
+// SpillRecorded reports that a second host has recorded where submissions are handed to.
 type SpillRecorded struct {
 	Submissions []identifier.SubmissionID
 }
 
-// SpillArrived brings a job from the lead of its home.
+// SpillArrived delivers a job from the lead of its home.
 type SpillArrived struct {
 	From     identifier.HostID
 	Request  messenger.SpillRequest
 	Deadline identifier.Moment
-	// FromLost tells that the sender doesn't count as living by the membership.
+	// FromLost reports that the sender is not live according to the membership.
 	FromLost bool
 }
 
-// SpillAnswered brings the answer of a job that was handed over.
+// SpillAnswered delivers the answer of a job that was handed over.
 type SpillAnswered struct {
 	From   identifier.HostID
 	Answer *messenger.JobAnswer
 }
 
-// GuestsQueried asks which jobs of a home this lead has had.
+// GuestsQueried asks for this cell's guests from one home: its jobs that this lead has accepted.
 type GuestsQueried struct {
 	From  identifier.HostID
 	Query messenger.GuestQuery
 }
 
-// GuestsListed brings the jobs of this home that the lead of another failure domain
-// has had.
+// GuestsListed delivers the jobs of this home that the lead of another failure domain has
+// accepted.
 type GuestsListed struct {
 	From  identifier.HostID
 	Reply messenger.GuestReply
@@ -87,72 +85,73 @@
 func (*SpillArrived) isDispatcherInput()      {}
 func (*SpillAnswered) isDispatcherInput()     {}
 
-// HostReturned tells that a host of the failure domain can be reached (again).
+// HostReturned reports that a host of the failure domain can be reached, possibly again.
 type HostReturned struct {
 	Host identifier.HostID
-	// Emptied tells that it runs a new process, and that the one before has handed
-	// nothing over.
+	// Emptied reports that the host runs a new process and that the previous one has not handed over
+	// its records.
 	Emptied bool
 }
 
-// HostGone tells that a host of the failure domain can't be reached any more.
+// HostGone reports that a host of the failure domain can't be reached any more.
 type HostGone struct {
 	Host identifier.HostID
-	// Left tells that the host itself said that it leaves.
+	// Left reports that the host itself announced that it leaves.
 	Left bool
 }
 
-// TakeoverReplied brings what one host knows of a cell's submissions.
+// TakeoverReplied delivers the records that one host has of a cell's submissions.
 type TakeoverReplied struct {
 	From  identifier.HostID
 	Reply messenger.TakeoverReply
 }
 
-// JobForwarded brings a job from the host that its caller is connected to.
+// JobForwarded delivers a job from the host that its caller is connected to.
 type JobForwarded struct {
 	From     identifier.HostID
 	Job      *messenger.Job
 	Deadline identifier.Moment
-	// Again tells that an earlier lead may have started tasks of the job.
+	// Again reports that an earlier lead may have started tasks of the job.
 	Again bool
 	// Age is how long ago the job was forwarded for the first time.
 	Age time.Duration
 }
 
-// CancelArrived asks to cancel a submission.
+// CancelArrived requests the cancellation of a submission.
 type CancelArrived struct {
 	From   identifier.HostID
 	Cancel messenger.Cancel
 }
 
-// LookupArrived asks for the answer of a submission.
+// LookupArrived requests the answer of a submission.
 type LookupArrived struct {
 	From   identifier.HostID
 	Lookup messenger.Lookup
 }
 
-// AnswerHeld tells that a second host keeps the answer of a submission.
+// AnswerHeld reports that a second host keeps the answer of a submission.
 type AnswerHeld struct {
 	Submission identifier.SubmissionID
 }
 
-// ClaimDecided answers a ClaimWanted.
+// ClaimDecided delivers the decision on a ClaimWanted.
 type ClaimDecided struct {
 	Submission identifier.SubmissionID
 	Verdict    ClaimVerdict
-	// Holder is the submission that holds the claim, when it is another.
+	// Holder is the submission that holds the claim. It may be Submission itself, which then held the
+	// claim already.
 	Holder identifier.SubmissionID
-	// HolderHome is the failure domain whose lead answers for the holder.
+	// HolderHome is the failure domain whose lead has the holder's answer.
 	HolderHome identifier.FailureDomain
 }
 
-// EvacuationsKnown tells in which failure domains nothing is started from now on.
+// EvacuationsKnown lists the failure domains in which nothing is started from now on.
 type EvacuationsKnown struct{ Evacuated messenger.Evacuated }
 
 func (*EvacuationsKnown) isDispatcherInput() {}
 
-// ServerAnnounced tells that a backend server has opened a stream. Tasks and
-// Unacknowledged are complete: what is absent was not started there.
+// ServerAnnounced reports that a backend server has opened a stream. Tasks and Unacknowledged are
+// complete: a task that is in neither was not started there.
 type ServerAnnounced struct {
 	Server      identifier.BackendServerID
 	Incarnation uint64
@@ -165,50 +164,50 @@
 	Unacknowledged []ServerAnswer
 }
 
-// ServerReported brings a backend server's complete list of a cell's tasks under
-// the epoch that it has accepted.
+// ServerReported delivers a backend server's complete list of a cell's tasks under the epoch that
+// the server has accepted.
 type ServerReported struct {
 	Server         identifier.BackendServerID
 	Cell           messenger.CellNumber
 	Epoch          identifier.Epoch
 	Tasks          []TaskKey
 	Unacknowledged []ServerAnswer
-	// Acknowledged are the submissions of which an answer was acknowledged there within the
-	// answer retention, for a lead that asked for them.
+	// Acknowledged are the submissions for which an answer was acknowledged there within the answer
+	// retention, for a lead that requested them.
 	Acknowledged []messenger.SubmissionDigest
-	// TellsAcknowledged tells that they are listed.
+	// TellsAcknowledged reports that the list Acknowledged is filled in.
 	TellsAcknowledged bool
 }
 
-// ServerHeartbeat tells that a backend server lives and how many slots are busy.
+// ServerHeartbeat reports that a backend server is live and how many of its slots are busy.
 type ServerHeartbeat struct {
 	Server identifier.BackendServerID
 	Busy   identifier.Slots
 }
 
-// ServerLeaving tells that a backend server takes no new start.
+// ServerLeaving reports that a backend server accepts no new starts.
 type ServerLeaving struct {
 	Server identifier.BackendServerID
 }
 
-// ServerLost tells that the stream of a backend server has ended.
+// ServerLost reports that the stream of a backend server has ended.
 type ServerLost struct {
 	Server identifier.BackendServerID
 }
 
-// TasksRefused brings refusals: these starts did not happen and never will.
+// TasksRefused delivers refusals: these starts did not happen and never will.
 type TasksRefused struct {
 	Server   identifier.BackendServerID
 	Refusals []ServerRefusal
 }
 
-// TasksAnswered brings the outcomes of tasks that ran.
+// TasksAnswered delivers the outcomes of tasks that ran.
 type TasksAnswered struct {
 	Server  identifier.BackendServerID
 	Answers []ServerAnswer
 }
 
-// TaskKey names a task among all submissions.
+// TaskKey identifies a task among all submissions.
 type TaskKey struct {
 	Submission identifier.SubmissionID
 	Task       identifier.TaskID
--- a/pkg/dispatcher/limits.go
+++ b/pkg/dispatcher/limits.go
@@ -10,30 +10,26 @@
 	"github.com/stoathitch/stoathitch/pkg/queuer"
 )
 
-// LimitSettings says who may queue how much, and what is refused early.
+// LimitSettings configures the teams' shares of the queue and what is refused at admission.
 type LimitSettings struct {
 	Limiter   limiter.Settings
 	Estimator estimator.Settings
 	Queue     queuer.Settings
 	// Order ranks the jobs of one team.
 	Order queuer.Order
-	// QueueWaitRatio bounds the expected wait of a job for its first slot, as a
-	// share of the time that the job takes by itself. What would wait longer is
-	// refused at admission.
+	// QueueWaitRatio bounds the expected wait of a job for its first slot, as a share of the time that
+	// the job takes by itself. A job that would wait longer is refused at admission.
 	QueueWaitRatio float64
-	// QueuePatience is the share of the time until waiting jobs are due that a new
-	// job may make them wait, so that a due time can rank jobs further apart than
-	// they may wait.
+	// QueuePatience is the share of the time until waiting jobs are due by which a new job may delay
+	// them. It lets due times rank jobs further apart than the jobs may wait.
 	QueuePatience float64
-	// QueueWaitFloor is a wait that is never too long.
+	// QueueWaitFloor is a wait that is always accepted.
 	QueueWaitFloor time.Duration
-	// RefusalsPerTask is how often the starts of one task may be refused before
-	// its job is given up.
+	// RefusalsPerTask is how often the starts of one task may be refused before its job fails.
 	RefusalsPerTask int
-	// NoServerWait is how long jobs wait while no backend server is usable before
-	// they are refused.
+	// NoServerWait is how long jobs wait without any usable backend server before they are refused.
 	NoServerWait time.Duration
-	// Initial holds until the first LimitsConfigured arrives.
+	// Initial applies until the first LimitsConfigured arrives.
 	Initial LimitsConfigured
 }
 
@@ -52,12 +48,12 @@
 	}
 }
 
-// ClassLimits is the weight of one urgency class.
+// ClassLimits is the weight and priority of one urgency class.
 type ClassLimits struct {
 	Class identifier.ClassName
 	// Weight divides what a team is charged for the slot time of the class.
 	Weight int
-	// Urgent jobs go before those of the same team that are not.
+	// Urgent jobs are started before the team's other jobs.
 	Urgent bool
 }
 
@@ -69,7 +65,7 @@
 
 func (*LimitsConfigured) isDispatcherInput() {}
 
-// configureLimits takes over new limits. Each cell enforces its part of them.
+// configureLimits applies new limits. Each cell enforces its share of them.
 func (dispatcher *Dispatcher) configureLimits(input *LimitsConfigured) {
 	dispatcher.teamLimits = input.Teams
 	dispatcher.classes = make(map[identifier.ClassName]ClassLimits, len(input.Classes))
@@ -77,14 +73,14 @@
 		dispatcher.classes[class.Class] = class
 	}
 	dispatcher.cells.Each(func(_ messenger.CellNumber, cell *cell) bool {
-		dispatcher.limitCell(cell)
+		dispatcher.configureCellLimits(cell)
 		return true
 	})
 }
 
-// limitCell gives a cell its part of the teams' limits: submissions are spread
-// over the cells by hash, so each cell has the same part.
-func (dispatcher *Dispatcher) limitCell(cell *cell) {
+// configureCellLimits sets a cell's share of the teams' limits. Submissions are spread over the
+// cells by hash, so all cells have equal shares.
+func (dispatcher *Dispatcher) configureCellLimits(cell *cell) {
 	cells := max(dispatcher.Settings.Cells, 1)
 	parts := make([]limiter.TeamLimits, len(dispatcher.teamLimits))
 	for index, limits := range dispatcher.teamLimits {
@@ -98,12 +94,12 @@
 	}
 }
 
-// prepareLimits gives a new cell its queue and its limits.
+// prepareLimits creates the queue and the limiter of a new cell.
 func (dispatcher *Dispatcher) prepareLimits(cell *cell) {
 	settings := dispatcher.Settings.Limits
 	cell.queue = &queuer.Queue[*job, queuer.Order]{Settings: settings.Queue, Order: settings.Order}
 	cell.limiter = &limiter.Limiter{Settings: settings.Limiter}
 	cell.capacityStale = true
-	cell.emptySince = identifier.Never
-	dispatcher.limitCell(cell)
+	cell.noServerSince = identifier.Never
+	dispatcher.configureCellLimits(cell)
 }
--- a/pkg/dispatcher/limits_test.go
+++ b/pkg/dispatcher/limits_test.go
@@ -13,7 +13,7 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// equalRuns returns run times of a job of so many tasks.
+// equalRuns returns the run times of a job with the given number of equal tasks.
 func equalRuns(tasks int, runTime time.Duration) []time.Duration {
 	runTimes := make([]time.Duration, tasks)
 	for index := range runTimes {
@@ -22,7 +22,7 @@
 	return runTimes
 }
 
-// submit hands a job with its true run times declared to the lead now.
+// submit submits a job, with its true run times declared, to the lead now.
 func submit(cell *fake.Cell, id string, team identifier.TeamID, runTimes []time.Duration) *fake.Record {
 	declared := func(actual time.Duration) time.Duration { return actual }
 	return cell.Submit(newJob(id, team, "counter", runTimes, declared), identifier.Never, runTimes)
@@ -40,7 +40,7 @@
 	}
 	for team, running := range cell.Running {
 		if inFlight := cell.Lead().InFlight(team); running == 0 && inFlight != 0 {
-			t.Errorf("%d tasks of team %s count as running and none does", inFlight, team)
+			t.Errorf("%d tasks of team %s count as running and none is", inFlight, team)
 		}
 	}
 }
@@ -53,9 +53,9 @@
 	}
 }
 
-// TestRefusedStartsGoElsewhere: symptom: jobs fail, or starts grow without bound,
-// when a backend server refuses starts (row 2). Sequence: one of 17 refuses every
-// start for 20 s. Cause: a refused start is given up, or repeated without budget.
+// TestRefusedStartsGoElsewhere guards against jobs that fail, or starts that grow without bound,
+// when a backend server refuses starts (row 2). This happens if a refused start is given up, or
+// retried without a budget. One of 17 servers refuses every start for 20 s.
 func TestRefusedStartsGoElsewhere(t *testing.T) {
 	cell := newCell()
 	cell.Refuse = func(server int, _ dispatcher.TaskKey) dispatcher.RefusalKind {
@@ -80,10 +80,10 @@
 	}
 }
 
-// TestRefusedEverywhere: symptom: a job whose starts are all refused is answered
-// "failed", or never, though it truly did not run; repeats flood the backend
-// servers. Sequence: every start is refused for 20 s, 100 jobs come. Cause: a
-// refused start counts as a start, and repeats have no budget.
+// TestRefusedEverywhere guards against a job that is answered "failed", or never, although all its
+// starts were refused and it did not run, and against retries that flood the backend servers. This
+// happens if a refused start counts as a start, or retries have no budget. Every start is refused
+// for 20 s while 100 jobs arrive.
 func TestRefusedEverywhere(t *testing.T) {
 	cell := newCell()
 	cell.Refuse = func(int, dispatcher.TaskKey) dispatcher.RefusalKind { return dispatcher.RefusalNoFreeSlot }
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestCancellationWave: symptom: cancelled work still takes slots, or counts for
-// its team (row 13). Sequence: a team fills the slots and the queue and cancels
-// everything; another job comes. Cause: cancelled tasks stay queued or in flight.
+// TestCancellationWave guards against cancelled work that still takes slots or counts for its team
+// (row 13), because cancelled tasks stay queued or in flight. A team fills the slots and the queue
+// and cancels everything; then another job arrives.
 func TestCancellationWave(t *testing.T) {
 	cell := newCell()
 	cell.Open()
@@ -122,8 +122,8 @@
 		wave = append(wave, submit(cell, fmt.Sprintf("w-%d", number), "a", equalRuns(10, 10*time.Second)))
 	}
 	runFor(cell, time.Second)
-	if cell.MostRunning["a"] != 100 {
-		t.Errorf("%d tasks of the team ran at once, want its limit of 100", cell.MostRunning["a"])
+	if cell.MaxRunning["a"] != 100 {
+		t.Errorf("%d tasks of the team ran at once, want its limit of 100", cell.MaxRunning["a"])
 	}
 	for _, record := range wave {
 		cell.Cancel(record)
@@ -145,10 +145,10 @@
 	checkPromises(t, cell)
 }
 
-// TestStragglersHoldOnlyTheirSlot: symptom: short jobs wait behind a straggler, or
-// it starts a second time (row 14). Sequence: 130 of 136 slots hold tasks that
-// run 200 times longer than all others did; short jobs of the same team come.
-// Cause: the estimates, the fair share or the wait are thrown off by stragglers.
+// TestStragglersHoldOnlyTheirSlot guards against short jobs that wait behind a straggler, and
+// against a straggler that starts a second time (row 14), because stragglers distort the estimates,
+// the fair share or the expected wait. 130 of 136 slots hold tasks that run 200 times longer than
+// all others did; then short jobs of the same team arrive.
 func TestStragglersHoldOnlyTheirSlot(t *testing.T) {
 	cell := newCell()
 	cell.Open()
@@ -176,9 +176,9 @@
 	}
 }
 
-// TestDeadlinesByWhatWasObserved: symptom: jobs are refused, or admitted and then
-// fail, because of what they declare (row 15). Sequence: a team's tasks run
-// 400 ms whatever they declare; then come jobs with deadlines.
+// TestDeadlinesByWhatWasObserved guards against jobs that are refused, or admitted and then fail,
+// because of the run times that they declare (row 15). A team's tasks run 400 ms whatever they
+// declare; then jobs with deadlines arrive.
 func TestDeadlinesByWhatWasObserved(t *testing.T) {
 	cell := newCell()
 	cell.Open()
@@ -201,8 +201,8 @@
 	checkAnswer(t, understated, messenger.OutcomeRefused, messenger.ReasonDeadlineUnreachable, true)
 }
 
-// TestNeverRunnable: symptom: a caller waits for a job that can't ever run (row
-// 16). Each is told at once, as not run, with what would run.
+// TestNeverRunnable guards against a caller that waits for a job that can never run (row 16). Each
+// such job must be refused at once, as not run, with a request that would run.
 func TestNeverRunnable(t *testing.T) {
 	cell := newCell()
 	cell.Settings.QueuedTasks = 500
@@ -216,14 +216,14 @@
 	for record, nearest := range map[*fake.Record]string{wide: "up to 500 tasks would run", misplaced: "with it in may-run the job would run"} {
 		checkAnswer(t, record, messenger.OutcomeRefused, messenger.ReasonNeverRunnable, true)
 		if answer := record.Answer(); answer != nil && !strings.Contains(answer.Detail, nearest) {
-			t.Errorf("%q does not name the nearest thing", answer.Detail)
+			t.Errorf("%q does not name the closest request that would run", answer.Detail)
 		}
 	}
 }
 
-// TestNoServerLeft: symptom: jobs without a deadline wait for ever when the last
-// backend server has left. Sequence: all leave; jobs come at once and later. What
-// waited and what comes later is refused as not run, and told when to come back.
+// TestNoServerLeft guards against jobs without a deadline that wait for ever when the last backend
+// server has left. All servers leave; jobs arrive at once and later. Both the waiting and the later
+// jobs must be refused as not run, with a time after which to retry.
 func TestNoServerLeft(t *testing.T) {
 	cell := newCell()
 	cell.Open()
@@ -239,14 +239,14 @@
 		checkAnswer(t, record, messenger.OutcomeRefused, messenger.ReasonNoBackendServer, true)
 	}
 	if late.AnsweredAt != late.ArrivedAt {
-		t.Errorf("the late job was told after %v", late.AnsweredAt.Sub(late.ArrivedAt))
+		t.Errorf("the late job was answered after %v", late.AnsweredAt.Sub(late.ArrivedAt))
 	}
 }
 
-// TestUrgentFirstWithoutStarvation: symptom: an urgent job waits behind others of
-// its team, or the others never run while urgent ones keep coming. Sequence: one
-// slot; a patient job waits while an urgent one comes every 100 ms, each of 100 ms.
-// Cause: no order by class, or a strict one.
+// TestUrgentFirstWithoutStarvation guards against an urgent job that waits behind others of its
+// team, and against others that never run while urgent jobs keep arriving. This happens without an
+// order by class, or with a strict one. There is one slot; a patient job waits while an urgent one
+// arrives every 100 ms, each running 100 ms.
 func TestUrgentFirstWithoutStarvation(t *testing.T) {
 	cell := &fake.Cell{Settings: dispatcher.DefaultSettings(), Servers: 1, Slots: 1}
 	cell.Settings.Limits.QueueWaitRatio = 1000
--- a/pkg/dispatcher/load_test.go
+++ b/pkg/dispatcher/load_test.go
@@ -35,13 +35,12 @@
 	sent     int
 }
 
-// widths are drawn from, each as likely: a mean of 8.6 tasks a job.
+// widths are the possible numbers of tasks of a job, all equally likely, with a mean of 8.6.
 var widths = []int{1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 10, 10, 10, 10, 10, 10, 50, 50}
 
 func (load *load) start() { load.cell.At(load.cell.Now.Add(load.gap()), load.arrive) }
 
-// gap draws the time to the next job. Run times are 50 ms to 1 s, 320 ms on
-// average.
+// gap draws the time to the next job. Run times are 50 ms to 1 s, 320 ms on average.
 func (load *load) gap() time.Duration {
 	const meanWork = 8.6 * 0.32
 	return time.Duration(load.random.ExpFloat64() * meanWork / load.slots * float64(time.Second))
@@ -84,7 +83,7 @@
 	return job
 }
 
-// summary is what became of the jobs that arrived in a span of time.
+// summary holds the outcomes of the jobs that arrived in a span of time.
 type summary struct {
 	jobs, refused int
 	stretches     []float64
--- a/pkg/dispatcher/lookups.go
+++ b/pkg/dispatcher/lookups.go
@@ -8,7 +8,7 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// LookupAnswered tells a host what this lead knows of a submission.
+// LookupAnswered sends a host what this lead knows of a submission.
 type LookupAnswered struct {
 	To    identifier.HostID
 	Reply messenger.LookupReply
@@ -16,24 +16,23 @@
 
 func (*LookupAnswered) isDispatcherOutput() {}
 
-// asker is a host that waits for the end of a submission that it looked up.
-type asker struct {
+// waitingLookup is a host that waits for the end of a submission that it looked up.
+type waitingLookup struct {
 	host     identifier.HostID
 	question messenger.QuestionNumber
 }
 
-// lookUp answers a host that asks for a submission, for its own caller only. A
-// submission that still runs is answered again when it ends. While the cell is
-// taken over nobody can say that a submission is unknown; the host asks again. A job
-// of another failure domain is answered by its home alone: what is refused here may
-// run there.
+// lookUp answers a host that asks for a submission, on behalf of the submission's own caller only.
+// A submission that is still running is answered again when it ends. During a takeover no host can
+// say that a submission is unknown, so the host has to retry. A job of another failure domain is
+// answered by its home only: a job that is refused here may run there.
 func (dispatcher *Dispatcher) lookUp(input *LookupArrived) {
 	lookup := input.Lookup
 	cell := dispatcher.cells.Get(messenger.CellOf(lookup.Submission, dispatcher.Settings.Cells))
 	if cell == nil {
 		return
 	}
-	if job := dispatcher.jobs.Get(lookup.Submission); job != nil && job.guestOf == "" {
+	if job := dispatcher.jobs.Get(lookup.Submission); job != nil && job.homeLead == "" {
 		dispatcher.lookUpJob(job, input)
 		return
 	}
@@ -49,7 +48,7 @@
 			Submission: lookup.Submission, ReplyTo: input.From, Question: lookup.Question,
 		}})
 	default:
-		// The job is known and goes on once its caller's host forwards it again.
+		// The job is known and continues once its caller's host forwards it again.
 		dispatcher.replyLookup(input, true, nil)
 	}
 }
@@ -60,9 +59,9 @@
 		return
 	}
 	dispatcher.replyLookup(input, true, job.answer)
-	asking := asker{host: input.From, question: input.Lookup.Question}
-	if job.answer == nil && !slices.Contains(job.askers, asking) {
-		job.askers = append(job.askers, asking)
+	waiting := waitingLookup{host: input.From, question: input.Lookup.Question}
+	if job.answer == nil && !slices.Contains(job.waitingLookups, waiting) {
+		job.waitingLookups = append(job.waitingLookups, waiting)
 	}
 }
 
@@ -71,24 +70,24 @@
 	dispatcher.outputs.add(&LookupAnswered{To: input.From, Reply: reply})
 }
 
-// answerAskers tells the answer of a finished job to those who looked it up.
-func (dispatcher *Dispatcher) answerAskers(job *job) {
-	for _, asker := range job.askers {
-		reply := messenger.LookupReply{Question: asker.question, Found: true, Answer: job.answer}
-		dispatcher.outputs.add(&LookupAnswered{To: asker.host, Reply: reply})
+// answerLookups sends the answer of a finished job to the hosts that looked it up.
+func (dispatcher *Dispatcher) answerLookups(job *job) {
+	for _, waiting := range job.waitingLookups {
+		reply := messenger.LookupReply{Question: waiting.question, Found: true, Answer: job.answer}
+		dispatcher.outputs.add(&LookupAnswered{To: waiting.host, Reply: reply})
 	}
-	job.askers = nil
+	job.waitingLookups = nil
 }
 
-// recoveredSweep is how often records that a takeover brought are looked through
-// for those whose retention is over.
-const recoveredSweep = time.Minute
+// recoveredSweepInterval is how often records from a takeover are checked for the end of their
+// retention.
+const recoveredSweepInterval = time.Minute
 
 // longestJob is how long the record of an unanswered job without a deadline is kept.
 const longestJob = time.Hour
 
-// retentionOf returns until when a recovered record is kept.
-func (dispatcher *Dispatcher) retentionOf(record messenger.CopyRecord) identifier.Moment {
+// retainedUntil returns until when a recovered record is kept.
+func (dispatcher *Dispatcher) retainedUntil(record messenger.CopyRecord) identifier.Moment {
 	kept := dispatcher.Settings.AnswerRetention
 	switch {
 	case record.Answered:
@@ -100,8 +99,8 @@
 	return dispatcher.now.Add(kept)
 }
 
-// sweepRecovered forgets the recovered records whose retention is over; without it
-// each takeover would add to them for ever.
+// sweepRecovered removes the recovered records whose retention is over. Otherwise they would
+// accumulate with each takeover.
 func (dispatcher *Dispatcher) sweepRecovered(number messenger.CellNumber) {
 	cell := dispatcher.cells.Get(number)
 	if cell == nil {
@@ -112,11 +111,11 @@
 			delete(cell.recovered, submission)
 		}
 	}
-	dispatcher.sweepLater(cell)
+	dispatcher.scheduleSweep(cell)
 }
 
-func (dispatcher *Dispatcher) sweepLater(cell *cell) {
+func (dispatcher *Dispatcher) scheduleSweep(cell *cell) {
 	if len(cell.recovered) > 0 {
-		dispatcher.timers.Set(timerKey{kind: timerSweep, cell: cell.number}, dispatcher.now.Add(recoveredSweep))
+		dispatcher.timers.Set(timerKey{kind: timerSweep, cell: cell.number}, dispatcher.now.Add(recoveredSweepInterval))
 	}
 }
--- a/pkg/dispatcher/output.go
+++ b/pkg/dispatcher/output.go
@@ -5,10 +5,11 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// Output is a message that the owner of the dispatcher sends on.
+// Output is a message that the caller of Tick must send.
 type Output interface{ isDispatcherOutput() }
 
-// ToServer is the batch of one tick for one backend server.
+// ToServer is the batch of one tick for one backend server. Received are the tasks whose answers
+// are acknowledged.
 type ToServer struct {
 	Server   identifier.BackendServerID
 	Lead     *Lead
@@ -17,11 +18,11 @@
 	Received []TaskKey
 }
 
-// Lead tells a backend server who leads its cell.
+// Lead notifies a backend server of the lead of its cell.
 type Lead struct {
 	Cell  messenger.CellNumber
 	Epoch identifier.Epoch
-	// MayMissRecords asks for the submissions whose answers were acknowledged.
+	// MayMissRecords requests the list of submissions whose answers were acknowledged.
 	MayMissRecords bool
 }
 
@@ -35,7 +36,7 @@
 	Deadline identifier.Moment
 }
 
-// JobAnswered carries the one answer of a submission to a host that waits for it.
+// JobAnswered carries the only answer of a submission to a host that waits for it.
 type JobAnswered struct {
 	To     identifier.HostID
 	Answer *messenger.JobAnswer
@@ -47,7 +48,7 @@
 	Request messenger.AnswerRequest
 }
 
-// ClaimWanted asks the keepers for the claim of a not-repeatable job.
+// ClaimWanted requests the claim of a not-repeatable job from the keepers.
 type ClaimWanted struct {
 	Submission identifier.SubmissionID
 	Caller     identifier.CallerID
@@ -60,8 +61,8 @@
 	Query messenger.TakeoverQuery
 }
 
-// EpochSeen tells that a backend server has accepted a higher epoch than this
-// host's: another host leads the cell.
+// EpochSeen reports that a backend server has accepted a higher epoch than this host's: another
+// host leads the cell.
 type EpochSeen struct {
 	Cell  messenger.CellNumber
 	Epoch identifier.Epoch
@@ -73,8 +74,8 @@
 	Notice messenger.LoadNotice
 }
 
-// RecordSpill asks a second host, one of Holders or any other of the failure
-// domain, to remember that a job is about to be handed over.
+// RecordSpill asks a second host, one of Holders or any other of the failure domain, to record
+// that a job is about to be handed over.
 type RecordSpill struct {
 	Holders []identifier.HostID
 	Record  messenger.CopyRecord
@@ -92,7 +93,7 @@
 	Answer *messenger.JobAnswer
 }
 
-// ConfirmSpill tells a lead that the job's home holds its answer.
+// ConfirmSpill notifies a lead that the job's home holds its answer.
 type ConfirmSpill struct {
 	To         identifier.HostID
 	Submission identifier.SubmissionID
@@ -104,13 +105,14 @@
 	Cancel messenger.Cancel
 }
 
-// GuestsWanted asks the lead of another failure domain for this home's jobs.
+// GuestsWanted asks the lead of another failure domain for the jobs of this home that it has
+// accepted.
 type GuestsWanted struct {
 	To    identifier.HostID
 	Query messenger.GuestQuery
 }
 
-// GuestsTold tells a home lead which of its jobs this lead has had.
+// GuestsTold lists for a home lead the jobs of its cell that this lead has accepted.
 type GuestsTold struct {
 	To    identifier.HostID
 	Reply messenger.GuestReply
@@ -131,7 +133,7 @@
 func (*TakeoverWanted) isDispatcherOutput() {}
 func (*EpochSeen) isDispatcherOutput()      {}
 
-// outbox gathers the outputs of one tick, with one batch for each backend server.
+// outbox collects the outputs of one tick, with one batch for each backend server.
 type outbox struct {
 	outputs  []Output
 	byServer map[serverKey]*ToServer
--- a/pkg/dispatcher/overload.go
+++ b/pkg/dispatcher/overload.go
@@ -10,18 +10,17 @@
 )
 
 const (
-	// retryAfterMin and retryAfterMax bound what a refusal names as the time
-	// after which another try is worth it.
+	// retryAfterMin and retryAfterMax bound the time after which a refusal suggests a retry.
 	retryAfterMin = 20 * time.Millisecond
 	retryAfterMax = 5 * time.Second
 )
 
-// refuseAtAdmission returns a refusal for a job that can't be served in time, or
-// nil. What is refused here has not started, so every refusal says "not run".
+// refuseAtAdmission returns a refusal for a job that can't be served in time, or nil. Nothing of a
+// job that is refused here has started, so every refusal says "not run".
 //
-// Without it a burst fills the queue, every admitted job waits behind work that
-// will miss its purpose too, and the queue is still full when the burst is over.
-// It would show as a response time that grows with the length of the burst.
+// Without these checks a burst fills the queue, every admitted job waits behind work that will be
+// too late as well, and the queue is still full when the burst is over. The response time then
+// grows with the length of the burst.
 func (dispatcher *Dispatcher) refuseAtAdmission(cell *cell, job *job) *messenger.JobAnswer {
 	for _, check := range [...]admissionCheck{
 		(*Dispatcher).refuseNeverRunnable,
@@ -39,8 +38,8 @@
 
 type admissionCheck func(dispatcher *Dispatcher, cell *cell, job *job) *messenger.JobAnswer
 
-// refuseNeverRunnable refuses what no state of the cell could ever serve, with
-// the nearest thing that would be.
+// refuseNeverRunnable refuses a job that could not be served in any state of the cell. The detail
+// names the closest request that could be.
 func (dispatcher *Dispatcher) refuseNeverRunnable(_ *cell, job *job) *messenger.JobAnswer {
 	bound := dispatcher.Settings.QueuedTasks
 	if len(job.tasks) > bound {
@@ -55,9 +54,9 @@
 	return nil
 }
 
-// refuseWithoutServers refuses while no backend server has been usable for long.
+// refuseWithoutServers refuses a job when no backend server has been usable for NoServerWait.
 func (dispatcher *Dispatcher) refuseWithoutServers(cell *cell, job *job) *messenger.JobAnswer {
-	if !dispatcher.emptyForLong(cell) {
+	if !dispatcher.noServerForLong(cell) {
 		return nil
 	}
 	refusal := messenger.Refuse(job.spec.Submission, messenger.ReasonNoBackendServer, dispatcher.noServerDetail())
@@ -72,21 +71,21 @@
 	return "no backend server of failure domain " + string(dispatcher.FailureDomain) + " takes tasks now"
 }
 
-// emptyForLong tells whether no backend server of the cell has been usable for
-// longer than jobs wait for one.
-func (dispatcher *Dispatcher) emptyForLong(cell *cell) bool {
+// noServerForLong reports whether no backend server of the cell has been usable for longer than
+// jobs wait for one.
+func (dispatcher *Dispatcher) noServerForLong(cell *cell) bool {
 	if dispatcher.evacuated() {
 		return true
 	}
 	if dispatcher.capacity(cell) > 0 {
 		return false
 	}
-	return cell.emptySince.Add(dispatcher.Settings.Limits.NoServerWait).Due(dispatcher.now)
+	return cell.noServerSince.Add(dispatcher.Settings.Limits.NoServerWait).Due(dispatcher.now)
 }
 
-// refuseFullQueue bounds the queued tasks. Beyond the bound a team may still
-// queue up to its share of it, so that a flood of another team keeps none out;
-// twice the bound is never passed.
+// refuseFullQueue bounds the queued tasks. Beyond the bound a team may still queue up to its share
+// of it, so that a flood from one team does not shut out the others. The total never exceeds twice
+// the bound.
 func (dispatcher *Dispatcher) refuseFullQueue(cell *cell, job *job) *messenger.JobAnswer {
 	bound := dispatcher.Settings.QueuedTasks
 	total := cell.queue.Tasks() + len(job.tasks)
@@ -105,13 +104,13 @@
 	return refusal
 }
 
-// refuseLongWait refuses a job whose expected wait is too long for its size, that
-// would make others of its team wait too long, or that can't meet its deadline.
+// refuseLongWait refuses a job whose expected wait is too long for its size, that would delay
+// other jobs of its team too much, or that can't meet its deadline.
 func (dispatcher *Dispatcher) refuseLongWait(cell *cell, job *job) *messenger.JobAnswer {
 	slots := dispatcher.capacity(cell)
 	if slots == 0 {
-		// How long it takes until a backend server is there can't be told; jobs
-		// wait for it no longer than NoServerWait.
+		// It is unknown when a backend server will be available; jobs wait for one no longer than
+		// NoServerWait.
 		return nil
 	}
 	limits := cell.limiter.Limits(dispatcher.now, job.spec.Team)
@@ -121,9 +120,9 @@
 		Weight:   max(limits.Weight, 1),
 		Urgent:   job.entry.Urgent,
 		Due:      job.entry.Due,
-		Work:     job.measured.work,
-		Ideal:    job.measured.ideal,
-		Allowed:  max(time.Duration(float64(job.measured.ideal)*settings.QueueWaitRatio), settings.QueueWaitFloor),
+		Work:     job.estimate.work,
+		Ideal:    job.estimate.ideal,
+		Allowed:  max(time.Duration(float64(job.estimate.ideal)*settings.QueueWaitRatio), settings.QueueWaitFloor),
 		Patience: settings.QueuePatience,
 		Slots:    slots,
 		Ceiling:  limits.TasksInFlight,
@@ -134,15 +133,15 @@
 	if !verdict.Admitted {
 		return refuseWait(job, verdict)
 	}
-	if job.measured.learned && dispatcher.now.Add(verdict.Wait+job.measured.ideal) > job.deadline {
+	if job.estimate.learned && dispatcher.now.Add(verdict.Wait+job.estimate.ideal) > job.deadline {
 		return dispatcher.refuseDeadline(job, verdict.Wait)
 	}
 	return nil
 }
 
-// startsAtOnce tells whether the free slots take all that is queued and the job.
-// What came in the same tick is queued although it waits for nothing; counted as
-// waiting it would get jobs refused beside free slots.
+// startsAtOnce reports whether the free slots suffice for everything queued and the job. Tasks that
+// arrived in the same tick are queued although they will start at once. If they counted as waiting,
+// jobs would be refused although slots are free.
 func (dispatcher *Dispatcher) startsAtOnce(cell *cell, job *job, ceiling int) bool {
 	if cell.queue.Tasks()+len(job.tasks) > int(cell.free.slots()) {
 		return false
@@ -155,7 +154,7 @@
 func refuseWait(job *job, verdict queuer.Verdict) *messenger.JobAnswer {
 	refusal := messenger.Refuse(job.spec.Submission, messenger.ReasonQueueFull, fmt.Sprintf(
 		"the job would wait about %v for a slot and takes about %v itself; the team's share of the slots is taken",
-		verdict.Wait.Round(time.Millisecond), job.measured.ideal.Round(time.Millisecond)))
+		verdict.Wait.Round(time.Millisecond), job.estimate.ideal.Round(time.Millisecond)))
 	refusal.RetryAfter = clampRetryAfter(verdict.RetryAfter)
 	return refusal
 }
@@ -164,15 +163,15 @@
 	left := job.deadline.Sub(dispatcher.now)
 	refusal := messenger.Refuse(job.spec.Submission, messenger.ReasonDeadlineUnreachable, fmt.Sprintf(
 		"%v are left until the deadline; such jobs take about %v and would wait about %v; a deadline of %v would be met",
-		left.Round(time.Millisecond), job.measured.ideal.Round(time.Millisecond), wait.Round(time.Millisecond),
-		(wait+2*job.measured.ideal).Round(time.Millisecond)))
+		left.Round(time.Millisecond), job.estimate.ideal.Round(time.Millisecond), wait.Round(time.Millisecond),
+		(wait+2*job.estimate.ideal).Round(time.Millisecond)))
 	if wait > 0 {
 		refusal.RetryAfter = clampRetryAfter(wait)
 	}
 	return refusal
 }
 
-// refuseOverRate comes last, because it charges the team for what is admitted.
+// refuseOverRate must be the last check, because it charges the team for the admitted job.
 func (dispatcher *Dispatcher) refuseOverRate(cell *cell, job *job) *messenger.JobAnswer {
 	wait, admitted := cell.limiter.Admit(dispatcher.now, job.spec.Team, len(job.tasks))
 	if admitted {
@@ -188,8 +187,8 @@
 	return min(max(wait, retryAfterMin), retryAfterMax)
 }
 
-// capacity returns the slots of the cell's usable backend servers, busy or not, as
-// far as their health allows to use them.
+// capacity returns the number of slots of the cell's usable backend servers, busy or not, as far
+// as the servers' health allows their use.
 func (dispatcher *Dispatcher) capacity(cell *cell) identifier.Slots {
 	if !cell.capacityStale {
 		return cell.slots
@@ -203,23 +202,23 @@
 		return true
 	})
 	if cell.slots > 0 {
-		cell.emptySince = identifier.Never
+		cell.noServerSince = identifier.Never
 		dispatcher.timers.Clear(timerKey{kind: timerNoServer, cell: cell.number})
-	} else if cell.emptySince == identifier.Never {
-		cell.emptySince = dispatcher.now
+	} else if cell.noServerSince == identifier.Never {
+		cell.noServerSince = dispatcher.now
 		due := dispatcher.now.Add(dispatcher.Settings.Limits.NoServerWait)
 		dispatcher.timers.Set(timerKey{kind: timerNoServer, cell: cell.number}, due)
 	}
 	return cell.slots
 }
 
-// serving tells whether the server takes tasks whenever it has a free slot.
+// serving reports whether the server accepts tasks whenever it has a free slot.
 func (server *server) serving() bool {
 	return server.connected && server.fenced && !server.silent && !server.leaving && !server.evacuated
 }
 
-// noteCapacity has the capacities counted again after what may change them.
-func (dispatcher *Dispatcher) noteCapacity(input Input) {
+// invalidateCapacity has the capacity recomputed after inputs that may change it.
+func (dispatcher *Dispatcher) invalidateCapacity(input Input) {
 	switch input := input.(type) {
 	case *ServerAnnounced, *ServerReported, *ServerLeaving, *ServerLost, *TasksRefused:
 		dispatcher.markCapacityStale()
@@ -239,8 +238,8 @@
 	})
 }
 
-// refuseQueued ends the jobs that wait although no backend server has been usable
-// for long. Those of which nothing can have started are refused as not run.
+// refuseQueued ends the jobs that wait although no backend server has been usable for long. Jobs of
+// which nothing can have started are refused as not run.
 func (dispatcher *Dispatcher) refuseQueued(cell *cell) {
 	for entry := cell.queue.Next(); entry != nil; entry = cell.queue.Next() {
 		dispatcher.failJob(entry.Payload, messenger.ReasonNoBackendServer, dispatcher.noServerDetail())
--- a/pkg/dispatcher/remotes.go
+++ b/pkg/dispatcher/remotes.go
@@ -7,20 +7,20 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// SpillSettings says when a job is handed to another failure domain.
+// SpillSettings configures when a job is handed to another failure domain.
 type SpillSettings struct {
-	// RoundTrip and Margin are by how much the wait at home must be longer.
+	// RoundTrip and Margin together are the wait at home above which a job is handed over.
 	RoundTrip time.Duration
 	Margin    time.Duration
-	// SpareShare is how many slots the other lead must have free beyond the job's
-	// tasks, as a share of the home's slots.
+	// SpareShare is how many slots the other lead must have free beyond the job's tasks, as a share of
+	// the home's slots.
 	SpareShare float64
-	// NoticeInterval is the least time between two load notices of a cell.
+	// NoticeInterval is the minimum time between two load notices of a cell.
 	NoticeInterval time.Duration
-	// RecordWait is how long a second host may take to remember that a job is handed
-	// over before the job stays at home.
+	// RecordWait is how long a second host may take to record that a job is handed over before the job
+	// stays at home.
 	RecordWait time.Duration
-	// AskAgain is how often the home asks for a job that was handed over.
+	// AskAgain is the interval at which the home asks for a job that was handed over.
 	AskAgain time.Duration
 }
 
@@ -36,19 +36,19 @@
 	}
 }
 
-// remoteKey names a cell of another failure domain.
+// remoteKey identifies a cell of another failure domain.
 type remoteKey struct {
 	failureDomain identifier.FailureDomain
 	cell          messenger.CellNumber
 }
 
-// remote is the lead of a cell in another failure domain, as far as known.
+// remote is the last known lead of a cell in another failure domain.
 type remote struct {
 	key         remoteKey
 	host        identifier.HostID
 	epoch       identifier.Epoch
 	unreachable bool
-	// free is the free slots of its last notice less what was handed over since.
+	// free is the number of free slots in its last notice minus the tasks handed over since.
 	free identifier.Slots
 }
 
@@ -57,48 +57,48 @@
 	known := dispatcher.remotes.Get(key)
 	switch {
 	case input.Notice.Host == "":
-		dispatcher.loseRemote(known)
+		dispatcher.markRemoteUnreachable(known)
 	case known == nil || input.Notice.Epoch > known.epoch:
 		known = &remote{key: key, host: input.Notice.Host, epoch: input.Notice.Epoch}
 		dispatcher.remotes.Put(key, known)
-		dispatcher.greetRemote(known)
+		dispatcher.resyncRemote(known)
 	case input.Notice.Epoch == known.epoch && known.unreachable:
 		known.unreachable = false
-		dispatcher.greetRemote(known)
+		dispatcher.resyncRemote(known)
 	}
 }
 
-// greetRemote tells a lead that is new or has come back the own load, and asks it
-// for the jobs that were handed to its cell.
-func (dispatcher *Dispatcher) greetRemote(remote *remote) {
+// resyncRemote sends the cell's load to a lead that is new or has returned, and queries it for the
+// jobs that were handed to its cell.
+func (dispatcher *Dispatcher) resyncRemote(remote *remote) {
 	if cell := dispatcher.cells.Get(remote.key.cell); cell != nil {
-		cell.toldFree = -1
+		cell.announcedFree = -1
 	}
-	dispatcher.askRemote(remote)
+	dispatcher.resendSpills(remote)
 	if cell := dispatcher.cells.Get(remote.key.cell); cell != nil {
-		dispatcher.askGuestsOf(cell, remote)
+		dispatcher.queryGuestsOf(cell, remote)
 	}
 }
 
-func (dispatcher *Dispatcher) loseRemote(remote *remote) {
+func (dispatcher *Dispatcher) markRemoteUnreachable(remote *remote) {
 	if remote == nil || remote.unreachable {
 		return
 	}
 	remote.unreachable = true
 	remote.free = 0
-	dispatcher.suspectSpilled(remote)
+	dispatcher.markSpillsUnknown(remote)
 	if cell := dispatcher.cells.Get(remote.key.cell); cell != nil {
 		delete(cell.awaitedDomains, remote.key.failureDomain)
 		dispatcher.finishTakeoverIfComplete(cell)
 	}
 }
 
-// askReconnected asks again after a new connection: what was under way on the old
-// one may be lost.
-func (dispatcher *Dispatcher) askReconnected(input *RemoteReconnected) {
+// handleReconnected repeats the queries after a new connection, since messages on the old one may
+// be lost.
+func (dispatcher *Dispatcher) handleReconnected(input *RemoteReconnected) {
 	dispatcher.remotes.Each(func(_ remoteKey, remote *remote) bool {
 		if remote.host == input.Host && !remote.unreachable {
-			dispatcher.greetRemote(remote)
+			dispatcher.resyncRemote(remote)
 		}
 		return true
 	})
@@ -111,34 +111,34 @@
 	}
 }
 
-// tellLoad tells the leads of other failure domains how many slots have nothing to
-// do, when that has changed and not too often.
-func (dispatcher *Dispatcher) tellLoad() {
+// announceLoad announces the number of free slots to the leads of other failure domains when it has
+// changed, at most once per NoticeInterval.
+func (dispatcher *Dispatcher) announceLoad() {
 	if dispatcher.remotes.Len() == 0 {
 		return
 	}
 	dispatcher.cells.Each(func(_ messenger.CellNumber, cell *cell) bool {
 		if cell.ready {
-			dispatcher.tellCellLoad(cell)
+			dispatcher.announceCellLoad(cell)
 		}
 		return true
 	})
 }
 
-func (dispatcher *Dispatcher) tellCellLoad(cell *cell) {
+func (dispatcher *Dispatcher) announceCellLoad(cell *cell) {
 	free := cell.free.slots()
 	if cell.queue.Tasks() > 0 {
 		free = 0
 	}
-	if free == cell.toldFree {
+	if free == cell.announcedFree {
 		return
 	}
-	if due := cell.toldAt.Add(dispatcher.Settings.Spill.NoticeInterval); cell.toldAt > 0 && !due.Due(dispatcher.now) {
+	if due := cell.announcedAt.Add(dispatcher.Settings.Spill.NoticeInterval); cell.announcedAt > 0 && !due.Due(dispatcher.now) {
 		dispatcher.timers.Set(timerKey{kind: timerLoad, cell: cell.number}, due)
 		return
 	}
-	cell.toldFree = free
-	cell.toldAt = dispatcher.now
+	cell.announcedFree = free
+	cell.announcedAt = dispatcher.now
 	notice := messenger.LoadNotice{FailureDomain: dispatcher.FailureDomain, Cell: cell.number, Free: free}
 	dispatcher.remotes.Each(func(key remoteKey, remote *remote) bool {
 		if key.cell == cell.number && !remote.unreachable {
--- a/pkg/dispatcher/report_test.go
+++ b/pkg/dispatcher/report_test.go
@@ -9,11 +9,10 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// TestReportThatCrossesAStart: symptom: a task starts twice. Sequence: a backend
-// server is silent while a new lead tells it twice that it leads; the server is back
-// and answers both; the lead starts a task between the two reports. Cause: the lead
-// took the second report, which was under way already, for proof that the task had
-// not started.
+// TestReportThatCrossesAStart guards against a task that starts twice. A new lead notifies a silent
+// backend server twice that it leads. The server returns and reports twice, and the lead starts a
+// task between the two reports. The second report was already in transit, so the lead must not take
+// it for proof that the task has not started.
 func TestReportThatCrossesAStart(t *testing.T) {
 	lead := &dispatcher.Dispatcher{Self: "entry-0", FailureDomain: fake.Domain, Settings: dispatcher.DefaultSettings()}
 	job := newJob("s-1", "a", "counter", equalRuns(1, 0), nil)
--- a/pkg/dispatcher/requests.go
+++ b/pkg/dispatcher/requests.go
@@ -2,31 +2,31 @@
 
 import "github.com/stoathitch/stoathitch/pkg/messenger"
 
-// cancel ends a submission at the wish of its own caller.
+// cancel ends a submission at the request of its own caller.
 func (dispatcher *Dispatcher) cancel(input *CancelArrived) {
 	job := dispatcher.jobs.Get(input.Cancel.Submission)
 	if job == nil || job.spec.Caller != input.Cancel.Caller {
 		return
 	}
-	if job.guestOf != "" && job.guestOf != input.From {
-		// Its home cancels it here as well, where it must.
+	if job.homeLead != "" && job.homeLead != input.From {
+		// Its home cancels it here too if necessary.
 		return
 	}
 	dispatcher.failJob(job, messenger.ReasonCancelled, "the caller cancelled the submission")
 }
 
-// beginClaimed starts a job that has its claim, or goes on with one that an
-// earlier lead may have started.
+// beginClaimed starts a job that has its claim, or continues one that an earlier lead may have
+// started.
 func (dispatcher *Dispatcher) beginClaimed(cell *cell, job *job) {
-	if job.again {
+	if job.mayHaveEarlierStarts {
 		dispatcher.settleRecovered(cell, job)
 		return
 	}
-	dispatcher.place(cell, job)
+	dispatcher.enqueueOrSpill(cell, job)
 }
 
-// decideClaim lets a not-repeatable job start, or refuses it truthfully: where
-// another submission holds the claim, or nobody can tell, the job may have run.
+// decideClaim lets a not-repeatable job start or refuses it. If another submission holds the claim,
+// or the claim is unavailable, the job may have run and the refusal does not say "not run".
 func (dispatcher *Dispatcher) decideClaim(input *ClaimDecided) {
 	job := dispatcher.jobs.Get(input.Submission)
 	if job == nil || job.state != jobAwaitingClaim || job.claimHolder != "" {
@@ -35,12 +35,12 @@
 	switch input.Verdict {
 	case ClaimGranted:
 		job.claimed = true
-		// A claim that the submission held before tells that an earlier lead may have
-		// started it, also where that lead and all who knew of it are lost.
-		job.again = job.again || input.Holder == input.Submission
+		// If the submission held the claim before, an earlier lead may have started it, even if that
+		// lead and all hosts that knew of it are lost.
+		job.mayHaveEarlierStarts = job.mayHaveEarlierStarts || input.Holder == input.Submission
 		dispatcher.beginClaimed(dispatcher.cells.Get(job.cell), job)
 	case ClaimHeld:
-		dispatcher.followHolder(job, input)
+		dispatcher.awaitClaimHolder(job, input)
 	case ClaimUnavailable:
 		dispatcher.finish(job, messenger.RefuseUnknown(input.Submission, messenger.ReasonClaimUnavailable,
 			"the claim of the not-repeatable job can't be had now; it is not known to have run"))
--- a/pkg/dispatcher/retake_test.go
+++ b/pkg/dispatcher/retake_test.go
@@ -9,11 +9,10 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// TestRetakeOwnCell: symptom: the process of a lead ends in a panic of its queue,
-// or queued jobs are never started. Sequence: a lead with a queued job learns of a
-// higher epoch, takes its cell anew above it, and the caller cancels the job.
-// Cause: the new epoch began with an empty queue while the job still stood in the
-// old one.
+// TestRetakeOwnCell guards against a lead whose process panics in its queue, and against queued jobs
+// that never start. A lead with a queued job learns of a higher epoch and takes its cell again under
+// a still higher one, and the caller cancels the job. This fails if the new epoch begins with an
+// empty queue while the job still refers to the old one.
 func TestRetakeOwnCell(t *testing.T) {
 	job := newJob("s-1", "a", "counter", equalRuns(1, 0), nil)
 	forward := &dispatcher.JobForwarded{From: "entry-0", Job: job, Deadline: identifier.Never}
--- a/pkg/dispatcher/retrying.go
+++ b/pkg/dispatcher/retrying.go
@@ -7,19 +7,19 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// repeat lets a task start again whose start is known not to have happened, as
-// far as the budgets of its team and of the cell go. Beyond them the task waits.
-func (dispatcher *Dispatcher) repeat(cell *cell, task *task) {
+// retryStart retries a task whose start provably did not happen, within the retry budgets of its
+// team and of the cell. Beyond them the task waits.
+func (dispatcher *Dispatcher) retryStart(cell *cell, task *task) {
 	task.refusals++
 	if task.refusals > dispatcher.Settings.Limits.RefusalsPerTask {
 		dispatcher.failJob(task.job, messenger.ReasonNoBackendServer, fmt.Sprintf(
 			"the start of task %s was refused %d times", task.spec.Task, task.refusals))
 		return
 	}
-	dispatcher.repeatWithinBudget(cell, task)
+	dispatcher.retryWithinBudget(cell, task)
 }
 
-func (dispatcher *Dispatcher) repeatWithinBudget(cell *cell, task *task) {
+func (dispatcher *Dispatcher) retryWithinBudget(cell *cell, task *task) {
 	wait, allowed := cell.limiter.Retry(dispatcher.now, task.job.spec.Team)
 	if allowed {
 		task.state = taskQueued
@@ -32,8 +32,8 @@
 	dispatcher.timers.Set(key, dispatcher.now.Add(wait))
 }
 
-// repeatHeld tries the tasks again that waited for a budget.
-func (dispatcher *Dispatcher) repeatHeld(submission identifier.SubmissionID) {
+// retryHeld retries the tasks that waited for budget.
+func (dispatcher *Dispatcher) retryHeld(submission identifier.SubmissionID) {
 	job := dispatcher.jobs.Get(submission)
 	if job == nil || job.state != jobRunning {
 		return
@@ -44,7 +44,7 @@
 		if task.state != taskHeld {
 			continue
 		}
-		dispatcher.repeatWithinBudget(cell, task)
+		dispatcher.retryWithinBudget(cell, task)
 		if task.state == taskHeld {
 			return
 		}
--- a/pkg/dispatcher/returns.go
+++ b/pkg/dispatcher/returns.go
@@ -2,22 +2,22 @@
 
 import "github.com/stoathitch/stoathitch/pkg/messenger"
 
-// askReturnedHost asks a host that has come back what it knows.
+// handleHostReturned queries a host that has returned for its records.
 //
-// A lead may have been cut off for a moment, just after it told its caller the
-// answer of a submission and before another host held a copy. This host took the
-// cell without hearing of that answer and would give a resend another one.
-func (dispatcher *Dispatcher) askReturnedHost(input *HostReturned) {
+// A lead may have been cut off for a moment just after it sent its caller the answer of a
+// submission and before another host held a copy. This host then took over the cell without that
+// answer and would answer a resubmission differently.
+func (dispatcher *Dispatcher) handleHostReturned(input *HostReturned) {
 	if input.Host == dispatcher.Self {
 		return
 	}
-	dispatcher.noteHost(input.Host, false)
+	dispatcher.recordHostVisibility(input.Host, false)
 	if input.Emptied {
-		dispatcher.emptiedUntil[input.Host] = dispatcher.now.Add(recopyTime)
+		dispatcher.withoutStateUntil[input.Host] = dispatcher.now.Add(rereplicationTime)
 	}
 	dispatcher.cells.Each(func(_ messenger.CellNumber, cell *cell) bool {
 		if input.Emptied {
-			dispatcher.noteEmptied(cell, input.Host)
+			dispatcher.recordHostWithoutState(cell, input.Host)
 		}
 		if !cell.ready {
 			cell.awaitedHosts[input.Host] = true
@@ -28,37 +28,38 @@
 	})
 }
 
-// IsolationEnded tells that this host was cut off from the others of its failure domain, and may
-// have missed what they learned.
+// IsolationEnded reports that this host was cut off from the others of its failure domain and may
+// have missed their records.
 type IsolationEnded struct{}
 
 func (*IsolationEnded) isDispatcherInput() {}
 
-// noteIsolation counts this host among those that know nothing of what came before.
+// recordIsolation counts this host among those without earlier state.
 //
-// While it was cut off, the last host that the others could see may have taken jobs that nobody
-// else knew of, and be lost since. A takeover that missed that would start their resends anew.
-func (dispatcher *Dispatcher) noteIsolation() {
-	dispatcher.emptiedUntil[dispatcher.Self] = dispatcher.now.Add(recopyTime)
+// While it was cut off, the last host that the others could reach may have accepted jobs that no
+// other host knew of, and may have been lost since. A takeover that ignored this would start
+// resubmissions of those jobs as new.
+func (dispatcher *Dispatcher) recordIsolation() {
+	dispatcher.withoutStateUntil[dispatcher.Self] = dispatcher.now.Add(rereplicationTime)
 }
 
-// stopAwaitingHost goes on without a host that is gone. What it has not told is
-// missing, unless it has handed that over before it left.
-func (dispatcher *Dispatcher) stopAwaitingHost(input *HostGone) {
-	dispatcher.noteHost(input.Host, !input.Left)
+// handleHostGone goes on without a host that is gone. The records it has not sent are missing,
+// unless it handed them over before it left.
+func (dispatcher *Dispatcher) handleHostGone(input *HostGone) {
+	dispatcher.recordHostVisibility(input.Host, !input.Left)
 	dispatcher.cells.Each(func(_ messenger.CellNumber, cell *cell) bool {
 		if cell.awaitedHosts[input.Host] && !input.Left {
 			cell.missingHosts[input.Host] = true
 		}
 		delete(cell.awaitedHosts, input.Host)
-		dispatcher.askGuests(cell)
+		dispatcher.queryGuests(cell)
 		dispatcher.finishTakeoverIfComplete(cell)
 		return true
 	})
 }
 
-// adoptAnswers ends the jobs of a cell in service whose answer turned out to
-// stand at another host: those who wait get that answer.
+// adoptAnswers ends the jobs of a ready cell whose answer turned out to be held by another host.
+// The waiting hosts get that answer.
 func (dispatcher *Dispatcher) adoptAnswers(cell *cell, records []messenger.CopyRecord) {
 	if !cell.ready {
 		return
@@ -68,6 +69,6 @@
 		if !record.Answered || job == nil || job.state == jobFinished {
 			continue
 		}
-		dispatcher.askHolder(cell.recovered[record.Submission], job)
+		dispatcher.requestAnswerFromHolder(cell.recovered[record.Submission], job)
 	}
 }
--- a/pkg/dispatcher/servers.go
+++ b/pkg/dispatcher/servers.go
@@ -7,10 +7,10 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// announceServer records a stream that a backend server has opened.
-func (dispatcher *Dispatcher) announceServer(input *ServerAnnounced) {
-	dispatcher.noteJoined(input)
-	dispatcher.cellsOf(input.Server, func(number messenger.CellNumber) {
+// handleServerAnnounced records a stream that a backend server has opened.
+func (dispatcher *Dispatcher) handleServerAnnounced(input *ServerAnnounced) {
+	dispatcher.recordServerJoined(input)
+	dispatcher.eachCellOf(input.Server, func(number messenger.CellNumber) {
 		dispatcher.announceToCell(number, input)
 	})
 }
@@ -42,23 +42,23 @@
 	known.connected = true
 	known.silent = false
 	known.refusedFull = false
-	known.askedAgain = false
+	known.reportRequestedAgain = false
 	dispatcher.timers.Clear(known.timer(timerServerForget))
 	dispatcher.expectHeartbeat(known)
 	if restarted {
-		dispatcher.loseRestartedTasks(known)
+		dispatcher.failTasksOfRestartedServer(known)
 	}
 	if cell := dispatcher.cells.Get(known.cell); cell != nil {
 		dispatcher.fence(cell, known)
 	}
 }
 
-// loseRestartedTasks gives up the tasks of a backend server whose process has
-// been replaced: it may have run them, and nothing of them is left.
-func (dispatcher *Dispatcher) loseRestartedTasks(server *server) {
+// failTasksOfRestartedServer fails the jobs of the tasks of a backend server whose process was
+// replaced: the old process may have run the tasks, and its results are lost.
+func (dispatcher *Dispatcher) failTasksOfRestartedServer(server *server) {
 	for _, task := range dispatcher.tasksOn(server) {
 		delete(server.running, task.key())
-		dispatcher.endFlight(task)
+		dispatcher.removeInFlight(task)
 		dispatcher.failJob(task.job, messenger.ReasonTaskUnknown,
 			"backend server "+string(server.id)+" restarted after it had been told to start task "+string(task.spec.Task))
 	}
@@ -79,8 +79,8 @@
 	})
 }
 
-// endSilence asks a server that was silent what became of its tasks. Without the
-// report they would stay unknown and fail their jobs although the server has them.
+// endSilence requests a report from a server that was silent. Without the report its tasks would
+// stay unknown and fail their jobs although the server has them.
 func (dispatcher *Dispatcher) endSilence(server *server) {
 	if !server.silent {
 		return
@@ -91,16 +91,16 @@
 	}
 }
 
-// idleHeartbeats is how many times rarer heartbeats come to a host that does not
-// lead the server's cell. It starts nothing there, so it need not notice silence
-// soon, and with 250 servers the heartbeats to every host would be most of the
-// control's processor time.
-const idleHeartbeats = 10
+// idleHeartbeatFactor is how many times rarer heartbeats are at a host that does not lead the
+// server's cell. Such a host starts nothing there, so it need not notice silence soon. With 250
+// servers, full-rate heartbeats to every host would take most of the control plane's processor
+// time.
+const idleHeartbeatFactor = 10
 
 func (dispatcher *Dispatcher) expectHeartbeat(server *server) {
 	timeout := dispatcher.Settings.HeartbeatTimeout
 	if dispatcher.cells.Get(server.cell) == nil {
-		timeout *= idleHeartbeats
+		timeout *= idleHeartbeatFactor
 	}
 	dispatcher.timers.Set(server.timer(timerServerSilence), dispatcher.now.Add(timeout))
 }
@@ -128,13 +128,13 @@
 	server.leaving = leaving
 }
 
-// loseServer records that a stream has ended. The tasks of the server are unknown
-// from now on; the server tells what became of them if it comes back.
-func (dispatcher *Dispatcher) loseServer(input *ServerLost) {
-	dispatcher.eachView(input.Server, dispatcher.loseView)
+// handleServerLost records that a stream has ended. The tasks of the server are unknown from now
+// on; if the server returns, it reports what became of them.
+func (dispatcher *Dispatcher) handleServerLost(input *ServerLost) {
+	dispatcher.eachView(input.Server, dispatcher.disconnectView)
 }
 
-func (dispatcher *Dispatcher) loseView(server *server) {
+func (dispatcher *Dispatcher) disconnectView(server *server) {
 	if !server.connected {
 		return
 	}
@@ -143,46 +143,45 @@
 	dispatcher.timers.Clear(server.timer(timerServerSilence))
 	forgetAt := dispatcher.now.Add(dispatcher.Settings.AnswerRetention)
 	dispatcher.timers.Set(server.timer(timerServerForget), forgetAt)
-	dispatcher.suspectTasks(server)
+	dispatcher.markTasksUnknown(server)
 	if cell := dispatcher.cells.Get(server.cell); cell != nil {
-		dispatcher.endWait(cell, server)
+		dispatcher.stopAwaitingReport(cell, server)
 	}
 }
 
-// silenceServer handles a server that keeps its connection but sends no
-// heartbeats: it gets no new work and its tasks count as unknown.
-func (dispatcher *Dispatcher) silenceServer(key serverKey) {
+// markServerSilent handles a server that keeps its connection but sends no heartbeats: it gets no
+// new tasks, and its running tasks count as unknown.
+func (dispatcher *Dispatcher) markServerSilent(key serverKey) {
 	server := dispatcher.servers.Get(key)
 	if server == nil || !server.connected {
 		return
 	}
 	server.silent = true
-	dispatcher.suspectTasks(server)
+	dispatcher.markTasksUnknown(server)
 }
 
-func (dispatcher *Dispatcher) suspectTasks(server *server) {
+func (dispatcher *Dispatcher) markTasksUnknown(server *server) {
 	dispatcher.refreshSlots(server)
 	for _, task := range dispatcher.tasksOn(server) {
 		dispatcher.markUnknown(task)
 	}
 }
 
-// markUnknown notes that nobody can tell what became of a task. It is never
-// started again; its job fails unless the server returns in time.
+// markUnknown records that the state of a task can't be determined. The task is never started
+// again, and its job fails unless the server returns in time.
 func (dispatcher *Dispatcher) markUnknown(task *task) {
 	task.state = taskUnknown
-	dispatcher.noteTask(explainer.KindUnknown, task, "")
+	dispatcher.recordTaskStep(explainer.KindUnknown, task, "")
 	if task.job.state == jobFinished {
-		dispatcher.endFlight(task)
+		dispatcher.removeInFlight(task)
 		return
 	}
 	task.unknownUntil = dispatcher.now.Add(dispatcher.Settings.UnknownTaskWait)
 	dispatcher.awaitUnknown(task.job)
 }
 
-// awaitUnknown sets the job's timer to the first of its tasks that fails it. A
-// later unknown task must not postpone an earlier one: with servers that come and
-// go the job would never end.
+// awaitUnknown sets the job's timer to the earliest expiry among its unknown tasks. A later unknown
+// task must not postpone an earlier one: with servers that come and go the job would never end.
 func (dispatcher *Dispatcher) awaitUnknown(job *job) {
 	key := timerKey{kind: timerUnknownWait, submission: job.spec.Submission}
 	due := identifier.Never
--- a/pkg/dispatcher/slots.go
+++ b/pkg/dispatcher/slots.go
@@ -5,7 +5,7 @@
 	"github.com/stoathitch/stoathitch/pkg/selector"
 )
 
-// freeSlots offers the usable servers of a cell to its selection policy.
+// freeSlots passes the usable servers of a cell to its selection policy.
 type freeSlots struct {
 	policy selector.Policy[*server]
 }
@@ -14,7 +14,7 @@
 	return freeSlots{policy: selector.New[*server](settings)}
 }
 
-// update tells the policy a server's load, or takes it out when it can't be used.
+// update passes a server's load to the policy, or removes a server that can't be used.
 func (free *freeSlots) update(server *server) {
 	if !server.usable() {
 		free.policy.Remove(server)
@@ -25,8 +25,8 @@
 
 func (free *freeSlots) remove(server *server) { free.policy.Remove(server) }
 
-// most returns the server for the next task, or nil.
-func (free *freeSlots) most() *server {
+// pick returns the server for the next task, or nil.
+func (free *freeSlots) pick() *server {
 	picked, found := free.policy.Pick()
 	if !found {
 		return nil
@@ -34,12 +34,12 @@
 	return picked
 }
 
-// slots returns how many slots are free in all.
+// slots returns the total number of free slots.
 func (free *freeSlots) slots() identifier.Slots { return free.policy.Free() }
 
-// load returns what the cell's lead knows of the server. Where leads share
-// servers, the tasks of other leads are as many as the last heartbeat told beyond
-// the own ones at that moment; else all tasks are the own ones.
+// load returns the load of the server as the cell's lead knows it. If leads share servers, the
+// tasks of other leads are the busy slots of the last heartbeat minus this lead's tasks at that
+// moment; otherwise all tasks are this lead's.
 func (server *server) load() selector.Load {
 	own := identifier.Slots(len(server.running))
 	return selector.Load{
--- a/pkg/dispatcher/spilling.go
+++ b/pkg/dispatcher/spilling.go
@@ -9,24 +9,23 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// A job of which nothing has started may be handed whole to the lead of another
-// failure domain in its may-run. Its record stays at home: the home lead alone
-// answers it. Four rules keep the promises:
-//   - Before the job leaves, a second host of the home remembers where it goes. A
-//     new home lead then asks there before it starts anything.
-//   - What was handed over starts at home only after a refusal that says "not run".
-//   - The lead that got it never hands it on, so nothing goes back and forth.
-//   - A lead takes nothing from a home lead that another has replaced.
-
-// spillTarget returns the lead that should get a fresh job, or nil: one whose free
-// slots take all its tasks at once, while at home it would wait for longer than the
-// way there and back.
+// A job of which nothing has started may be handed over (spilled) as a whole to the lead of another
+// failure domain in its may-run list. Its record stays at home, and only the home lead answers it.
+// Four rules ensure that it runs at most once:
+//   - Before the job leaves, a second host of the home records where it goes. A new home lead then
+//     queries that failure domain before it starts anything.
+//   - A job that was handed over starts at home only after a refusal that says "not run".
+//   - The lead that received it never hands it on, so a job can't go back and forth.
+//   - A lead accepts nothing from a home lead that another one has replaced.
+
+// spillTarget returns the lead that should get a fresh job, or nil. That lead's free slots must
+// take all tasks of the job at once, while at home the job would wait longer than the round trip.
 //
-// What is known of free slots is old by a notice and the way. Other homes hand jobs
-// over and the lead starts its own meanwhile; jobs that find too few slots come
-// back, which costs their messages. So some slots must be to spare.
+// The known number of free slots is out of date by the notice interval and the transit time. In
+// the meantime other homes hand jobs over and the lead starts its own jobs. A job that finds too
+// few slots comes back, which costs messages, so some spare slots are required.
 func (dispatcher *Dispatcher) spillTarget(cell *cell, job *job) *remote {
-	if job.guestOf != "" || dispatcher.remotes.Len() == 0 || !dispatcher.waitsLong(cell) {
+	if job.homeLead != "" || dispatcher.remotes.Len() == 0 || !dispatcher.spillIsFaster(cell) {
 		return nil
 	}
 	needed := len(job.tasks) + int(dispatcher.Settings.Spill.SpareShare*float64(dispatcher.capacity(cell)))
@@ -43,9 +42,8 @@
 	return best
 }
 
-// waitsLong tells whether a task that is queued now waits for longer than handing
-// it over would cost.
-func (dispatcher *Dispatcher) waitsLong(cell *cell) bool {
+// spillIsFaster reports whether a task that is queued now would wait longer than a handover takes.
+func (dispatcher *Dispatcher) spillIsFaster(cell *cell) bool {
 	slots := dispatcher.capacity(cell)
 	if slots == 0 {
 		return true
@@ -54,8 +52,8 @@
 	return wait > dispatcher.Settings.Spill.RoundTrip+dispatcher.Settings.Spill.Margin
 }
 
-// place queues a fresh job, or hands it over.
-func (dispatcher *Dispatcher) place(cell *cell, job *job) {
+// enqueueOrSpill queues a fresh job or hands it over.
+func (dispatcher *Dispatcher) enqueueOrSpill(cell *cell, job *job) {
 	target := dispatcher.spillTarget(cell, job)
 	if target == nil {
 		dispatcher.enqueue(cell, job)
@@ -65,7 +63,7 @@
 	job.spilledTo = target.key.failureDomain
 	target.free -= identifier.Slots(len(job.tasks))
 	dispatcher.outputs.add(&RecordSpill{
-		Holders: slices.Clone(job.holders),
+		Holders: slices.Clone(job.recipients),
 		Record: messenger.CopyRecord{
 			Submission: job.spec.Submission,
 			Caller:     job.spec.Caller,
@@ -79,14 +77,14 @@
 	dispatcher.timers.Set(job.timer(timerSpill), dispatcher.now.Add(dispatcher.Settings.Spill.RecordWait))
 }
 
-// sendSpilled hands the jobs over whose record stands at a second host.
+// sendSpilled hands over the jobs whose record a second host holds.
 func (dispatcher *Dispatcher) sendSpilled(input *SpillRecorded) {
 	for _, submission := range input.Submissions {
 		job := dispatcher.jobs.Get(submission)
 		if job != nil && job.state == jobSpilling {
 			job.state = jobSpilled
 			dispatcher.sendSpill(job, messenger.SpillRun)
-			job.again = true
+			job.mayHaveEarlierStarts = true
 		}
 	}
 }
@@ -100,22 +98,22 @@
 	dispatcher.timers.Set(job.timer(timerSpill), dispatcher.now.Add(dispatcher.Settings.Spill.AskAgain))
 	target := dispatcher.remoteOf(job)
 	if target == nil || target.unreachable {
-		dispatcher.suspectSpill(job)
+		dispatcher.markSpillUnknown(job)
 		return
 	}
-	dispatcher.noteJob(explainer.KindSpilled, job.spec.Submission, string(target.host))
+	dispatcher.recordJobStep(explainer.KindSpilled, job.spec.Submission, string(target.host))
 	dispatcher.outputs.add(&SpillJob{To: target.host, Request: messenger.SpillRequest{
 		Job:       job.spec,
 		Remaining: job.deadline.Remaining(dispatcher.now),
-		Again:     job.again,
+		Again:     job.mayHaveEarlierStarts,
 		Age:       dispatcher.now.Sub(job.firstForwarded),
 		Mode:      mode,
 		Epoch:     dispatcher.cells.Get(job.cell).epoch,
 	}})
 }
 
-// expireSpill keeps a job at home whose record was not confirmed, and asks again
-// for one that was handed over.
+// expireSpill keeps a job at home if its record was not confirmed, and asks again for a job that
+// was handed over.
 func (dispatcher *Dispatcher) expireSpill(submission identifier.SubmissionID) {
 	job := dispatcher.jobs.Get(submission)
 	switch {
@@ -127,9 +125,8 @@
 	}
 }
 
-// askRemote asks a lead that is new or has come back for the jobs that were handed
-// to its cell.
-func (dispatcher *Dispatcher) askRemote(remote *remote) {
+// resendSpills asks a lead that is new or has returned for the jobs that were handed to its cell.
+func (dispatcher *Dispatcher) resendSpills(remote *remote) {
 	dispatcher.eachSpilled(remote, func(job *job) {
 		job.spillUnknownUntil = identifier.Never
 		dispatcher.timers.Clear(job.timer(timerUnknownWait))
@@ -137,13 +134,13 @@
 	})
 }
 
-// suspectSpilled notes that nobody can tell what became of the jobs that were
-// handed to a cell. They never start at home; they fail unless its lead returns.
-func (dispatcher *Dispatcher) suspectSpilled(remote *remote) {
-	dispatcher.eachSpilled(remote, dispatcher.suspectSpill)
+// markSpillsUnknown records that the state of the jobs that were handed to a cell can't be
+// determined. They never start at home; they fail unless the cell's lead returns.
+func (dispatcher *Dispatcher) markSpillsUnknown(remote *remote) {
+	dispatcher.eachSpilled(remote, dispatcher.markSpillUnknown)
 }
 
-func (dispatcher *Dispatcher) suspectSpill(job *job) {
+func (dispatcher *Dispatcher) markSpillUnknown(job *job) {
 	if job.spillUnknownUntil != identifier.Never && job.spillUnknownUntil != 0 {
 		return
 	}
@@ -160,8 +157,8 @@
 	})
 }
 
-// recordSpillAnswer takes the answer of a job that was handed over. After a true
-// "not run" the job starts at home.
+// recordSpillAnswer handles the answer of a job that was handed over. After "not run" the job
+// starts at home.
 func (dispatcher *Dispatcher) recordSpillAnswer(input *SpillAnswered) {
 	dispatcher.outputs.add(&ConfirmSpill{To: input.From, Submission: input.Answer.Submission})
 	job := dispatcher.jobs.Get(input.Answer.Submission)
@@ -169,7 +166,7 @@
 		return
 	}
 	if target := dispatcher.remoteOf(job); input.Answer.NotRun && (target == nil || target.host != input.From) {
-		// A lead that was deposed can't know what the next one has started.
+		// A deposed lead can't know what its successor has started.
 		return
 	}
 	dispatcher.timers.Clear(job.timer(timerSpill))
@@ -177,7 +174,7 @@
 	cell := dispatcher.cells.Get(job.cell)
 	switch {
 	case input.Answer.NotRun && job.spillMode == messenger.SpillRun:
-		job.again = false
+		job.mayHaveEarlierStarts = false
 		dispatcher.enqueue(cell, job)
 	case input.Answer.NotRun:
 		dispatcher.resume(cell, job, nil)
@@ -188,9 +185,9 @@
 	}
 }
 
-// giveUpSpilled ends a job that another failure domain has or may have had, and that
-// can't be learned about. Where records may be missing, an earlier lead may have answered
-// it: a caller that had heard "complete" must not hear "failed".
+// giveUpSpilled ends a job that another failure domain has or may have, and about which nothing can
+// be learned. If records may be missing, an earlier lead may have answered it: a caller that has
+// received "complete" must not receive "failed".
 func (dispatcher *Dispatcher) giveUpSpilled(job *job, detail string) {
 	if job.spillMode == messenger.SpillAsk && dispatcher.cells.Get(job.cell).mayMissRecords() {
 		dispatcher.finish(job, messenger.RefuseUnknown(job.spec.Submission, messenger.ReasonTaskUnknown, detail))
--- a/pkg/dispatcher/status.go
+++ b/pkg/dispatcher/status.go
@@ -6,8 +6,8 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// ServerStatus is a backend server as this host sees it. Only the lead of the
-// cell knows what runs there.
+// ServerStatus is a backend server as this host sees it. Only the lead of the cell knows what runs
+// there.
 type ServerStatus struct {
 	Server identifier.BackendServerID `json:"backend-server"`
 	Rack   identifier.RackID          `json:"rack,omitempty"`
@@ -16,25 +16,24 @@
 	// Running counts the tasks that this host started there and that have no answer.
 	Running   int  `json:"running"`
 	Connected bool `json:"connected"`
-	// Silent tells that heartbeats are missing although the stream is open.
+	// Silent is set while heartbeats are missing although the stream is open.
 	Silent  bool `json:"silent"`
 	Leaving bool `json:"leaving"`
 }
 
-// WorkStatus counts the work of the cells that this host leads.
+// WorkStatus counts the jobs and tasks of the cells that this host leads.
 type WorkStatus struct {
 	// Jobs counts the jobs without an answer.
 	Jobs int `json:"jobs"`
 	// Queued counts the tasks that wait for a slot.
 	Queued int `json:"queued"`
-	// Running counts the tasks that backend servers have been told to start.
+	// Running counts the tasks whose start was sent to a backend server.
 	Running int `json:"running"`
-	// Unknown counts the tasks of which nobody can tell what became.
+	// Unknown counts the tasks whose state can't be determined.
 	Unknown int `json:"unknown"`
 }
 
-// Servers lists the backend servers that this host knows, in the order in which
-// they first announced themselves.
+// Servers lists the backend servers that this host knows, in the order of their first announcement.
 func (dispatcher *Dispatcher) Servers() []ServerStatus {
 	statuses := []ServerStatus{}
 	for _, server := range valuesOf(dispatcher.servers) {
@@ -52,7 +51,7 @@
 	return statuses
 }
 
-// Work counts the work of the cells that this host leads.
+// Work counts the jobs and tasks of the cells that this host leads.
 func (dispatcher *Dispatcher) Work() WorkStatus {
 	var status WorkStatus
 	for _, job := range valuesOf(dispatcher.jobs) {
@@ -78,7 +77,7 @@
 	}
 }
 
-// valuesOf lists the entities of a table, which is nil before the first tick.
+// valuesOf lists the values of a table, which is nil before the first tick.
 func valuesOf[K comparable, V any](table *tabulator.Table[K, V]) []*V {
 	if table == nil {
 		return nil
--- a/pkg/dispatcher/stopping.go
+++ b/pkg/dispatcher/stopping.go
@@ -11,26 +11,25 @@
 	batch.Cancels = append(batch.Cancels, key)
 }
 
-// stopOrphans takes over the tasks of a job that ended during a takeover: backend
-// servers have reported them, and they were not matched with their job yet. Those
-// that run are stopped.
-func (dispatcher *Dispatcher) stopOrphans(cell *cell, job *job) {
+// stopUnmatched handles the unmatched tasks of a job that ended during a takeover: backend servers
+// have reported them before they were matched with their job. Those that run are stopped.
+func (dispatcher *Dispatcher) stopUnmatched(cell *cell, job *job) {
 	if cell == nil {
 		return
 	}
-	found := cell.orphans[job.spec.Submission]
-	if found == nil {
+	unmatched := cell.unmatched[job.spec.Submission]
+	if unmatched == nil {
 		return
 	}
-	delete(cell.orphans, job.spec.Submission)
+	delete(cell.unmatched, job.spec.Submission)
 	for index := range job.tasks {
 		task := &job.tasks[index]
-		if answer, answered := found.answers[task.spec.Task]; answered {
+		if answer, answered := unmatched.answers[task.spec.Task]; answered {
 			task.state = taskAnswered
 			task.server = answer.server
 			continue
 		}
-		running := found.running[task.spec.Task]
+		running := unmatched.running[task.spec.Task]
 		if server := dispatcher.servers.Get(serverKey{cell: cell.number, server: running.server}); server != nil {
 			dispatcher.adoptRunning(cell, server, task.key())
 		}
--- a/pkg/dispatcher/takeover.go
+++ b/pkg/dispatcher/takeover.go
@@ -5,33 +5,32 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// takeLead begins the takeover of a cell.
+// handleLeadTaken begins the takeover of a cell.
 //
-// An earlier lead may have died with starts on their way. If this host started
-// the tasks that it does not see, they could run twice. It would show as one task
-// of a submission at two backend servers. Therefore every backend server must
-// first accept the new epoch, which makes it refuse starts of earlier leads, and
-// report what it has.
-func (dispatcher *Dispatcher) takeLead(input *LeadTaken) {
-	// A lead that backend servers refused takes its cell again under a higher epoch.
-	// Its jobs come again with it, like those of any other lead; kept from before,
-	// they would stand in a queue that is gone.
-	dispatcher.loseLead(&LeadLost{Cell: input.Cell})
+// An earlier lead may have died with starts in transit. If this host started the tasks that it does
+// not see, they could run twice, as one task of a submission on two backend servers. Therefore
+// every backend server must first accept the new epoch, which makes it refuse starts of earlier
+// leads, and report its tasks.
+func (dispatcher *Dispatcher) handleLeadTaken(input *LeadTaken) {
+	// A lead that backend servers refused takes its cell again under a higher epoch. Its jobs are
+	// forwarded to it again, as to any other lead. If they were kept, they would refer to a queue that
+	// no longer exists.
+	dispatcher.handleLeadLost(&LeadLost{Cell: input.Cell})
 	cell := &cell{
-		number:         input.Cell,
-		epoch:          input.Epoch,
-		awaitedHosts:   make(map[identifier.HostID]bool),
-		awaitedServers: make(map[identifier.BackendServerID]bool),
-		missingHosts:   make(map[identifier.HostID]bool),
-		emptiedHosts:   make(map[identifier.HostID]bool),
-		awaitedDomains: make(map[identifier.FailureDomain]bool),
-		toldDomains:    make(map[identifier.FailureDomain]bool),
-		acknowledged:   make(map[messenger.SubmissionDigest]bool),
-		takenAt:        dispatcher.now,
-		vouchers:       make(map[identifier.HostID]voucher),
-		recovered:      make(map[identifier.SubmissionID]recoveredRecord),
-		orphans:        make(map[identifier.SubmissionID]*orphan),
-		free:           newFreeSlots(dispatcher.selection(input.Cell)),
+		number:            input.Cell,
+		epoch:             input.Epoch,
+		awaitedHosts:      make(map[identifier.HostID]bool),
+		awaitedServers:    make(map[identifier.BackendServerID]bool),
+		missingHosts:      make(map[identifier.HostID]bool),
+		hostsWithoutState: make(map[identifier.HostID]bool),
+		awaitedDomains:    make(map[identifier.FailureDomain]bool),
+		repliedDomains:    make(map[identifier.FailureDomain]bool),
+		acknowledged:      make(map[messenger.SubmissionDigest]bool),
+		takenAt:           dispatcher.now,
+		seenServers:       make(map[identifier.HostID]seenServersReply),
+		recovered:         make(map[identifier.SubmissionID]recoveredRecord),
+		unmatched:         make(map[identifier.SubmissionID]*unmatchedTasks),
+		free:              newFreeSlots(dispatcher.selection(input.Cell)),
 	}
 	dispatcher.prepareLimits(cell)
 	dispatcher.cells.Put(input.Cell, cell)
@@ -43,11 +42,11 @@
 	for _, host := range input.Missing {
 		cell.missingHosts[host] = true
 	}
-	dispatcher.countAllEmptied(cell)
-	dispatcher.askGuests(cell)
+	dispatcher.countHostsWithoutState(cell)
+	dispatcher.queryGuests(cell)
 	dispatcher.servers.Each(func(_ serverKey, server *server) bool {
 		if server.cell == cell.number && server.connected {
-			server.askedAgain = false
+			server.reportRequestedAgain = false
 			dispatcher.fence(cell, server)
 			dispatcher.expectHeartbeat(server)
 			cell.awaitedServers[server.id] = true
@@ -59,7 +58,7 @@
 	dispatcher.finishTakeoverIfComplete(cell)
 }
 
-// fence tells the server who leads its cell; the server answers with a report.
+// fence notifies the server of the lead of its cell; the server answers with a report.
 func (dispatcher *Dispatcher) fence(cell *cell, server *server) {
 	server.fenced = false
 	cell.free.remove(server)
@@ -68,16 +67,15 @@
 	}
 }
 
-// loseLead forgets a cell that another host leads now. The hosts that wait for
-// answers forward their jobs to the new lead, which learns from the backend
-// servers what has started.
-func (dispatcher *Dispatcher) loseLead(input *LeadLost) {
+// handleLeadLost forgets a cell that another host leads now. The hosts that wait for answers
+// forward their jobs to the new lead, which learns from the backend servers what has started.
+func (dispatcher *Dispatcher) handleLeadLost(input *LeadLost) {
 	if dispatcher.cells.Get(input.Cell) == nil {
 		return
 	}
 	dispatcher.cells.Remove(input.Cell)
 	dispatcher.timers.Clear(timerKey{kind: timerTakeover, cell: input.Cell})
-	dispatcher.timers.Clear(timerKey{kind: timerEmptied, cell: input.Cell})
+	dispatcher.timers.Clear(timerKey{kind: timerLostState, cell: input.Cell})
 	dispatcher.jobs.Each(func(_ identifier.SubmissionID, job *job) bool {
 		if job.cell == input.Cell {
 			dispatcher.forget(job)
@@ -103,18 +101,18 @@
 	}
 	dispatcher.adoptAnswers(cell, input.Reply.Records)
 	for _, host := range input.Reply.Emptied {
-		dispatcher.countEmptied(cell, host)
+		dispatcher.countHostWithoutState(cell, host)
 	}
-	dispatcher.askGuests(cell)
-	dispatcher.noteVoucher(cell, input)
+	dispatcher.queryGuests(cell)
+	dispatcher.recordSeenServers(cell, input)
 	delete(cell.awaitedHosts, input.From)
 	delete(cell.missingHosts, input.From)
 	dispatcher.finishTakeoverIfComplete(cell)
-	dispatcher.placeUnplaced(cell)
+	dispatcher.requeueUnlocated(cell)
 }
 
-// mergeRecord keeps the record that knows most: one with the answer goes before
-// one without, the older before the younger.
+// mergeRecord keeps the most informative record of a submission: one with the answer wins over one
+// without, an older one over a newer one.
 func (dispatcher *Dispatcher) mergeRecord(cell *cell, holder identifier.HostID, record messenger.CopyRecord) {
 	knownSince := dispatcher.now.Add(-record.Age)
 	knownAfter := dispatcher.knownAfter(cell, &record)
@@ -131,8 +129,8 @@
 	if found {
 		knownAfter = identifier.Earlier(knownAfter, known.knownAfter)
 	}
-	nearer := recoveredRecord{holder: holder, record: record}
-	betterHolder := nearer.keptBySelf(dispatcher.Self) || record.Answered && record.AnswerAt == "" && known.record.AnswerAt != ""
+	candidate := recoveredRecord{holder: holder, record: record}
+	betterHolder := candidate.keptBySelf(dispatcher.Self) || record.Answered && record.AnswerAt == "" && known.record.AnswerAt != ""
 	if found && known.record.Answered && !betterHolder {
 		known.knownSince = knownSince
 		known.knownAfter = knownAfter
@@ -143,9 +141,9 @@
 		holder = record.AnswerAt
 	}
 	cell.recovered[record.Submission] = recoveredRecord{
-		holder: holder, record: record, knownSince: knownSince, knownAfter: knownAfter, keptUntil: dispatcher.retentionOf(record),
+		holder: holder, record: record, knownSince: knownSince, knownAfter: knownAfter, keptUntil: dispatcher.retainedUntil(record),
 	}
-	dispatcher.sweepLater(cell)
+	dispatcher.scheduleSweep(cell)
 }
 
 func (dispatcher *Dispatcher) recordReport(input *ServerReported) {
@@ -162,27 +160,27 @@
 	if input.Epoch < cell.epoch {
 		return
 	}
-	// A server that was told twice who leads reports twice. Only the first report
-	// comes before everything that was started since; the second may have been
-	// under way when a start was sent, and says nothing of tasks that it lacks.
-	if dispatcher.askAgain(cell, server, input) {
+	// A server that was notified twice of the lead reports twice. Only the first report precedes
+	// everything that was started since. The second may have been in transit when a start was sent, so
+	// a task that is missing from it may still run.
+	if dispatcher.requestReportAgain(cell, server, input) {
 		return
 	}
-	asked := !server.fenced
+	requested := !server.fenced
 	server.fenced = true
 	for _, digest := range input.Acknowledged {
 		cell.acknowledged[digest] = true
 	}
 	dispatcher.reconcile(cell, server, input.Tasks, input.Unacknowledged)
-	if asked {
-		dispatcher.returnAbsent(cell, server, input)
+	if requested {
+		dispatcher.requeueAbsent(cell, server, input)
 	}
 	cell.free.update(server)
-	dispatcher.placeUnplaced(cell)
-	dispatcher.endWait(cell, server)
+	dispatcher.requeueUnlocated(cell)
+	dispatcher.stopAwaitingReport(cell, server)
 }
 
-// reconcile takes over what a report tells of running and ended tasks.
+// reconcile applies a report's running and ended tasks.
 func (dispatcher *Dispatcher) reconcile(cell *cell, server *server, tasks []TaskKey, answers []ServerAnswer) {
 	for _, key := range tasks {
 		dispatcher.adoptRunning(cell, server, key)
@@ -192,10 +190,9 @@
 	}
 }
 
-// returnAbsent compares a complete report with the starts that this host has sent
-// before it asked. A task that is absent was never started and goes back to the
-// queue.
-func (dispatcher *Dispatcher) returnAbsent(cell *cell, server *server, report *ServerReported) {
+// requeueAbsent compares a complete report with the starts that this host sent before it requested
+// the report. A task that is missing from the report was never started and goes back to the queue.
+func (dispatcher *Dispatcher) requeueAbsent(cell *cell, server *server, report *ServerReported) {
 	present := make(map[TaskKey]bool, len(report.Tasks)+len(report.Unacknowledged))
 	for _, key := range report.Tasks {
 		present[key] = true
@@ -205,7 +202,7 @@
 	}
 	for _, task := range dispatcher.tasksOn(server) {
 		if !present[task.key()] {
-			dispatcher.returnToQueue(cell, server, task)
+			dispatcher.requeue(cell, server, task)
 		}
 	}
 }
@@ -220,13 +217,13 @@
 	return tasks
 }
 
-// adoptRunning notes that the server runs a task, whether this host started it
-// or an earlier lead did.
+// adoptRunning records that the server runs a task, whether this host started it or an earlier lead
+// did.
 func (dispatcher *Dispatcher) adoptRunning(cell *cell, server *server, key TaskKey) {
 	job := dispatcher.jobs.Get(key.Submission)
 	if job == nil {
-		running := cell.orphanOf(key.Submission).running
-		running[key.Task] = orphanTask{server: server.id, incarnation: server.incarnation}
+		running := cell.unmatchedOf(key.Submission).running
+		running[key.Task] = unmatchedTask{server: server.id, incarnation: server.incarnation}
 		return
 	}
 	task := job.byID[key.Task]
@@ -236,26 +233,26 @@
 	if task == nil || task.state == taskAnswered {
 		return
 	}
-	dispatcher.takeFromQueue(cell, job, task)
+	dispatcher.removeFromQueue(cell, job, task)
 	task.state = taskStarted
 	task.server = server.id
 	server.running[key] = task
-	dispatcher.beginFlight(cell, task)
+	dispatcher.addInFlight(cell, task)
 	if job.state == jobFinished || job.failure != nil {
 		dispatcher.stop(server.id, key)
 	}
 }
 
-func (cell *cell) orphanOf(submission identifier.SubmissionID) *orphan {
-	found, exists := cell.orphans[submission]
+func (cell *cell) unmatchedOf(submission identifier.SubmissionID) *unmatchedTasks {
+	unmatched, exists := cell.unmatched[submission]
 	if !exists {
-		found = &orphan{
-			running: make(map[identifier.TaskID]orphanTask),
-			answers: make(map[identifier.TaskID]orphanAnswer),
+		unmatched = &unmatchedTasks{
+			running: make(map[identifier.TaskID]unmatchedTask),
+			answers: make(map[identifier.TaskID]unmatchedAnswer),
 		}
-		cell.orphans[submission] = found
+		cell.unmatched[submission] = unmatched
 	}
-	return found
+	return unmatched
 }
 
 func (dispatcher *Dispatcher) finishTakeoverIfComplete(cell *cell) {
--- a/pkg/dispatcher/takeover_cancel_test.go
+++ b/pkg/dispatcher/takeover_cancel_test.go
@@ -9,11 +9,11 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// TestCancelDuringTakeover: symptom: tasks of a cancelled job go on running (row
-// 13). Sequence: a new lead takes the cell while a backend server runs a task of a
-// submission; the job is forwarded again and cancelled, before or after that
-// server's report. Cause: the lead stops only the tasks that it has matched with
-// their job, and it matches none of a job that ended during the takeover.
+// TestCancelDuringTakeover guards against tasks of a cancelled job that keep running (row 13). A new
+// lead takes the cell while a backend server runs a task of a submission. The job is forwarded again
+// and cancelled, before or after that server's report. If the lead stops only tasks that it has
+// matched with their job, it misses this one, since it matches no tasks of a job that ended during
+// the takeover.
 func TestCancelDuringTakeover(t *testing.T) {
 	job := newJob("s-1", "a", "counter", equalRuns(1, 0), nil)
 	key := dispatcher.TaskKey{Submission: "s-1", Task: "t-0"}
--- a/pkg/dispatcher/teamstatus.go
+++ b/pkg/dispatcher/teamstatus.go
@@ -7,13 +7,13 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// TeamStatus counts the work of one team in the cells that this host leads.
+// TeamStatus counts the jobs and tasks of one team in the cells that this host leads.
 type TeamStatus struct {
 	Team identifier.TeamID `json:"team"`
 	WorkStatus
 }
 
-// Teams counts the work of each team that has a job without an answer, by name.
+// Teams lists the counts of each team that has a job without an answer, sorted by team name.
 func (dispatcher *Dispatcher) Teams() []TeamStatus {
 	statuses := []TeamStatus{}
 	positions := make(map[identifier.TeamID]int)
