--- a/pkg/cataloguer/cataloguer.go
+++ b/pkg/cataloguer/cataloguer.go
@@ -1,5 +1,4 @@
-// Package cataloguer tells which queue a caller's request belongs to, by the
-// configuration in force.
+// Package cataloguer maps a caller's request to a queue of the configuration in force.
 package cataloguer
 
 import (
@@ -11,39 +10,39 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Queue is where the jobs of one kind come in.
+// Queue holds the settings for one kind of jobs.
 type Queue struct {
 	Name identifier.QueueName
-	// Host and PathPrefix select the queue: the host of the request, and the longest
-	// prefix that its path begins with.
+	// Host and PathPrefix select the queue: Host equals the host of the request, and PathPrefix is
+	// the longest one that its path begins with.
 	Host       string
 	PathPrefix string
 	Service    identifier.ServiceName
-	// Timeout is how long a caller waits that doesn't say for how long.
+	// Timeout is how long a caller waits whose request sets no deadline.
 	Timeout time.Duration
-	// Stretch times the longest run time plus Allowance is the response time that
-	// counts as in time.
+	// A job is answered in time if its response time is at most Stretch times the longest run
+	// time of its tasks, plus Allowance.
 	Stretch   float64
 	Allowance time.Duration
-	// Urgency is 0 for what comes first.
+	// Urgency is the priority of the queue's jobs; 0 comes first.
 	Urgency int
-	// Attempts is how many runs of one task may fail.
+	// Attempts is the number of runs of one task that may fail.
 	Attempts int
 }
 
-// Limits bounds what callers may send; zero bounds nothing.
+// Limits bounds the requests of callers; zero means no limit.
 type Limits struct {
 	BodyBytes identifier.Bytes
 }
 
-// Catalogue is one version of the queues. It is never changed.
+// Catalogue holds the queues of one configuration version. It is immutable.
 type Catalogue struct {
 	Limits Limits
-	// byHost holds each host's queues, the longest prefix first.
+	// byHost holds the queues of each request host, the longest prefix first.
 	byHost map[string][]Queue
 }
 
-// New returns the catalogue of queues.
+// New returns a catalogue of the given queues and limits.
 func New(queues []Queue, limits Limits) *Catalogue {
 	created := &Catalogue{Limits: limits, byHost: make(map[string][]Queue)}
 	for _, queue := range queues {
@@ -57,7 +56,7 @@
 	return created
 }
 
-// Find returns the queue of a request, and what follows its prefix in the path.
+// Find returns the queue of a request and the rest of the path after the queue's prefix.
 func (catalogue *Catalogue) Find(host, path string) (queue *Queue, rest string, found bool) {
 	queues := catalogue.byHost[host]
 	for index := range queues {
