--- a/pkg/inquirer/inquirer.go
+++ b/pkg/inquirer/inquirer.go
@@ -1,11 +1,11 @@
-// Package inquirer decides, on the host that leads a cell, whether a job may be given room
-// that the lead of its home cell has not sent there.
+// Package inquirer decides, on the host that leads a cell, whether a job may get capacity there
+// although the lead of its home cell has not referred it.
 //
-// Only the home's lead knows which runs an earlier sending of the job has. Where that lead
-// doesn't answer the host of a job, every other host of the home is asked first; one of them
-// supervises the earlier sending, if there is one.
+// Only the home's lead knows which runs an earlier submission of the job has. If that lead doesn't
+// answer the host of the job, the inquirer first queries every other host of the home. One of them
+// supervises the earlier submission, if there is one.
 //
-// It is pure: time and events come in through Tick, messages go out.
+// The package has no side effects: Tick takes the time and events, and returns messages.
 package inquirer
 
 import (
@@ -17,45 +17,43 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// Settings says how long things last.
+// Settings holds the timeouts of an inquirer.
 type Settings struct {
-	// ReplyWait is how long the hosts have to reply.
-	ReplyWait time.Duration
-	// Lease is how long a run may go on without a renewal.
+	// ReplyTimeout is how long the hosts have to reply to an inquiry.
+	ReplyTimeout time.Duration
+	// Lease is how long a run may continue without a renewal.
 	Lease time.Duration
 }
 
-// DefaultSettings returns the settings that the daemon starts from.
+// DefaultSettings returns the daemon's default settings.
 func DefaultSettings() Settings {
-	return Settings{ReplyWait: 40 * time.Millisecond, Lease: time.Second}
+	return Settings{ReplyTimeout: 40 * time.Millisecond, Lease: time.Second}
 }
 
-// Inquirer holds the requests that wait for replies. Set the exported fields before the first
-// Tick.
+// Inquirer holds the requests that wait for replies. Set the exported fields before the first Tick.
 type Inquirer struct {
 	Settings Settings
 
 	now       identifier.Moment
 	inquiries *tabulator.Table[inquiryKey, inquiry]
-	// silences are the hosts that have left inquiries unanswered.
-	silences map[identifier.HostID]silence
-	// lost are the hosts that were lost within the last lease.
-	lost    map[identifier.HostID]loss
-	timers  *tabulator.Timers[inquiryKey]
-	outputs []Output
+	// silentPeriods holds the hosts that have left inquiries unanswered.
+	silentPeriods map[identifier.HostID]silentPeriod
+	// lostHosts holds the hosts that were lost within the last lease.
+	lostHosts map[identifier.HostID]hostLoss
+	timers    *tabulator.Timers[inquiryKey]
+	outputs   []Output
 }
 
-// silence is when a host left the first of its unanswered inquiries, and when the last of them
-// ended.
-type silence struct{ since, until identifier.Moment }
+// silentPeriod is the time from a host's first unanswered inquiry to the end of its last one.
+type silentPeriod struct{ since, until identifier.Moment }
 
-// loss is where and when a host was lost.
-type loss struct {
+// hostLoss is the failure domain of a lost host and the time of the loss.
+type hostLoss struct {
 	domain identifier.FailureDomain
 	at     identifier.Moment
 }
 
-// inquiryKey names an inquiry. Two cells of one host may be asked for one job.
+// inquiryKey identifies an inquiry. One job may have a request at two cells of one host.
 type inquiryKey struct {
 	job  identifier.JobID
 	cell messenger.CellNumber
@@ -65,23 +63,24 @@
 type inquiry struct {
 	request   *RoomRequested
 	arrivedAt identifier.Moment
-	// missing are the hosts that have not replied.
-	missing []identifier.HostID
+	// pendingHosts holds the hosts that have not replied.
+	pendingHosts []identifier.HostID
 }
 
-// Tick applies the inputs, lets deadlines fall due and returns what to do.
+// Tick applies the inputs, ends the inquiries that time out at now and returns the outputs for its
+// owner to carry out.
 func (inquirer *Inquirer) Tick(now identifier.Moment, inputs []Input) []Output {
 	inquirer.prepare(now)
 	for _, input := range inputs {
 		inquirer.apply(input)
 	}
-	inquirer.timers.EachDue(now, inquirer.expire)
+	inquirer.timers.EachDue(now, inquirer.handleTimeout)
 	outputs := inquirer.outputs
 	inquirer.outputs = nil
 	return outputs
 }
 
-// NextDeadline returns when Tick must run even without inputs.
+// NextDeadline returns the time at which Tick must run even without inputs, or identifier.Never.
 func (inquirer *Inquirer) NextDeadline() identifier.Moment {
 	if inquirer.timers == nil {
 		return identifier.Never
@@ -95,44 +94,44 @@
 		return
 	}
 	inquirer.inquiries = tabulator.New[inquiryKey, inquiry]()
-	inquirer.silences = make(map[identifier.HostID]silence)
-	inquirer.lost = make(map[identifier.HostID]loss)
+	inquirer.silentPeriods = make(map[identifier.HostID]silentPeriod)
+	inquirer.lostHosts = make(map[identifier.HostID]hostLoss)
 	inquirer.timers = tabulator.NewTimers[inquiryKey]()
 }
 
 func (inquirer *Inquirer) apply(input Input) {
 	switch input := input.(type) {
 	case *RoomRequested:
-		inquirer.begin(input)
+		inquirer.handleRequest(input)
 	case *RoomReleased:
-		inquirer.release(input)
+		inquirer.handleRelease(input)
 	case *ReplyArrived:
-		inquirer.takeReply(input)
+		inquirer.handleReply(input)
 	case *HostLost:
-		delete(inquirer.silences, input.Host)
-		inquirer.lost[input.Host] = loss{domain: input.FailureDomain, at: inquirer.now}
+		delete(inquirer.silentPeriods, input.Host)
+		inquirer.lostHosts[input.Host] = hostLoss{domain: input.FailureDomain, at: inquirer.now}
 	}
 }
 
-// begin asks the hosts of a job's home. A request for the same job that waits already is
-// denied: only one sending may go on.
-func (inquirer *Inquirer) begin(input *RoomRequested) {
+// handleRequest sends an inquiry to the hosts of a job's home. An earlier request for the same job
+// from another host is denied, as only one submission may continue.
+func (inquirer *Inquirer) handleRequest(input *RoomRequested) {
 	key := inquiryKey{job: input.Request.Job, cell: input.Request.Cell}
 	if earlier := inquirer.inquiries.Get(key); earlier != nil && earlier.request.From != input.From {
 		inquirer.deny(key, earlier, "sent again")
 	}
-	created := &inquiry{request: input, arrivedAt: inquirer.now, missing: slices.Clone(input.Peers)}
-	if host := inquirer.lostLately(input.Home); host != "" {
+	created := &inquiry{request: input, arrivedAt: inquirer.now, pendingHosts: slices.Clone(input.Peers)}
+	if host := inquirer.recentlyLostHost(input.Home); host != "" {
 		inquirer.deny(key, created, string(host)+" was lost lately")
 		return
 	}
 	inquirer.inquiries.Put(key, created)
-	inquirer.timers.Set(key, inquirer.now.Add(inquirer.Settings.ReplyWait))
-	question := messenger.JobInquiry{Job: key.job, Cell: key.cell, Host: input.From}
+	inquirer.timers.Set(key, inquirer.now.Add(inquirer.Settings.ReplyTimeout))
+	message := messenger.JobInquiry{Job: key.job, Cell: key.cell, Host: input.From}
 	for _, peer := range input.Peers {
-		inquirer.emit(&SendInquiry{To: peer, Inquiry: question})
+		inquirer.emit(&SendInquiry{To: peer, Inquiry: message})
 	}
-	inquirer.settle(key, created)
+	inquirer.clearIfSettled(key, created)
 	if inquirer.inquiries.Get(key) == created {
 		inquirer.emit(&RequestHeld{From: input.From, Request: input.Request})
 	}
@@ -146,13 +145,14 @@
 	return tasks
 }
 
-// lostLately returns a host of a failure domain of which runs may still be at work, or none.
-func (inquirer *Inquirer) lostLately(domain identifier.FailureDomain) identifier.HostID {
+// recentlyLostHost returns a lost host of a failure domain whose runs may still be active, or an
+// empty id.
+func (inquirer *Inquirer) recentlyLostHost(domain identifier.FailureDomain) identifier.HostID {
 	var found identifier.HostID
-	for host, loss := range inquirer.lost {
+	for host, loss := range inquirer.lostHosts {
 		switch {
 		case loss.at.Add(inquirer.lapseTime()).Due(inquirer.now):
-			delete(inquirer.lost, host)
+			delete(inquirer.lostHosts, host)
 		case loss.domain == domain:
 			found = max(found, host)
 		}
@@ -160,107 +160,109 @@
 	return found
 }
 
-func (inquirer *Inquirer) release(input *RoomReleased) {
+func (inquirer *Inquirer) handleRelease(input *RoomReleased) {
 	key := inquiryKey{job: input.Job, cell: input.Cell}
-	if known := inquirer.inquiries.Get(key); known != nil && known.request.From == input.From {
-		inquirer.forget(key)
+	if pending := inquirer.inquiries.Get(key); pending != nil && pending.request.From == input.From {
+		inquirer.remove(key)
 	}
 }
 
-func (inquirer *Inquirer) takeReply(input *ReplyArrived) {
-	delete(inquirer.silences, input.From)
+func (inquirer *Inquirer) handleReply(input *ReplyArrived) {
+	delete(inquirer.silentPeriods, input.From)
 	key := inquiryKey{job: input.Reply.Job, cell: input.Reply.Cell}
-	known := inquirer.inquiries.Get(key)
-	if known == nil || known.request.From != input.Reply.Host {
+	pending := inquirer.inquiries.Get(key)
+	if pending == nil || pending.request.From != input.Reply.Host {
 		return
 	}
 	if input.Reply.Known {
-		inquirer.deny(key, known, "known to "+string(input.From))
+		inquirer.deny(key, pending, "known to "+string(input.From))
 		return
 	}
-	known.missing = slices.DeleteFunc(known.missing, func(host identifier.HostID) bool { return host == input.From })
-	inquirer.settle(key, known)
+	pending.pendingHosts = slices.DeleteFunc(pending.pendingHosts, func(host identifier.HostID) bool { return host == input.From })
+	inquirer.clearIfSettled(key, pending)
 }
 
-// settle clears a request once every host has replied that has to.
-func (inquirer *Inquirer) settle(key inquiryKey, known *inquiry) {
-	if !slices.ContainsFunc(known.missing, inquirer.mayHaveRuns) {
-		inquirer.clear(key, known)
+// clearIfSettled clears a request once all hosts that may have runs have replied.
+func (inquirer *Inquirer) clearIfSettled(key inquiryKey, inquiry *inquiry) {
+	if !slices.ContainsFunc(inquiry.pendingHosts, inquirer.mayHaveRuns) {
+		inquirer.clear(key, inquiry)
 	}
 }
 
-// mayHaveRuns tells whether runs may be at work that a host has started which has not replied. Once
-// it has been silent for a lease, another host that knows of them renews them, or they are over.
+// mayHaveRuns reports whether runs that a host without a reply has started may be active. Once the
+// host has been silent for a lease, its runs have ended or are renewed by another host, which knows
+// them.
 func (inquirer *Inquirer) mayHaveRuns(host identifier.HostID) bool {
-	silence, silent := inquirer.silences[host]
+	period, silent := inquirer.silentPeriods[host]
 	lapse := inquirer.lapseTime()
-	return !silent || silence.until.Before(silence.since.Add(lapse)) || silence.until.Add(lapse).Due(inquirer.now)
+	return !silent || period.until.Before(period.since.Add(lapse)) || period.until.Add(lapse).Due(inquirer.now)
 }
 
-// lapseTime is how long a run goes on at most that nobody renews.
+// lapseTime returns the longest time that a run continues without a renewal.
 func (inquirer *Inquirer) lapseTime() time.Duration { return inquirer.Settings.Lease + lapseMargin }
 
-// lapseMargin is for clocks that run slow, and for the time that a server takes to end a run.
+// lapseMargin allows for slow clocks and for the time that a server takes to end a run.
 const lapseMargin = 80 * time.Millisecond
 
-// expire ends an inquiry to which some hosts have not replied.
-func (inquirer *Inquirer) expire(key inquiryKey) {
-	known := inquirer.inquiries.Get(key)
-	if known == nil {
+// handleTimeout ends an inquiry after ReplyTimeout. The request is cleared if the hosts without a
+// reply can have no runs, and denied otherwise.
+func (inquirer *Inquirer) handleTimeout(key inquiryKey) {
+	pending := inquirer.inquiries.Get(key)
+	if pending == nil {
 		return
 	}
-	for _, host := range known.missing {
-		inquirer.noteSilence(host, known.arrivedAt)
+	for _, host := range pending.pendingHosts {
+		inquirer.recordSilence(host, pending.arrivedAt)
 	}
-	inquirer.settle(key, known)
-	if inquirer.inquiries.Get(key) == known {
-		missing := slices.IndexFunc(known.missing, inquirer.mayHaveRuns)
-		inquirer.deny(key, known, "no reply of "+string(known.missing[missing]))
+	inquirer.clearIfSettled(key, pending)
+	if inquirer.inquiries.Get(key) == pending {
+		first := slices.IndexFunc(pending.pendingHosts, inquirer.mayHaveRuns)
+		inquirer.deny(key, pending, "no reply of "+string(pending.pendingHosts[first]))
 	}
 }
 
-// noteSilence notes that a host has not replied in time to an inquiry. One that was asked nothing
-// for a lease may have been well meanwhile.
-func (inquirer *Inquirer) noteSilence(host identifier.HostID, asked identifier.Moment) {
-	known, silent := inquirer.silences[host]
-	if !silent || known.until.Add(inquirer.lapseTime()).Due(inquirer.now) {
-		known.since = asked
+// recordSilence records that a host has not replied in time to an inquiry. A new silent period
+// starts if the host got no inquiry for a lease, as it may have been responsive meanwhile.
+func (inquirer *Inquirer) recordSilence(host identifier.HostID, sentAt identifier.Moment) {
+	period, silent := inquirer.silentPeriods[host]
+	if !silent || period.until.Add(inquirer.lapseTime()).Due(inquirer.now) {
+		period.since = sentAt
 	}
-	known.until = asked.Add(inquirer.Settings.ReplyWait)
-	inquirer.silences[host] = known
+	period.until = sentAt.Add(inquirer.Settings.ReplyTimeout)
+	inquirer.silentPeriods[host] = period
 }
 
-// clear hands a request on, with the times as they are now, and tells the home where its job
-// goes: a sending that comes there later has to follow it.
-func (inquirer *Inquirer) clear(key inquiryKey, known *inquiry) {
-	inquirer.forget(key)
-	waited := inquirer.now.Sub(known.arrivedAt)
-	request := known.request.Request
+// clear passes a request on with its times updated, and notifies the home where the job goes, so
+// that a later submission there follows it.
+func (inquirer *Inquirer) clear(key inquiryKey, inquiry *inquiry) {
+	inquirer.remove(key)
+	waited := inquirer.now.Sub(inquiry.arrivedAt)
+	request := inquiry.request.Request
 	request.Elapsed += waited
 	request.Remaining -= waited
-	inquirer.decided(known, "cleared")
+	inquirer.logDecision(inquiry, "cleared")
 	notice := messenger.JobElsewhere{Job: key.job, Cell: key.cell, Tasks: tasksOf(&request)}
-	for _, peer := range known.request.Peers {
+	for _, peer := range inquiry.request.Peers {
 		inquirer.emit(&SendNotice{To: peer, Notice: notice})
 	}
-	inquirer.emit(&RequestCleared{From: known.request.From, Request: request})
+	inquirer.emit(&RequestCleared{From: inquiry.request.From, Request: request})
 }
 
-func (inquirer *Inquirer) deny(key inquiryKey, known *inquiry, reason string) {
-	inquirer.forget(key)
-	inquirer.decided(known, reason)
-	inquirer.emit(&RequestDenied{From: known.request.From, Request: known.request.Request})
+func (inquirer *Inquirer) deny(key inquiryKey, inquiry *inquiry, reason string) {
+	inquirer.remove(key)
+	inquirer.logDecision(inquiry, reason)
+	inquirer.emit(&RequestDenied{From: inquiry.request.From, Request: inquiry.request.Request})
 }
 
-func (inquirer *Inquirer) forget(key inquiryKey) {
+func (inquirer *Inquirer) remove(key inquiryKey) {
 	inquirer.inquiries.Remove(key)
 	inquirer.timers.Clear(key)
 }
 
-func (inquirer *Inquirer) decided(known *inquiry, reason string) {
+func (inquirer *Inquirer) logDecision(inquiry *inquiry, reason string) {
 	inquirer.emit(&Decided{Decision: messenger.Decision{
-		Kind: messenger.DecisionInquired, Job: known.request.Request.Job, Host: known.request.From, Tasks: len(known.request.Peers),
-		Reason: reason, Elapsed: inquirer.now.Sub(known.arrivedAt),
+		Kind: messenger.DecisionInquired, Job: inquiry.request.Request.Job, Host: inquiry.request.From, Tasks: len(inquiry.request.Peers),
+		Reason: reason, Elapsed: inquirer.now.Sub(inquiry.arrivedAt),
 	}})
 }
 
--- a/pkg/inquirer/inquirer_test.go
+++ b/pkg/inquirer/inquirer_test.go
@@ -14,17 +14,17 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// TestScenarios plays the files of testdata. Each command is one tick at the time of its argument
-// at; what comes out is printed, a line each.
+// TestScenarios runs the scenarios in testdata. Each command is one tick at the time of its argument
+// at; its outputs are printed one per line.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		asked := &inquirer.Inquirer{Settings: inquirer.DefaultSettings()}
+		tested := &inquirer.Inquirer{Settings: inquirer.DefaultSettings()}
 		datadriven.RunTest(t, path, func(t *testing.T, data *datadriven.TestData) string {
 			at, err := time.ParseDuration(scan(t, data, "at"))
 			if err != nil {
 				t.Fatal(err)
 			}
-			return describe(asked.Tick(identifier.Moment(at), inputsOf(t, data)))
+			return describe(tested.Tick(identifier.Moment(at), inputsOf(t, data)))
 		})
 	})
 }
--- a/pkg/inquirer/messages.go
+++ b/pkg/inquirer/messages.go
@@ -8,30 +8,30 @@
 // Input is a message or event that Tick applies.
 type Input interface{ isInquirerInput() }
 
-// RoomRequested brings a request that the lead of the job's home has not vouched for.
+// RoomRequested delivers a request that the lead of the job's home has not referred to this cell.
 type RoomRequested struct {
 	From    identifier.HostID
 	Request messenger.RoomRequest
 	// Home is the failure domain of the job's home.
 	Home identifier.FailureDomain
-	// Peers are the living entry hosts of the job's home but From.
+	// Peers are the live entry hosts of the job's home other than From.
 	Peers []identifier.HostID
 }
 
-// RoomReleased tells that a host wants no more room for a job.
+// RoomReleased reports that a host needs no more capacity for a job.
 type RoomReleased struct {
 	From identifier.HostID
 	Job  identifier.JobID
 	Cell messenger.CellNumber
 }
 
-// ReplyArrived brings a host's reply to an inquiry.
+// ReplyArrived delivers a host's reply to an inquiry.
 type ReplyArrived struct {
 	From  identifier.HostID
 	Reply messenger.JobInquiryReply
 }
 
-// HostLost tells that a host counts as dead, or has a new process.
+// HostLost reports that a host counts as dead or has a new process.
 type HostLost struct {
 	Host          identifier.HostID
 	FailureDomain identifier.FailureDomain
@@ -42,41 +42,42 @@
 func (*ReplyArrived) isInquirerInput()  {}
 func (*HostLost) isInquirerInput()      {}
 
-// Output is a message or a decision.
+// Output is a message, a decision or a log line for the owner of the inquirer to carry out.
 type Output interface{ isInquirerOutput() }
 
-// SendInquiry asks a host whether it knows a job.
+// SendInquiry queries a host whether it knows a job.
 type SendInquiry struct {
 	To      identifier.HostID
 	Inquiry messenger.JobInquiry
 }
 
-// SendNotice tells a host where a job goes.
+// SendNotice notifies a host of the cell that a job goes to.
 type SendNotice struct {
 	To     identifier.HostID
 	Notice messenger.JobElsewhere
 }
 
-// RequestHeld tells a host that its request waits for replies. It would else take this lead for
-// silent.
+// RequestHeld notifies a host that its request waits for replies. Otherwise the host would treat
+// this lead as silent.
 type RequestHeld struct {
 	From    identifier.HostID
 	Request messenger.RoomRequest
 }
 
-// RequestCleared hands on a request whose job no other host knows.
+// RequestCleared passes on a request whose job is not known to any other host.
 type RequestCleared struct {
 	From    identifier.HostID
 	Request messenger.RoomRequest
 }
 
-// RequestDenied rejects a request: an earlier sending of its job may have runs.
+// RequestDenied rejects a request because an earlier submission of its job may have runs, or
+// because a later one has replaced it.
 type RequestDenied struct {
 	From    identifier.HostID
 	Request messenger.RoomRequest
 }
 
-// Decided reports a decision for the log.
+// Decided carries a decision for the log.
 type Decided struct{ Decision messenger.Decision }
 
 func (*SendInquiry) isInquirerOutput()    {}
