--- a/pkg/starter/messages.go
+++ b/pkg/starter/messages.go
@@ -9,43 +9,43 @@
 // Input is an event that Tick applies.
 type Input interface{ isStarterInput() }
 
-// RunWanted asks for a start.
+// RunWanted requests a start on behalf of this host.
 type RunWanted struct{ Start *supervisor.StartRun }
 
-// OrderArrived brings another host's order of a start.
+// OrderArrived delivers another host's order of a start.
 type OrderArrived struct {
 	From  identifier.HostID
 	Order messenger.StartOrder
 }
 
-// CallReturned brings the answer to a CallServer.
+// CallReturned delivers the result of a CallServer.
 type CallReturned struct {
 	For      identifier.HostID
 	Returned supervisor.StartReturned
 }
 
-// ResultArrived brings the result of an order.
+// ResultArrived delivers the result of an order.
 type ResultArrived struct {
 	From   identifier.HostID
 	Result messenger.StartResult
 }
 
-// HostsChanged lists the living entry hosts of a failure domain, in the order of their ids.
+// HostsChanged lists the live entry hosts of a failure domain, in the order of their ids.
 type HostsChanged struct {
 	FailureDomain identifier.FailureDomain
 	Living        []identifier.HostID
 }
 
-// PeerChanged tells whether a connection to another host stands.
+// PeerChanged reports whether this host has a connection to another host.
 type PeerChanged struct {
 	Host      identifier.HostID
 	Connected bool
 }
 
-// EvacuationsKnown tells in which failure domains nothing is started from now on.
+// EvacuationsKnown reports the failure domains in which no run may be started from now on.
 type EvacuationsKnown struct{ Evacuated messenger.Evacuated }
 
-// BoundsKnown tells how many connections a server of each service takes.
+// BoundsKnown reports how many connections a server of each service accepts.
 type BoundsKnown struct {
 	Connections map[identifier.ServiceName]int
 }
@@ -59,14 +59,14 @@
 func (*EvacuationsKnown) isStarterInput() {}
 func (*BoundsKnown) isStarterInput()      {}
 
-// Output is what the owner of the starter carries out.
+// Output is a call or message for the owner of the starter to carry out.
 type Output interface{ isStarterOutput() }
 
-// CallServer calls a backend server for a host, which may be this one.
+// CallServer calls a backend server on behalf of a host, which may be this one.
 type CallServer struct {
 	Start *supervisor.StartRun
 	For   identifier.HostID
-	// Connections is how many connections to the server this host may have at once.
+	// Connections limits how many connections to the server this host may have at once.
 	Connections int
 }
 
@@ -76,13 +76,13 @@
 	Order messenger.StartOrder
 }
 
-// SendResult tells a host what became of its order.
+// SendResult sends a host the result of its order.
 type SendResult struct {
 	To     identifier.HostID
 	Result messenger.StartResult
 }
 
-// StartDone brings the answer to a start that was wanted here.
+// StartDone delivers the result of a start that this host requested by RunWanted.
 type StartDone struct{ Returned supervisor.StartReturned }
 
 func (*CallServer) isStarterOutput() {}
--- a/pkg/starter/starter.go
+++ b/pkg/starter/starter.go
@@ -1,14 +1,14 @@
 // Package starter decides which entry host calls a backend server to start a run.
 //
-// A backend server takes a bounded number of connections from all hosts together. If every
-// host that was granted room there called it itself, their number would grow with the
-// deployment; beyond the bound the server resets connections, and with them the calls of its
-// lead. It would show as servers that are lost and back within milliseconds under a steady
-// load, and as starts that are repeated. So each server has a set of starters among the entry
-// hosts of its failure domain, in rendezvous order, that is small enough for its bound. A host
-// that is none of them orders the start from one.
+// A backend server accepts a limited number of connections from all hosts together. If every host
+// with a grant for a server called it directly, the connections would grow with the deployment.
+// Beyond the limit the server resets connections, and with them the calls of its lead. The
+// symptoms would be servers that are lost and back within milliseconds under a steady load, and
+// repeated starts. So each server has a set of starters: entry hosts of its failure domain that
+// are selected by rendezvous hashing, few enough for its limit. Any other host orders the start
+// from one of them.
 //
-// It is pure: time and events come in through Tick, calls and messages go out.
+// The package has no side effects: Tick takes the time and events, and returns calls and messages.
 package starter
 
 import (
@@ -20,67 +20,69 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// Settings bounds the connections of the starters.
+// Settings holds the connection limits of the starters and the timeout of their orders.
 type Settings struct {
-	// HostConnections is how many connections one starter opens to one server, and
-	// FewConnections how many where a failure domain has so few hosts that all may: a call
-	// whose answer is lost holds its connection up while others wait for it.
+	// HostConnections is how many connections one starter opens to one server. FewConnections
+	// applies instead if the failure domain has so few hosts that each may open more: a call whose
+	// answer is lost blocks its connection while other calls wait for it.
 	HostConnections int
 	FewConnections  int
-	// LeadConnections is how many of a server's connections are kept for the calls of its lead
-	// and of the lead before.
+	// LeadConnections is how many of a server's connections are reserved for the calls of its lead
+	// and of the previous lead.
 	LeadConnections int
-	// LingerShare is the part of a server's connections that is kept for those of processes that
-	// have ended: it counts them for seconds longer. After a loss of power all hosts come back
-	// while all their former connections still count.
-	LingerShare float64
-	// ServerConnections is how many connections a server takes whose service names no bound.
+	// LingeringShare is the fraction of a server's connections that is reserved for those of ended
+	// processes, which the server counts for seconds longer. After a power loss all hosts come
+	// back while all their former connections still count.
+	LingeringShare float64
+	// ServerConnections is how many connections a server accepts if its service sets no limit.
 	ServerConnections int
-	// OrderTime is how long the result of an order may take: as long as the call itself, and
-	// the way there and back between busy hosts.
-	OrderTime time.Duration
+	// OrderTimeout is how long the result of an order may take: the call itself and a round trip
+	// between busy hosts.
+	OrderTimeout time.Duration
 }
 
-// DefaultSettings returns the settings that the daemon starts from.
+// DefaultSettings returns the daemon's default settings.
 func DefaultSettings() Settings {
 	return Settings{
-		HostConnections: 1, FewConnections: 4, LeadConnections: 8, LingerShare: 0.5, ServerConnections: 64, OrderTime: 220 * time.Millisecond,
+		HostConnections: 1, FewConnections: 4, LeadConnections: 8, LingeringShare: 0.5, ServerConnections: 64, OrderTimeout: 220 * time.Millisecond,
 	}
 }
 
-// Starter decides for one host. Set the exported fields before the first Tick.
+// Starter makes and orders the start calls of one host. Set the exported fields before the first
+// Tick.
 type Starter struct {
 	Self          identifier.HostID
 	FailureDomain identifier.FailureDomain
 	Settings      Settings
 
 	now identifier.Moment
-	// living are the entry hosts of each failure domain that live, in the order of their ids.
-	living map[identifier.FailureDomain][]identifier.HostID
-	// connected are the hosts to which a connection stands.
+	// liveHosts holds the live entry hosts of each failure domain, in the order of their ids.
+	liveHosts map[identifier.FailureDomain][]identifier.HostID
+	// connected holds the hosts to which this host has a connection.
 	connected map[identifier.HostID]bool
-	// bounds are the connections that a server of each service takes.
-	bounds map[identifier.ServiceName]int
-	// sets keeps the starters of the servers until hosts or bounds change.
-	sets map[identifier.BackendServerID][]identifier.HostID
-	// evacuations are the failure domains where nothing is started.
+	// connectionLimits holds how many connections a server of each service accepts.
+	connectionLimits map[identifier.ServiceName]int
+	// starterSets caches the starters of each server until hosts or limits change.
+	starterSets map[identifier.BackendServerID][]identifier.HostID
+	// evacuations holds the failure domains in which no run is started.
 	evacuations messenger.Evacuated
 	orders      *tabulator.Table[orderKey, order]
 	timers      *tabulator.Timers[orderKey]
 	outputs     []Output
 }
 
-// orderKey names a start that was ordered.
+// orderKey identifies an ordered start.
 type orderKey struct {
 	run    messenger.RunKey
 	server identifier.ServerIncarnation
 	epoch  identifier.Epoch
 }
 
-// order is a start that another host was asked to make.
+// order is a start call that another host was requested to make.
 type order struct{ to identifier.HostID }
 
-// Tick applies the inputs, lets deadlines fall due and returns what to do.
+// Tick applies the inputs, ends the orders that time out at now and returns the outputs for its
+// owner to carry out.
 func (starter *Starter) Tick(now identifier.Moment, inputs []Input) []Output {
 	starter.prepare(now)
 	for _, input := range inputs {
@@ -92,7 +94,7 @@
 	return outputs
 }
 
-// NextDeadline returns when Tick must run even without inputs.
+// NextDeadline returns the time at which Tick must run even without inputs, or identifier.Never.
 func (starter *Starter) NextDeadline() identifier.Moment {
 	if starter.timers == nil {
 		return identifier.Never
@@ -105,10 +107,10 @@
 	if starter.timers != nil {
 		return
 	}
-	starter.living = make(map[identifier.FailureDomain][]identifier.HostID)
+	starter.liveHosts = make(map[identifier.FailureDomain][]identifier.HostID)
 	starter.connected = make(map[identifier.HostID]bool)
-	starter.bounds = make(map[identifier.ServiceName]int)
-	starter.sets = make(map[identifier.BackendServerID][]identifier.HostID)
+	starter.connectionLimits = make(map[identifier.ServiceName]int)
+	starter.starterSets = make(map[identifier.BackendServerID][]identifier.HostID)
 	starter.orders = tabulator.New[orderKey, order]()
 	starter.timers = tabulator.NewTimers[orderKey]()
 }
@@ -116,62 +118,62 @@
 func (starter *Starter) apply(input Input) {
 	switch input := input.(type) {
 	case *RunWanted:
-		starter.start(input.Start)
+		starter.handleStartRequest(input.Start)
 	case *OrderArrived:
-		starter.call(starter.startOf(&input.Order), input.From)
+		starter.call(starter.startFromOrder(&input.Order), input.From)
 	case *CallReturned:
-		starter.returnCall(input)
+		starter.returnResult(input)
 	case *ResultArrived:
-		starter.takeResult(input)
+		starter.handleResult(input)
 	case *HostsChanged:
-		starter.living[input.FailureDomain] = input.Living
-		clear(starter.sets)
+		starter.liveHosts[input.FailureDomain] = input.Living
+		clear(starter.starterSets)
 	case *PeerChanged:
-		starter.changePeer(input)
+		starter.handlePeerChanged(input)
 	case *EvacuationsKnown:
 		starter.evacuations = input.Evacuated
 	case *BoundsKnown:
-		starter.bounds = input.Connections
-		clear(starter.sets)
+		starter.connectionLimits = input.Connections
+		clear(starter.starterSets)
 	}
 }
 
-// start calls a server, or orders the call.
-func (starter *Starter) start(start *supervisor.StartRun) {
-	to := starter.choose(start)
+// handleStartRequest calls a server, or orders the call from another host.
+func (starter *Starter) handleStartRequest(start *supervisor.StartRun) {
+	to := starter.chooseHost(start)
 	if to == starter.Self {
 		starter.call(start, starter.Self)
 		return
 	}
 	key := orderKey{run: start.Run, server: start.Server, epoch: start.Epoch}
 	starter.orders.Put(key, &order{to: to})
-	starter.timers.Set(key, starter.now.Add(starter.Settings.OrderTime))
+	starter.timers.Set(key, starter.now.Add(starter.Settings.OrderTimeout))
 	starter.emit(&SendOrder{To: to, Order: messenger.StartOrder{
 		RunKey: start.Run, Server: start.Server, Service: start.Service, Address: start.Address,
 		Epoch: start.Epoch, LeaseEnd: start.LeaseEnd, Payload: start.Payload,
 	}})
 }
 
-// call has this host make a call for a host, unless the server's failure domain is evacuated.
+// call makes a start call on behalf of a host, unless the server's failure domain is evacuated.
 func (starter *Starter) call(start *supervisor.StartRun, caller identifier.HostID) {
 	if starter.evacuations.Has(start.FailureDomain) {
-		starter.returnCall(&CallReturned{For: caller, Returned: supervisor.StartReturned{
+		starter.returnResult(&CallReturned{For: caller, Returned: supervisor.StartReturned{
 			Run: start.Run, Server: start.Server, Epoch: start.Epoch, Outcome: messenger.StartWithheld,
 		}})
 		return
 	}
-	starter.emit(&CallServer{Start: start, For: caller, Connections: starter.connectionsTo(start)})
+	starter.emit(&CallServer{Start: start, For: caller, Connections: starter.connectionLimit(start)})
 }
 
-// startOf returns the start that another host has ordered, of a server of this failure domain.
-func (starter *Starter) startOf(order *messenger.StartOrder) *supervisor.StartRun {
+// startFromOrder returns the start that another host has ordered for a server in this failure domain.
+func (starter *Starter) startFromOrder(order *messenger.StartOrder) *supervisor.StartRun {
 	return &supervisor.StartRun{
 		Server: order.Server, FailureDomain: starter.FailureDomain, Service: order.Service, Address: order.Address, Run: order.RunKey, Epoch: order.Epoch, LeaseEnd: order.LeaseEnd, Payload: order.Payload,
 	}
 }
 
-// returnCall hands the answer to a call to the host that wanted it.
-func (starter *Starter) returnCall(input *CallReturned) {
+// returnResult passes the answer to a call to the host that requested it.
+func (starter *Starter) returnResult(input *CallReturned) {
 	if input.For == starter.Self {
 		starter.emit(&StartDone{Returned: input.Returned})
 		return
@@ -182,9 +184,9 @@
 	}})
 }
 
-// takeResult takes the result of an order, once. One that comes after its time says nothing any
-// more: the start counts as unanswered, and may have been made again.
-func (starter *Starter) takeResult(input *ResultArrived) {
+// handleResult handles the first result of an order. A result after the timeout is ignored: the
+// start already counts as unanswered, and may have been repeated.
+func (starter *Starter) handleResult(input *ResultArrived) {
 	result := &input.Result
 	key := orderKey{run: result.RunKey, server: result.Server, epoch: result.Epoch}
 	if known := starter.orders.Get(key); known == nil || known.to != input.From {
@@ -199,17 +201,18 @@
 	starter.emit(&StartDone{Returned: supervisor.StartReturned{Run: key.run, Server: key.server, Epoch: key.epoch, Outcome: outcome}})
 }
 
-// endUnanswered ends an order whose result did not come in time. The starter, or the server, may
-// have carried it out: like a call without an answer it is repeated or settled by a stop.
+// endUnanswered ends an order without a result, after its timeout or a lost connection. The starter
+// or the server may have executed it, so like any unanswered call it is repeated, or its run is
+// stopped.
 func (starter *Starter) endUnanswered(key orderKey) {
 	if starter.orders.Get(key) != nil {
 		starter.endOrder(key, messenger.StartUnanswered)
 	}
 }
 
-// changePeer follows a connection to another host. What was ordered on one that ended gets no
-// result.
-func (starter *Starter) changePeer(input *PeerChanged) {
+// handlePeerChanged records whether there is a connection to another host. Orders that were sent on
+// a connection that ended get no result.
+func (starter *Starter) handlePeerChanged(input *PeerChanged) {
 	if input.Connected {
 		starter.connected[input.Host] = true
 		return
