--- a/pkg/supervisor/home.go
+++ b/pkg/supervisor/home.go
@@ -7,72 +7,73 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// homeOf is the cell that a job is asked for first. Cells of a failure domain share its
-// jobs evenly.
-func (supervisor *Supervisor) homeOf(job *job) messenger.CellRef {
+// homeCell returns the job's home, the cell that gets its first request. Jobs spread evenly over
+// the cells of a failure domain.
+func (supervisor *Supervisor) homeCell(job *job) messenger.CellRef {
 	cell := messenger.CellOf(identifier.SubmissionID(job.spec.Job), max(supervisor.Cells, 1))
 	return messenger.CellRef{FailureDomain: supervisor.FailureDomain, Cell: cell}
 }
 
-// askHome asks the lead of the job's home, or another lead where the home has none.
-func (supervisor *Supervisor) askHome(job *job, part *part) {
-	home := supervisor.homeOf(job)
+// requestFromHome sends the group's request to the lead of the job's home, or to another lead if
+// the home has none. Without any lead the group waits for one.
+func (supervisor *Supervisor) requestFromHome(job *job, group *group) {
+	home := supervisor.homeCell(job)
 	if lead := supervisor.leadOf(home); lead != "" {
-		supervisor.ask(job, part, lead, home)
+		supervisor.sendRequest(job, group, lead, home)
 		return
 	}
-	if supervisor.askElsewhere(job, part) {
+	if supervisor.requestElsewhere(job, group) {
 		return
 	}
-	part.lead = ""
-	supervisor.timers.Set(silenceTimer(job, part), supervisor.now.Add(supervisor.leadWait(job)))
+	group.lead = ""
+	supervisor.timers.Set(leadTimer(job, group), supervisor.now.Add(supervisor.leadWait(job)))
 }
 
-// awaitHome waits for the lead of the job's home, as another host knows an earlier sending of
-// the job. Given room elsewhere, its tasks would run beside those of that sending.
-func (supervisor *Supervisor) awaitHome(job *job, part *part) {
-	part.lead = ""
-	part.heard = false
-	part.awaitsHome = true
-	job.sentBefore = true
-	supervisor.timers.Set(silenceTimer(job, part), supervisor.now.Add(supervisor.Settings.HomeRetry))
+// awaitHome waits for the lead of the job's home because another host knows an earlier submission
+// of the job. Placed elsewhere, its tasks would run at the same time as those of that submission.
+func (supervisor *Supervisor) awaitHome(job *job, group *group) {
+	group.lead = ""
+	group.answered = false
+	group.awaitsHome = true
+	job.earlierMayHaveStarted = true
+	supervisor.timers.Set(leadTimer(job, group), supervisor.now.Add(supervisor.Settings.HomeRetryInterval))
 }
 
-// askHomeAgain asks for a part that waits for its home as if it were new.
-func (supervisor *Supervisor) askHomeAgain(job *job, part *part) {
-	part.awaitsHome = false
-	part.tried = make(map[messenger.CellRef]bool)
-	if !supervisor.giveBack(job, part) && !supervisor.askElsewhere(job, part) {
-		supervisor.awaitHome(job, part)
+// retryHome requests capacity for a group that waits for its home as if the group were new.
+func (supervisor *Supervisor) retryHome(job *job, group *group) {
+	group.awaitsHome = false
+	group.tried = make(map[messenger.CellRef]bool)
+	if !supervisor.returnToHome(job, group) && !supervisor.requestElsewhere(job, group) {
+		supervisor.awaitHome(job, group)
 	}
 }
 
-// leadWait is how long a job waits for somebody to lead: as long as it can still be in
-// time. A lost lead is replaced in about a second, all leads after a start of all hosts in
-// some 0.1 s; a caller that is told to come back in a second has lost more than that.
+// leadWait returns how long a job waits for a lead: as long as it can still be answered in time.
+// A lost lead is replaced in about a second, and after a start of all hosts all leads are there
+// within some 0.1 s. A refused caller that retries after a second loses more than that.
 func (supervisor *Supervisor) leadWait(job *job) time.Duration {
-	longest := time.Duration(0)
+	longestRunTime := time.Duration(0)
 	for index := range job.spec.Tasks {
-		longest = max(longest, job.spec.Tasks[index].Declared)
+		longestRunTime = max(longestRunTime, job.spec.Tasks[index].Declared)
 	}
-	spare := time.Duration(float64(longest)*(job.spec.Stretch-1)) + job.spec.Allowance
-	return max(spare, supervisor.Settings.LeadWait)
+	slack := time.Duration(float64(longestRunTime)*(job.spec.Stretch-1)) + job.spec.Allowance
+	return max(slack, supervisor.Settings.MinLeadWait)
 }
 
-// giveBack asks the lead of the job's home for the tasks of a part whose lead is silent, and
-// tells whether it could. The home sent them there by what it had heard lately; a failure
-// domain that has been cut off since would else end jobs of which other tasks run.
-func (supervisor *Supervisor) giveBack(job *job, part *part) bool {
-	home := supervisor.homeOf(job)
+// returnToHome sends the tasks of a group whose lead is silent back to the lead of the job's home,
+// and reports whether it could. The home referred them there on its last known state. Without the
+// return, a failure domain partitioned since then would end jobs whose other tasks are running.
+func (supervisor *Supervisor) returnToHome(job *job, group *group) bool {
+	home := supervisor.homeCell(job)
 	lead := supervisor.leadOf(home)
-	if lead == "" || part.tried[home] {
+	if lead == "" || group.tried[home] {
 		return false
 	}
-	_, atHome := supervisor.partAt(job.spec.Job, lead, home.Cell)
+	_, atHome := supervisor.groupAt(job.spec.Job, lead, home.Cell)
 	if atHome == nil {
-		supervisor.ask(job, part, lead, home)
+		supervisor.sendRequest(job, group, lead, home)
 		return true
 	}
-	supervisor.join(job, part, atHome)
+	supervisor.merge(job, group, atHome)
 	return true
 }
--- a/pkg/supervisor/jobs.go
+++ b/pkg/supervisor/jobs.go
@@ -9,52 +9,51 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// arrive takes a job. One that is under way already gets another waiter: it remains
-// one job.
-func (supervisor *Supervisor) arrive(input *JobArrived) {
+// handleJobArrived accepts a job. If the job is already in progress, the caller becomes another
+// waiter for the same job.
+func (supervisor *Supervisor) handleJobArrived(input *JobArrived) {
 	id := input.Job.Job
-	if known := supervisor.jobs.Get(id); known != nil {
-		known.waiters = append(known.waiters, input.Waiter)
+	if existing := supervisor.jobs.Get(id); existing != nil {
+		existing.waiters = append(existing.waiters, input.Waiter)
 		return
 	}
-	if supervisor.revive(input) {
+	if supervisor.resume(input) {
 		return
 	}
 	created := &job{
 		spec: input.Job, waiters: []WaiterID{input.Waiter}, arrivedAt: supervisor.now, deadline: input.Deadline,
-		tasks: make([]task, len(input.Job.Tasks)), left: len(input.Job.Tasks),
+		tasks: make([]task, len(input.Job.Tasks)), tasksLeft: len(input.Job.Tasks),
 	}
-	whole := created.addPart()
+	group := created.addGroup()
 	for index := range created.tasks {
-		created.tasks[index].part = whole
+		created.tasks[index].group = group
 	}
 	supervisor.jobs.Put(id, created)
 	supervisor.timers.Set(deadlineTimer(id), input.Deadline)
-	supervisor.decided(messenger.Decision{
+	supervisor.logDecision(messenger.Decision{
 		Kind: messenger.DecisionArrived, Job: id, Tasks: len(created.tasks), Reason: string(input.Job.Queue),
 	})
-	supervisor.askHome(created, whole)
+	supervisor.requestFromHome(created, group)
 }
 
-// takeGrant starts the granted runs. A lead that is not asked any more gets its room
-// back.
-func (supervisor *Supervisor) takeGrant(input *GrantArrived) {
-	job, part := supervisor.answered(input.Grant.Job, input.From, input.Grant.Cell, input.Grant.Ask)
-	if part == nil {
-		// The lead of a part that was asked again has had its release already.
-		if _, asked := supervisor.partAt(input.Grant.Job, input.From, input.Grant.Cell); asked == nil {
+// handleGrant starts the granted runs. A lead whose request was withdrawn gets its capacity back.
+func (supervisor *Supervisor) handleGrant(input *GrantArrived) {
+	job, group := supervisor.groupForAnswer(input.Grant.Job, input.From, input.Grant.Cell, input.Grant.Ask)
+	if group == nil {
+		// A lead that has received a newer request got its release before that request.
+		if _, pending := supervisor.groupAt(input.Grant.Job, input.From, input.Grant.Cell); pending == nil {
 			supervisor.release(input.From, input.Grant.Cell, input.Grant.Job)
 		}
 		return
 	}
-	part.heard = true
-	if supervisor.evacuations.Has(part.cell.FailureDomain) {
-		supervisor.withhold(job, part, &input.Grant)
+	group.answered = true
+	if supervisor.evacuations.Has(group.cell.FailureDomain) {
+		supervisor.withhold(job, group, &input.Grant)
 		return
 	}
-	part.granted = true
+	group.granted = true
 	for _, run := range input.Grant.Runs {
-		if int(run.Task) >= len(job.tasks) || job.tasks[run.Task].done || job.tasks[run.Task].part != part {
+		if int(run.Task) >= len(job.tasks) || job.tasks[run.Task].done || job.tasks[run.Task].group != group {
 			continue
 		}
 		job.lastRun = max(job.lastRun, run.Run)
@@ -63,161 +62,159 @@
 		task.start = &StartRun{
 			Server: run.Server, Address: run.Address, Run: messenger.RunKey{Job: job.spec.Job, Task: run.Task, Run: run.Run},
 			Epoch: cmp.Or(run.Fence, input.Grant.Epoch), LeaseEnd: run.LeaseEnd, Payload: job.spec.Payload,
-			FailureDomain: part.cell.FailureDomain, Service: job.spec.Service,
+			FailureDomain: group.cell.FailureDomain, Service: job.spec.Service,
 		}
 		supervisor.emit(task.start)
 	}
 }
 
-// withhold starts nothing of a grant, and tells the lead so: it granted before it heard that its
-// failure domain is evacuated.
-func (supervisor *Supervisor) withhold(job *job, part *part, grant *messenger.Grant) {
+// withhold starts none of the granted runs and reports this to the lead, which granted them before
+// it learned that its failure domain is evacuated.
+func (supervisor *Supervisor) withhold(job *job, group *group, grant *messenger.Grant) {
 	for _, run := range grant.Runs {
 		job.lastRun = max(job.lastRun, run.Run)
-		supervisor.emit(&ReportStart{To: part.lead, Report: messenger.StartReport{
+		supervisor.emit(&ReportStart{To: group.lead, Report: messenger.StartReport{
 			RunKey: messenger.RunKey{Job: grant.Job, Task: run.Task, Run: run.Run}, Outcome: messenger.StartWithheld,
-			Epoch: cmp.Or(run.Fence, grant.Epoch), Cell: part.cell.Cell, Server: run.Server,
+			Epoch: cmp.Or(run.Fence, grant.Epoch), Cell: group.cell.Cell, Server: run.Server,
 		}})
 	}
 }
 
-// startRepeats is how often a start without an answer is made again. Three calls of
-// 150 ms take less than half of the lease under which a run may start.
-const startRepeats = 2
+// maxStartRepeats bounds how often an unanswered start call is repeated. Three calls of 150 ms
+// take less than half of the lease under which a run may start.
+const maxStartRepeats = 2
 
-// takeStart takes the answer to a start. The lead finds out what became of one that
-// was not accepted, and gives the task room elsewhere.
+// handleStartReturned handles the answer to a start call. If the start was not accepted, the lead
+// finds out what became of the run and places the task elsewhere.
 //
-// Most often only the answer to a start is lost, and the run is at work. It would be
-// stopped in vain; so the start is made again first. It is idempotent by the number of
-// the run, and its lease bounds it like the first call, which may also arrive late.
-func (supervisor *Supervisor) takeStart(input *StartReturned) {
+// If there is no answer, most often only the answer is lost and the run is active. Stopping it
+// would waste its work, so the call is repeated first. The call is idempotent by the number of the
+// run, and its lease bounds it like the first call, which may also arrive late.
+func (supervisor *Supervisor) handleStartReturned(input *StartReturned) {
 	job := supervisor.jobs.Get(input.Run.Job)
 	if job == nil || input.Outcome == messenger.StartAccepted || int(input.Run.Task) >= len(job.tasks) {
 		return
 	}
 	outcome := input.Outcome
 	task := &job.tasks[input.Run.Task]
-	if !task.isStart(input) {
-		return // Another run is at work, or will be; the lead knows what became of this one.
+	if !task.matchesLastStart(input) {
+		return // Another run has been granted since; the lead knows what became of this one.
 	}
 	if !task.done {
 		switch {
-		case outcome == messenger.StartUnanswered && task.start.Repeats < startRepeats && !supervisor.evacuations.Has(task.start.FailureDomain):
+		case outcome == messenger.StartUnanswered && task.start.Repeats < maxStartRepeats && !supervisor.evacuations.Has(task.start.FailureDomain):
 			repeated := *task.start
 			repeated.Repeats++
 			task.start = &repeated
 			supervisor.emit(task.start)
-			supervisor.decided(messenger.Decision{
+			supervisor.logDecision(messenger.Decision{
 				Kind: messenger.DecisionStartRepeated, Job: job.spec.Job, Task: input.Run.Task, Run: input.Run.Run, Server: task.start.Server,
 				Tasks: task.start.Repeats, Elapsed: supervisor.now.Sub(job.arrivedAt), Epoch: input.Epoch,
 			})
 			return
 		case outcome == messenger.StartStaleRun && task.start.Repeats > 0:
-			return // An earlier call was carried out; the lead learns of its end.
+			return // An earlier call was executed; its server reports the end to the lead.
 		case task.start.Repeats > 0 && outcome != messenger.StartServerGone:
-			// An earlier call may be at work, or still under way. If the lead took the run
-			// for settled, its task would run twice at once.
+			// An earlier call may have started the run, or may still arrive. If the lead
+			// treated the run as ended, its task would run twice at the same time.
 			outcome = messenger.StartUnanswered
 		}
 	}
-	if part := task.part; part.lead != "" {
-		supervisor.emit(&ReportStart{To: part.lead, Report: messenger.StartReport{
-			RunKey: input.Run, Outcome: outcome, Epoch: input.Epoch, Cell: part.cell.Cell, Server: input.Server,
+	if group := task.group; group.lead != "" {
+		supervisor.emit(&ReportStart{To: group.lead, Report: messenger.StartReport{
+			RunKey: input.Run, Outcome: outcome, Epoch: input.Epoch, Cell: group.cell.Cell, Server: input.Server,
 		}})
 	}
 }
 
-// isStart tells whether an answer is to the start of the run that was granted last. The
-// number alone doesn't tell: an earlier sending of the job, or an earlier epoch of its lead, may
-// have used it.
-func (task *task) isStart(returned *StartReturned) bool {
+// matchesLastStart reports whether an answer belongs to the start of the run that was granted
+// last. The run number alone doesn't decide this: an earlier submission of the job, or an earlier
+// epoch of its lead, may have used the same number.
+func (task *task) matchesLastStart(returned *StartReturned) bool {
 	start := task.start
 	return start != nil && start.Run == returned.Run && start.Server == returned.Server && start.Epoch == returned.Epoch
 }
 
-func (supervisor *Supervisor) takeDone(input *DoneArrived) {
+func (supervisor *Supervisor) handleDone(input *DoneArrived) {
 	key := input.Done.RunKey
 	job := supervisor.jobs.Get(key.Job)
 	if job == nil || int(key.Task) >= len(job.tasks) || job.tasks[key.Task].done {
 		return
 	}
 	job.tasks[key.Task].done = true
-	job.left--
-	if job.left == 0 {
+	job.tasksLeft--
+	if job.tasksLeft == 0 {
 		supervisor.end(job, JobEnded{Outcome: OutcomeComplete})
 	}
 }
 
-func (supervisor *Supervisor) takeAnswer(input *AnswerArrived) {
+func (supervisor *Supervisor) handleAnswer(input *AnswerArrived) {
 	answer := &input.Answer
-	job, part := supervisor.answered(answer.Job, input.From, answer.Cell, answer.Ask)
-	if part == nil {
+	job, group := supervisor.groupForAnswer(answer.Job, input.From, answer.Cell, answer.Ask)
+	if group == nil {
 		return
 	}
-	part.heard = true
-	job.sentBefore = job.sentBefore || answer.Begun
+	group.answered = true
+	job.earlierMayHaveStarted = job.earlierMayHaveStarted || answer.Begun
 	switch answer.Kind {
 	case messenger.RoomAnswerWaiting:
 	case messenger.RoomAnswerTurnedAway:
 		supervisor.refuse(job, answer.Reason, answer.Detail, answer.RetryAfter)
 	case messenger.RoomAnswerAskOther:
-		supervisor.askOther(job, part, answer)
+		supervisor.followReferral(job, group, answer)
 	case messenger.RoomAnswerFailed:
 		supervisor.end(job, JobEnded{Outcome: OutcomeFailed, Reason: answer.Reason, Detail: answer.Detail})
 	case messenger.RoomAnswerEvacuated:
-		supervisor.leaveEvacuated(job, part, answer)
+		supervisor.moveFromEvacuated(job, group, answer)
 	case messenger.RoomAnswerNotLed:
-		part.heard = false
-		if !supervisor.askElsewhere(job, part) {
-			part.lead = ""
+		group.answered = false
+		if !supervisor.requestElsewhere(job, group) {
+			group.lead = ""
 		}
 	case messenger.RoomAnswerKnownElsewhere:
-		supervisor.awaitHome(job, part)
+		supervisor.awaitHome(job, group)
 	}
 }
 
-// release tells a lead that a job needs no more room.
+// release notifies the lead of a cell that a job needs no more capacity.
 func (supervisor *Supervisor) release(to identifier.HostID, cell messenger.CellNumber, job identifier.JobID) {
 	supervisor.emit(&ReleaseRoom{To: to, Release: messenger.RoomRelease{Job: job, Cell: cell}})
 }
 
 func (supervisor *Supervisor) releaseAll(job *job) {
-	for _, part := range job.parts {
-		if part.lead != "" {
-			supervisor.release(part.lead, part.cell.Cell, job.spec.Job)
+	for _, group := range job.groups {
+		if group.lead != "" {
+			supervisor.release(group.lead, group.cell.Cell, job.spec.Job)
 		}
 	}
 }
 
-// refuse tells a job's callers that it has not run, or, where that isn't known, that its time was
-// given up.
+// refuse ends a job as refused if it provably has not run, and as given up otherwise.
 func (supervisor *Supervisor) refuse(job *job, reason messenger.Reason, detail string, retryAfter time.Duration) {
 	outcome := OutcomeRefused
-	if !job.knownNotToRun() {
+	if !job.provablyNotRun() {
 		outcome = OutcomeGivenUp
 	}
 	supervisor.end(job, JobEnded{Outcome: outcome, Reason: reason, Detail: detail, RetryAfter: retryAfter})
 }
 
-// giveUp ends a job whose caller's time is over.
+// giveUp ends a job whose deadline has passed.
 func (supervisor *Supervisor) giveUp(job *job) {
-	supervisor.decided(messenger.Decision{
-		Kind: messenger.DecisionGivenUp, Job: job.spec.Job, Host: job.parts[0].lead, Tasks: job.left, Elapsed: supervisor.now.Sub(job.arrivedAt),
+	supervisor.logDecision(messenger.Decision{
+		Kind: messenger.DecisionGivenUp, Job: job.spec.Job, Host: job.groups[0].lead, Tasks: job.tasksLeft, Elapsed: supervisor.now.Sub(job.arrivedAt),
 	})
 	supervisor.refuse(job, messenger.ReasonDeadlinePassed, "the deadline passed before every task was done", 0)
 }
 
-// endAll answers every job that is left when this host ends. Its callers would else see
-// their connections close, and not know whether to wait or to ask elsewhere.
+// endAll answers every remaining job when this host shuts down. Otherwise the callers would see
+// their connections close and not know whether to wait or to submit elsewhere.
 func (supervisor *Supervisor) endAll() {
 	for _, id := range supervisor.jobs.Keys() {
 		supervisor.refuse(supervisor.jobs.Get(id), messenger.ReasonShuttingDown, "this host shuts down", supervisor.Settings.RetryAfter)
 	}
 }
 
-// end answers every waiter and forgets the job. Whatever still runs is stopped by the
-// lead.
+// end answers every waiter and removes the job. The lead stops whatever is still running.
 func (supervisor *Supervisor) end(job *job, ended JobEnded) {
 	id := job.spec.Job
 	ended.Job = id
@@ -226,16 +223,16 @@
 		answer.Waiter = waiter
 		supervisor.emit(&answer)
 	}
-	supervisor.decided(messenger.Decision{
+	supervisor.logDecision(messenger.Decision{
 		Kind: messenger.DecisionAnswered, Job: id, Reason: endReason(&ended), Failed: ended.Outcome != OutcomeComplete, Tasks: len(job.tasks), Elapsed: supervisor.now.Sub(job.arrivedAt),
 	})
 	if ended.Outcome != OutcomeComplete {
 		supervisor.releaseAll(job)
 	}
-	supervisor.forget(job)
+	supervisor.remove(job)
 }
 
-// endReason names an outcome together with why it came to it.
+// endReason returns OUTCOME or OUTCOME/REASON for the log.
 func endReason(ended *JobEnded) string {
 	if ended.Reason == messenger.ReasonNone {
 		return ended.Outcome.String()
@@ -243,19 +240,19 @@
 	return ended.Outcome.String() + "/" + ended.Reason.String()
 }
 
-func (supervisor *Supervisor) forget(job *job) {
+func (supervisor *Supervisor) remove(job *job) {
 	supervisor.timers.Clear(deadlineTimer(job.spec.Job))
-	for _, part := range job.parts {
-		supervisor.timers.Clear(silenceTimer(job, part))
+	for _, group := range job.groups {
+		supervisor.timers.Clear(leadTimer(job, group))
 	}
 	supervisor.jobs.Remove(job.spec.Job)
-	supervisor.remember(job)
+	supervisor.retain(job)
 }
 
 func deadlineTimer(id identifier.JobID) timerKey { return timerKey{kind: timerDeadline, job: id} }
 
-// callerLeft drops a job that nobody waits for any more.
-func (supervisor *Supervisor) callerLeft(input *CallerLeft) {
+// handleCallerLeft removes a waiter, and the job if no caller waits for it any more.
+func (supervisor *Supervisor) handleCallerLeft(input *CallerLeft) {
 	job := supervisor.jobs.Get(input.Job)
 	if job == nil {
 		return
@@ -264,9 +261,9 @@
 	if len(job.waiters) > 0 {
 		return
 	}
-	supervisor.decided(messenger.Decision{
-		Kind: messenger.DecisionCallerLeft, Job: input.Job, Tasks: job.left, Elapsed: supervisor.now.Sub(job.arrivedAt),
+	supervisor.logDecision(messenger.Decision{
+		Kind: messenger.DecisionCallerLeft, Job: input.Job, Tasks: job.tasksLeft, Elapsed: supervisor.now.Sub(job.arrivedAt),
 	})
 	supervisor.releaseAll(job)
-	supervisor.forget(job)
+	supervisor.remove(job)
 }
--- a/pkg/supervisor/messages.go
+++ b/pkg/supervisor/messages.go
@@ -7,26 +7,26 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// WaiterID names one waiting request of a caller on this host.
+// WaiterID identifies one caller's request that waits for an answer on this host.
 type WaiterID uint64
 
-// Job is a caller's job, of tasks that run in parallel.
+// Job is a caller's job of tasks that run in parallel.
 type Job struct {
 	Job     identifier.JobID
 	Service identifier.ServiceName
 	Queue   identifier.QueueName
 	Urgency int
-	// Attempts is how many runs of one task may fail.
+	// Attempts is the number of runs of one task that may fail.
 	Attempts int
-	// Stretch times the longest run time plus Allowance is the response time that
-	// counts as in time.
+	// A job is answered in time if its response time is at most Stretch times the longest run
+	// time of its tasks, plus Allowance.
 	Stretch   float64
 	Allowance time.Duration
 	Label     string
 	// Near is the rack of the job's data; empty for any.
 	Near      string
 	PerServer int
-	// Payload is what each task is given.
+	// Payload is the input of every task.
 	Payload string
 	Tasks   []messenger.RoomTask
 }
@@ -34,47 +34,47 @@
 // Input is a message or event that Tick applies.
 type Input interface{ isSupervisorInput() }
 
-// JobArrived brings a job of a caller, who waits until Deadline.
+// JobArrived reports a job of a caller who waits for the answer until Deadline.
 type JobArrived struct {
 	Waiter   WaiterID
 	Job      Job
 	Deadline identifier.Moment
 }
 
-// CallerLeft tells that a caller no longer waits.
+// CallerLeft reports that a caller no longer waits for its job.
 type CallerLeft struct {
 	Waiter WaiterID
 	Job    identifier.JobID
 }
 
-// LeadKnown tells who leads a cell; an empty host that nobody does.
+// LeadKnown reports the lead of a cell; Host is empty if the cell has none.
 type LeadKnown struct {
 	Cell messenger.CellRef
 	Host identifier.HostID
-	// Epoch is the lead's; a host that takes the lead again has a higher one and knows
-	// nothing of what it granted before.
+	// Epoch is the lead's epoch. A host that becomes lead again has a higher one and doesn't know
+	// its earlier grants.
 	Epoch identifier.Epoch
 }
 
-// GrantArrived brings room for runs.
+// GrantArrived delivers a lead's grant of capacity for runs.
 type GrantArrived struct {
 	From  identifier.HostID
 	Grant messenger.Grant
 }
 
-// AnswerArrived brings what became of a request for room.
+// AnswerArrived delivers a lead's answer, other than a grant, to a request for capacity.
 type AnswerArrived struct {
 	From   identifier.HostID
 	Answer messenger.RoomAnswer
 }
 
-// DoneArrived tells that a task has done its work.
+// DoneArrived reports that a task has completed.
 type DoneArrived struct {
 	From identifier.HostID
 	Done messenger.TaskDone
 }
 
-// StartReturned brings the answer to a StartRun.
+// StartReturned delivers the result of a StartRun.
 type StartReturned struct {
 	Run     messenger.RunKey
 	Server  identifier.ServerIncarnation
@@ -82,10 +82,10 @@
 	Outcome messenger.StartOutcome
 }
 
-// EvacuationsKnown tells in which failure domains nothing is started from now on.
+// EvacuationsKnown reports the failure domains in which no run may be started from now on.
 type EvacuationsKnown struct{ Evacuated messenger.Evacuated }
 
-// HostEnds tells that this host ends in a moment, whatever still runs.
+// HostEnds reports that this host is about to shut down, whether or not jobs are still running.
 type HostEnds struct{}
 
 func (*EvacuationsKnown) isSupervisorInput() {}
@@ -98,22 +98,22 @@
 func (*DoneArrived) isSupervisorInput()      {}
 func (*StartReturned) isSupervisorInput()    {}
 
-// Output is what the owner of the supervisor carries out.
+// Output is a call, message or log line for the owner of the supervisor to carry out.
 type Output interface{ isSupervisorOutput() }
 
-// AskRoom asks a lead for room.
+// AskRoom sends a lead a request for capacity.
 type AskRoom struct {
 	To      identifier.HostID
 	Request messenger.RoomRequest
 }
 
-// ReleaseRoom tells a lead that a job needs no more room.
+// ReleaseRoom notifies a lead that a job needs no more capacity.
 type ReleaseRoom struct {
 	To      identifier.HostID
 	Release messenger.RoomRelease
 }
 
-// ReportStart tells a lead of a start that was not accepted.
+// ReportStart reports to a lead a start that was not accepted.
 type ReportStart struct {
 	To     identifier.HostID
 	Report messenger.StartReport
@@ -122,7 +122,7 @@
 // StartRun calls a backend server to start a run.
 type StartRun struct {
 	Server identifier.ServerIncarnation
-	// FailureDomain is that of the server.
+	// FailureDomain is the failure domain of the server.
 	FailureDomain identifier.FailureDomain
 	Service       identifier.ServiceName
 	Address       string
@@ -130,39 +130,39 @@
 	Epoch         identifier.Epoch
 	LeaseEnd      identifier.ServerTime
 	Payload       string
-	// Repeats counts how often the call was made before.
+	// Repeats is the number of earlier calls for the same run.
 	Repeats int
 }
 
 //go:generate enumer -type=Outcome -trimprefix=Outcome -transform=kebab -text
 
-// Outcome is what a caller is told.
+// Outcome is the result of a job as reported to its caller.
 type Outcome int
 
-// The outcomes.
+// The outcomes of a job.
 const (
-	// OutcomeComplete means that every task has done its work.
+	// OutcomeComplete means that every task has completed.
 	OutcomeComplete Outcome = iota
-	// OutcomeFailed means that the job can't be completed.
+	// OutcomeFailed means that a lead reported the job as failed: it can't be completed.
 	OutcomeFailed
 	// OutcomeRefused means that no run of the job has started or ever will.
 	OutcomeRefused
-	// OutcomeGivenUp means that the job's time is over; some of it may have run.
+	// OutcomeGivenUp means that the job was ended incomplete and that some runs may have started.
 	OutcomeGivenUp
 )
 
-// JobEnded answers a caller.
+// JobEnded delivers the answer to one waiter of a job.
 type JobEnded struct {
 	Waiter  WaiterID
 	Job     identifier.JobID
 	Outcome Outcome
 	Reason  messenger.Reason
 	Detail  string
-	// RetryAfter is when a refused job is worth another try.
+	// RetryAfter is the time after which the caller should resubmit a refused job; zero for none.
 	RetryAfter time.Duration
 }
 
-// Decided reports a decision for the log.
+// Decided carries a decision for the log.
 type Decided struct{ Decision messenger.Decision }
 
 func (*AskRoom) isSupervisorOutput()     {}
--- a/pkg/supervisor/supervisor.go
+++ b/pkg/supervisor/supervisor.go
@@ -1,9 +1,9 @@
-// Package supervisor decides, on the host that a caller is connected to, what becomes
-// of one job that need not be remembered: which lead is asked for room, which runs
-// are started, and when the caller gets its one answer. Only this host starts runs of
-// its jobs, so that a lead that is lost loses none of them.
+// Package supervisor runs, on the host that a caller is connected to, jobs that need not be
+// persisted. For each job it decides which leads get a request for capacity, which runs are
+// started, and when the caller gets its one answer. Only this host starts the runs of its jobs, so
+// the loss of a lead loses no job.
 //
-// It is pure: time and events come in through Tick, calls and messages go out.
+// The package has no side effects: Tick takes the time and events, and returns calls and messages.
 package supervisor
 
 import (
@@ -14,110 +14,111 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// Settings says how long things last.
+// Settings holds the timeouts and wait times of a supervisor.
 type Settings struct {
-	// LeadSilence is how long a lead may take to answer a request before another lead
-	// is asked. The way there and back takes about 1 ms, a busy host some more.
-	LeadSilence time.Duration
-	// LeadWait is how long a job waits for somebody to lead its failure domain, at least.
-	LeadWait time.Duration
-	// HomeRetry is when the home of a job is asked again that only its lead may go on with.
-	HomeRetry time.Duration
-	// RetryAfter is when a job that found no lead is worth another try: a lost lead is
-	// replaced in little more than a second.
+	// LeadTimeout is how long a lead may be silent after a request before another lead gets the
+	// request. A round trip takes about 1 ms, and somewhat more to a busy host.
+	LeadTimeout time.Duration
+	// MinLeadWait is the least time that a job waits for a lead when no cell has one.
+	MinLeadWait time.Duration
+	// HomeRetryInterval is the time between requests to a job's home while only the home's lead
+	// may place the job.
+	HomeRetryInterval time.Duration
+	// RetryAfter is the time after which a caller should resubmit a job that found no lead. A lost
+	// lead is replaced in little more than a second.
 	RetryAfter time.Duration
 }
 
-// DefaultSettings returns the settings that the daemon starts from.
+// DefaultSettings returns the daemon's default settings.
 func DefaultSettings() Settings {
-	return Settings{LeadSilence: 40 * time.Millisecond, LeadWait: 60 * time.Millisecond, HomeRetry: 100 * time.Millisecond, RetryAfter: time.Second}
+	return Settings{LeadTimeout: 40 * time.Millisecond, MinLeadWait: 60 * time.Millisecond, HomeRetryInterval: 100 * time.Millisecond, RetryAfter: time.Second}
 }
 
-// Supervisor holds the jobs of this host's callers. Set the exported fields before
-// the first Tick.
+// Supervisor holds the jobs of this host's callers. Set the exported fields before the first Tick.
 type Supervisor struct {
 	FailureDomain identifier.FailureDomain
-	// Cells is how many cells each failure domain has.
+	// Cells is the number of cells in each failure domain.
 	Cells    int
 	Settings Settings
 
 	now  identifier.Moment
 	jobs *tabulator.Table[identifier.JobID, job]
-	// unfinished are jobs that nobody waits for any more and of which runs may be at work.
-	unfinished *tabulator.Table[identifier.JobID, job]
-	leads      *tabulator.Table[messenger.CellRef, lead]
-	// heardAt is when each lead was last heard.
-	heardAt map[identifier.HostID]identifier.Moment
-	// evacuations are the failure domains where nothing is started.
+	// retained holds the jobs that have no waiters any more and whose runs may still be active.
+	retained *tabulator.Table[identifier.JobID, job]
+	leads    *tabulator.Table[messenger.CellRef, lead]
+	// lastResponseAt is when the last message of each lead arrived.
+	lastResponseAt map[identifier.HostID]identifier.Moment
+	// evacuations holds the failure domains in which no run is started.
 	evacuations messenger.Evacuated
 	timers      *tabulator.Timers[timerKey]
 	outputs     []Output
 }
 
-// timerKind tells what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind int
 
 const (
 	timerDeadline timerKind = iota
-	timerSilence
-	timerForget
+	timerLeadTimeout
+	timerRetention
 )
 
 type timerKey struct {
 	kind timerKind
 	job  identifier.JobID
-	// part is zero for what concerns the whole job.
-	part partNumber
+	// group is zero for timers of the whole job.
+	group groupNumber
 }
 
-// lead is who leads a cell; an empty host is nobody.
+// lead is the lead of a cell; host is empty if the cell has none.
 type lead struct {
 	host  identifier.HostID
 	epoch identifier.Epoch
 }
 
-// job is one job of a caller.
+// job is one job and its progress.
 type job struct {
 	spec      Job
 	waiters   []WaiterID
 	arrivedAt identifier.Moment
 	deadline  identifier.Moment
 	tasks     []task
-	left      int
-	// parts share the tasks; there is one for each cell that is asked for room.
-	parts    []*part
-	lastPart partNumber
-	lastRun  identifier.RunNumber
-	lastAsk  messenger.AskNumber
-	// begun tells that a start may have gone out in a part that is no more.
-	begun bool
-	// sentBefore tells that an earlier sending of the job may have begun.
-	sentBefore bool
-}
-
-// task is one task of a job.
+	tasksLeft int
+	// groups partition the tasks, one group for each cell from which capacity is requested.
+	groups      []*group
+	lastGroup   groupNumber
+	lastRun     identifier.RunNumber
+	lastRequest messenger.AskNumber
+	// startedInDropped is set if a start call may have been sent for a group that was dropped.
+	startedInDropped bool
+	// earlierMayHaveStarted is set if runs of an earlier submission of the job may have started.
+	earlierMayHaveStarted bool
+}
+
+// task is the state of one task of a job.
 type task struct {
 	done bool
-	// part is that in which room is asked for the task.
-	part *part
-	// start is the call that starts the run which was granted last and is not known to be
-	// over; nil is none.
+	// group is the group whose request includes the task.
+	group *group
+	// start is the call that starts the last granted run; nil if there is none or if that run is
+	// known to have ended.
 	start *StartRun
 }
 
-// Tick applies the inputs, lets deadlines fall due and returns what to do.
+// Tick applies the inputs, handles the timers that are due at now and returns the outputs for its
+// owner to carry out.
 func (supervisor *Supervisor) Tick(now identifier.Moment, inputs []Input) []Output {
 	supervisor.prepare(now)
 	for _, input := range inputs {
 		supervisor.apply(input)
 	}
-	supervisor.timers.EachDue(now, supervisor.expire)
+	supervisor.timers.EachDue(now, supervisor.handleTimer)
 	outputs := supervisor.outputs
 	supervisor.outputs = nil
 	return outputs
 }
 
-// NextDeadline returns when Tick must run even without inputs.
+// NextDeadline returns the time at which Tick must run even without inputs, or identifier.Never.
 func (supervisor *Supervisor) NextDeadline() identifier.Moment {
 	if supervisor.timers == nil {
 		return identifier.Never
@@ -125,7 +126,7 @@
 	return supervisor.timers.Next()
 }
 
-// Jobs returns how many jobs have no answer yet.
+// Jobs returns the number of jobs that have no answer yet.
 func (supervisor *Supervisor) Jobs() int {
 	if supervisor.jobs == nil {
 		return 0
@@ -139,41 +140,41 @@
 		return
 	}
 	supervisor.jobs = tabulator.New[identifier.JobID, job]()
-	supervisor.unfinished = tabulator.New[identifier.JobID, job]()
+	supervisor.retained = tabulator.New[identifier.JobID, job]()
 	supervisor.leads = tabulator.New[messenger.CellRef, lead]()
-	supervisor.heardAt = make(map[identifier.HostID]identifier.Moment)
+	supervisor.lastResponseAt = make(map[identifier.HostID]identifier.Moment)
 	supervisor.timers = tabulator.NewTimers[timerKey]()
 }
 
 func (supervisor *Supervisor) apply(input Input) {
 	switch input := input.(type) {
 	case *JobArrived:
-		supervisor.arrive(input)
+		supervisor.handleJobArrived(input)
 	case *CallerLeft:
-		supervisor.callerLeft(input)
+		supervisor.handleCallerLeft(input)
 	case *EvacuationsKnown:
 		supervisor.evacuations = input.Evacuated
 	case *HostEnds:
 		supervisor.endAll()
 	case *LeadKnown:
-		supervisor.changeLead(input)
+		supervisor.handleLeadKnown(input)
 	case *GrantArrived:
-		supervisor.heardAt[input.From] = supervisor.now
-		supervisor.takeGrant(input)
+		supervisor.lastResponseAt[input.From] = supervisor.now
+		supervisor.handleGrant(input)
 	case *AnswerArrived:
-		supervisor.heardAt[input.From] = supervisor.now
-		supervisor.takeAnswer(input)
+		supervisor.lastResponseAt[input.From] = supervisor.now
+		supervisor.handleAnswer(input)
 	case *DoneArrived:
-		supervisor.heardAt[input.From] = supervisor.now
-		supervisor.takeDone(input)
+		supervisor.lastResponseAt[input.From] = supervisor.now
+		supervisor.handleDone(input)
 	case *StartReturned:
-		supervisor.takeStart(input)
+		supervisor.handleStartReturned(input)
 	}
 }
 
-func (supervisor *Supervisor) expire(key timerKey) {
-	if key.kind == timerForget {
-		supervisor.unfinished.Remove(key.job)
+func (supervisor *Supervisor) handleTimer(key timerKey) {
+	if key.kind == timerRetention {
+		supervisor.retained.Remove(key.job)
 		return
 	}
 	job := supervisor.jobs.Get(key.job)
@@ -183,9 +184,9 @@
 	switch key.kind {
 	case timerDeadline:
 		supervisor.giveUp(job)
-	case timerSilence:
-		if part := job.part(key.part); part != nil {
-			supervisor.leadSilent(job, part)
+	case timerLeadTimeout:
+		if group := job.groupByNumber(key.group); group != nil {
+			supervisor.handleLeadTimeout(job, group)
 		}
 	}
 }
@@ -194,7 +195,7 @@
 	supervisor.outputs = append(supervisor.outputs, output)
 }
 
-func (supervisor *Supervisor) decided(decision messenger.Decision) {
+func (supervisor *Supervisor) logDecision(decision messenger.Decision) {
 	supervisor.emit(&Decided{Decision: decision})
 }
 
--- a/pkg/supervisor/supervisor_test.go
+++ b/pkg/supervisor/supervisor_test.go
@@ -15,32 +15,32 @@
 	"github.com/stoathitch/stoathitch/pkg/supervisor"
 )
 
-// TestScenarios plays the files of testdata. Each command is one tick at the time of
-// its argument at; what comes out is printed, a line each.
+// TestScenarios runs the scenarios in testdata. Each command is one tick at the time of its
+// argument at; its outputs are printed one per line.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		scenario := &scenario{supervisor: &supervisor.Supervisor{
 			FailureDomain: "leuven", Settings: supervisor.DefaultSettings(),
-		}, asks: make(map[string]messenger.AskNumber), t: t}
+		}, requestNumbers: make(map[string]messenger.AskNumber), t: t}
 		datadriven.RunTest(t, path, scenario.run)
 	})
 }
 
-// scenario is one supervisor whose surroundings a test file plays.
+// scenario is one supervisor whose inputs come from a scenario file.
 type scenario struct {
 	supervisor *supervisor.Supervisor
 	now        identifier.Moment
-	// asks are the numbers of the last requests to each lead for each job.
-	asks map[string]messenger.AskNumber
-	t    *testing.T
+	// requestNumbers holds the number of the last request to each lead for each job.
+	requestNumbers map[string]messenger.AskNumber
+	t              *testing.T
 }
 
-// ask returns the request that a lead answers: the last one, unless the test names an
-// earlier one.
-func (scenario *scenario) ask(data *datadriven.TestData, from identifier.HostID, job identifier.JobID) messenger.AskNumber {
-	ask := int(scenario.asks[string(from)+" "+string(job)])
-	data.MaybeScanArgs(scenario.t, "ask", &ask)
-	return messenger.AskNumber(ask)
+// requestNumber returns the number of the request that a lead answers: that of the last request,
+// unless the command names an earlier one in its argument ask.
+func (scenario *scenario) requestNumber(data *datadriven.TestData, from identifier.HostID, job identifier.JobID) messenger.AskNumber {
+	number := int(scenario.requestNumbers[string(from)+" "+string(job)])
+	data.MaybeScanArgs(scenario.t, "ask", &number)
+	return messenger.AskNumber(number)
 }
 
 func (scenario *scenario) run(t *testing.T, data *datadriven.TestData) string {
@@ -74,7 +74,7 @@
 	case "grant":
 		granted := messenger.GrantedRun{Task: key.Task, Run: key.Run, Server: "s1", Address: "address of s1", LeaseEnd: 1000}
 		inputs = append(inputs, &supervisor.GrantArrived{From: from, Grant: messenger.Grant{
-			Job: id, Epoch: identifier.Epoch(epoch), Runs: []messenger.GrantedRun{granted}, Ask: scenario.ask(data, from, id),
+			Job: id, Epoch: identifier.Epoch(epoch), Runs: []messenger.GrantedRun{granted}, Ask: scenario.requestNumber(data, from, id),
 		}})
 	case "answer":
 		kind, err := messenger.RoomAnswerKindString(scanString(t, data, "kind"))
@@ -83,7 +83,7 @@
 		}
 		inputs = append(inputs, &supervisor.AnswerArrived{From: from, Answer: messenger.RoomAnswer{
 			Job: id, Kind: kind, Other: messenger.CellRef{FailureDomain: identifier.FailureDomain(scanString(t, data, "other"))},
-			Tasks: scanTasks(t, data), Ask: scenario.ask(data, from, id), Begun: data.HasArg("begun"),
+			Tasks: scanTasks(t, data), Ask: scenario.requestNumber(data, from, id), Begun: data.HasArg("begun"),
 		}})
 	case "done":
 		inputs = append(inputs, &supervisor.DoneArrived{From: from, Done: messenger.TaskDone{RunKey: key}})
@@ -104,8 +104,8 @@
 	}
 	outputs := scenario.supervisor.Tick(scenario.now, inputs)
 	for _, output := range outputs {
-		if asked, isAsk := output.(*supervisor.AskRoom); isAsk {
-			scenario.asks[string(asked.To)+" "+string(asked.Request.Job)] = asked.Request.Ask
+		if request, isRequest := output.(*supervisor.AskRoom); isRequest {
+			scenario.requestNumbers[string(request.To)+" "+string(request.Request.Job)] = request.Request.Ask
 		}
 	}
 	return show(outputs)
