--- a/pkg/coordinator/called_fuzz_test.go
+++ b/pkg/coordinator/called_fuzz_test.go
@@ -13,20 +13,20 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// TestCalledServersUnderRandomFaults sends jobs to three hosts of one failure domain with
-// five backend servers that are called, while hosts crash, return and lose sight of each
-// other, backend servers crash, and calls are lost, unanswered or carried out late.
+// TestCalledServersUnderRandomFaults submits jobs to three hosts of one failure domain with five
+// called backend servers, while hosts crash, restart and lose their connections, backend servers
+// crash, and calls are lost, left unanswered or carried out late.
 func TestCalledServersUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		network := newNetwork([]identifier.FailureDomain{"leuven"}, 3, 0, 0)
 		world := newCalledWorld(network, draw, 5)
 		network.advance(2 * time.Second)
-		world.trouble = rapid.IntRange(0, 15).Draw(draw, "trouble")
+		world.failurePercent = rapid.IntRange(0, 15).Draw(draw, "trouble")
 		for step := range rapid.IntRange(20, 60).Draw(draw, "steps") {
-			world.step(step)
+			world.randomStep(step)
 			network.advance(time.Duration(rapid.IntRange(1, 400).Draw(draw, "pause")) * time.Millisecond)
 		}
-		world.trouble = 0
+		world.failurePercent = 0
 		for _, host := range network.hosts {
 			if host.coordinator == nil {
 				network.startHost(host)
@@ -41,10 +41,10 @@
 }
 
 // Symptom: a task runs twice at the same time, in two failure domains.
-// Sequence: jobs are shared between the leads of two failure domains with two cells each;
-// connections between hosts are slow by tens of milliseconds, so that leads count as
-// silent, are asked again and answer late; hosts crash and lose sight of each other.
-// Cause guarded against: a task that stands in two parts of its job.
+// Sequence: jobs are handed off between the leads of two failure domains with two cells each;
+// connections between hosts are slow by tens of milliseconds, so that leads count as unresponsive,
+// are queried again and answer late; hosts crash and lose their connections.
+// Cause guarded against: a task that belongs to two task groups of its job.
 func TestSharedJobsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		settings := coordinator.DefaultSettings()
@@ -53,7 +53,7 @@
 		world := newCalledWorld(network, draw, 8)
 		network.advance(3 * time.Second)
 		for step := range rapid.IntRange(40, 80).Draw(draw, "steps") {
-			world.stepShared(step)
+			world.randomHandoffStep(step)
 			network.advance(time.Duration(rapid.IntRange(1, 60).Draw(draw, "pause")) * time.Millisecond)
 		}
 		network.advance(20 * time.Second)
@@ -64,7 +64,7 @@
 	})
 }
 
-func (world *calledWorld) stepShared(step int) {
+func (world *calledWorld) randomHandoffStep(step int) {
 	network := world.network
 	host := network.hosts[world.chance("host", len(network.hosts)-1)]
 	other := network.hosts[world.chance("other", len(network.hosts)-1)]
@@ -75,12 +75,12 @@
 		delays := []time.Duration{0, 10 * time.Millisecond, 35 * time.Millisecond, 60 * time.Millisecond}
 		network.connection(string(host.id), string(other.id)).delay = delays[world.chance("delay", len(delays)-1)]
 	case kind == 18 && other != host:
-		network.breakHosts(host, other)
+		network.disconnectHosts(host, other)
 		network.at(time.Duration(world.chance("cut", 300))*time.Millisecond, func() { network.connectHosts(host, other) })
 	}
 }
 
-func (world *calledWorld) step(step int) {
+func (world *calledWorld) randomStep(step int) {
 	network := world.network
 	host := network.hosts[world.chance("host", len(network.hosts)-1)]
 	switch kind := world.chance("step", 19); {
@@ -93,16 +93,17 @@
 	case kind == 17:
 		other := network.hosts[world.chance("other", len(network.hosts)-1)]
 		if other != host {
-			network.breakHosts(host, other)
+			network.disconnectHosts(host, other)
 			network.at(time.Duration(world.chance("cut", 3000))*time.Millisecond, func() { network.connectHosts(host, other) })
 		}
 	case kind == 18:
-		world.crashOne(step)
+		world.crashRandomServer(step)
 	}
 }
 
-// crashOne ends the life of one backend server; a new one stands at its address soon.
-func (world *calledWorld) crashOne(step int) {
+// crashRandomServer ends a backend server's process; a new incarnation starts at its address after
+// one second.
+func (world *calledWorld) crashRandomServer(step int) {
 	var living []identifier.ServerIncarnation
 	for id, server := range world.servers {
 		if !server.dead {
@@ -115,5 +116,5 @@
 	}
 	server := world.servers[living[world.chance("server", len(living)-1)]]
 	server.crash()
-	world.network.at(time.Second, func() { world.startServer(server.place, step+2) })
+	world.network.at(time.Second, func() { world.startServer(server.address, step+2) })
 }
--- a/pkg/coordinator/calledworld_test.go
+++ b/pkg/coordinator/calledworld_test.go
@@ -16,61 +16,65 @@
 	"github.com/stoathitch/stoathitch/pkg/supervisor"
 )
 
-// Times of the calls to backend servers, as a transport would keep them.
+// Timeouts of the calls to backend servers, as a transport would apply them.
 const (
 	callTimeout = 150 * time.Millisecond
-	holdSlack   = 250 * time.Millisecond
-	// longestLease is what a backend server shortens leases to.
-	longestLease = time.Second
-	// longWork is how many times the usual some tasks take, so that their caller comes
-	// back while they are at work.
-	longWork = 10
+	pollSlack   = 250 * time.Millisecond
+	// maxLease is the longest lease that a backend server accepts; it shortens longer ones.
+	maxLease = time.Second
+	// longWorkFactor multiplies the run time of some tasks, so that their caller resubmits the job
+	// while they still run.
+	longWorkFactor = 10
 )
 
-// calledWorld is a set of backend servers that are called, in the network's virtual time,
-// with an oracle: a task never runs twice at the same time, nothing of a refused job ever
-// starts, and every caller is answered.
+// calledWorld simulates called backend servers in the network's virtual time and checks that a task
+// never runs twice at the same time, that no task of a refused job ever starts, and that every
+// caller is answered.
 type calledWorld struct {
 	network *network
 	draw    *rapid.T
 	servers map[identifier.ServerIncarnation]*calledServer
-	// trouble is the share of calls, of 100, that go wrong.
-	trouble int
-	// harsh is nil where only whole hosts, servers and calls fail.
+	// failurePercent is how many calls of 100 fail.
+	failurePercent int
+	// harsh is nil if only whole hosts, servers and calls fail.
 	harsh *harshFaults
-	// orders is nil where no failure domain is evacuated.
-	orders  *orders
-	running map[string]identifier.ServerIncarnation
-	refused map[identifier.JobID]bool
-	begun   map[identifier.JobID]bool
-	// resent are the jobs that a caller sent again, of which an earlier sending may have run.
-	resent   map[identifier.JobID]bool
-	waiting  map[supervisor.WaiterID]identifier.JobID
-	next     supervisor.WaiterID
-	problems []string
-	// history is what was decided, for whoever has to explain a problem.
+	// evacuations is nil if no failure domain is evacuated.
+	evacuations *evacuations
+	running     map[string]identifier.ServerIncarnation
+	refused     map[identifier.JobID]bool
+	started     map[identifier.JobID]bool
+	// resent are the resubmitted jobs, of which an earlier submission may have run.
+	resent     map[identifier.JobID]bool
+	waiting    map[supervisor.WaiterID]identifier.JobID
+	lastWaiter supervisor.WaiterID
+	problems   []string
+	// history lists the decisions, to be printed with a problem. Its texts stay as they are, since
+	// saved cases hold them.
 	history []string
 }
 
-// calledServer runs tasks under leases on a clock that may be slow.
+// calledServer runs tasks under leases, on a clock that may run slow.
 type calledServer struct {
-	world *calledWorld
-	card  messenger.ServerCard
-	// place numbers the server's address; one life after the other stands there.
-	place  int
-	began  identifier.Moment
-	slow   int
-	fence  identifier.Epoch
-	until  identifier.ServerTime
-	runs   map[string]*calledRun
-	past   map[string]identifier.RunNumber
-	ended  []allocator.RunEnd
-	number int64
-	// waits are the calls that wait for an end.
-	waits []func()
-	dead  bool
-	// mute tells that the server announces itself no more, though it lives.
-	mute bool
+	world  *calledWorld
+	report messenger.ServerCard
+	// address numbers the server's address; its incarnations follow one another there.
+	address   int
+	startedAt identifier.Moment
+	// clockLag is by how many thousandths the server's clock runs slow.
+	clockLag     int
+	highestEpoch identifier.Epoch
+	// leaseEnd is when the lease of all runs ends, on the server's clock.
+	leaseEnd identifier.ServerTime
+	runs     map[string]*calledRun
+	// lastRuns are the highest numbers of ended or stopped runs, by task.
+	lastRuns      map[string]identifier.RunNumber
+	ended         []allocator.RunEnd
+	lastEndNumber int64
+	// pendingPolls are the polls that wait for the end of a run.
+	pendingPolls []func()
+	dead         bool
+	// unannounced is set if the server sends no more reports although it is alive.
+	unannounced bool
 }
 
 type calledRun struct{ key messenger.RunKey }
@@ -81,7 +85,7 @@
 	created := &calledWorld{
 		network: network, draw: draw, servers: make(map[identifier.ServerIncarnation]*calledServer),
 		running: make(map[string]identifier.ServerIncarnation), refused: make(map[identifier.JobID]bool),
-		begun: make(map[identifier.JobID]bool), resent: make(map[identifier.JobID]bool), waiting: make(map[supervisor.WaiterID]identifier.JobID),
+		started: make(map[identifier.JobID]bool), resent: make(map[identifier.JobID]bool), waiting: make(map[supervisor.WaiterID]identifier.JobID),
 	}
 	network.called = created
 	for index := range servers {
@@ -90,36 +94,36 @@
 	return created
 }
 
-func (world *calledWorld) startServer(index, life int) {
-	id := world.incarnationOf(index, life)
+func (world *calledWorld) startServer(index, incarnation int) {
+	id := world.incarnationOf(index, incarnation)
 	server := &calledServer{
-		world: world, place: index, began: world.network.now, slow: world.chance("slow", 20),
-		runs: make(map[string]*calledRun), past: make(map[string]identifier.RunNumber),
-		card: messenger.ServerCard{
-			Server: id, Service: "desk", Address: fmt.Sprintf("address-%d", index), FailureDomain: world.domainOf(index),
+		world: world, address: index, startedAt: world.network.now, clockLag: world.chance("slow", 20),
+		runs: make(map[string]*calledRun), lastRuns: make(map[string]identifier.RunNumber),
+		report: messenger.ServerCard{
+			Server: id, Service: "desk", Address: fmt.Sprintf("address-%d", index), FailureDomain: world.failureDomainOf(index),
 			Capacity: identifier.Resources{MilliCPU: 3000, Memory: 1 << 30},
 		},
 	}
 	world.servers[id] = server
-	server.beat()
+	server.announce()
 }
 
-// incarnationOf names one life at an address.
-func (world *calledWorld) incarnationOf(index, life int) identifier.ServerIncarnation {
+// incarnationOf returns the id of the given incarnation at an address.
+func (world *calledWorld) incarnationOf(index, number int) identifier.ServerIncarnation {
 	if world.harsh == nil || !world.harsh.kinds.sameIDs {
-		return identifier.ServerIncarnation(fmt.Sprintf("called-%d-%d", index, life))
+		return identifier.ServerIncarnation(fmt.Sprintf("called-%d-%d", index, number))
 	}
-	// Each second life is dated before the one that it follows.
+	// Every second incarnation has an earlier start time than the one before it.
 	const middle = 1 << 20
-	born := identifier.UnixMilliseconds(middle + life)
-	if life%2 == 0 {
-		born = identifier.UnixMilliseconds(middle - life)
+	startedAt := identifier.UnixMilliseconds(middle + number)
+	if number%2 == 0 {
+		startedAt = identifier.UnixMilliseconds(middle - number)
 	}
-	return identifier.NewServerIncarnation(identifier.BackendServerID(fmt.Sprintf("called-%d", index)), born)
+	return identifier.NewServerIncarnation(identifier.BackendServerID(fmt.Sprintf("called-%d", index)), startedAt)
 }
 
-// domainOf spreads the servers over the failure domains of the network.
-func (world *calledWorld) domainOf(index int) identifier.FailureDomain {
+// failureDomainOf spreads the servers over the failure domains of the network.
+func (world *calledWorld) failureDomainOf(index int) identifier.FailureDomain {
 	var domains []identifier.FailureDomain
 	for _, host := range world.network.hosts {
 		if !slices.Contains(domains, host.domain) {
@@ -129,8 +133,7 @@
 	return domains[index%len(domains)]
 }
 
-// chance draws a number up to bound; a world that draws nothing gets the highest, with
-// which nothing goes wrong.
+// chance draws a number from 0 to bound. Without a draw it returns bound, with which nothing fails.
 func (world *calledWorld) chance(label string, bound int) int {
 	if world.draw == nil {
 		return bound
@@ -138,35 +141,36 @@
 	return rapid.IntRange(0, bound).Draw(world.draw, label)
 }
 
-// beat announces the server to some living host every half second.
-func (server *calledServer) beat() {
-	if server.dead || server.mute {
+// announce sends a report to the first running host every half second, or under harsh faults to a
+// drawn host every heartbeatInterval.
+func (server *calledServer) announce() {
+	if server.dead || server.unannounced {
 		return
 	}
 	network := server.world.network
-	server.card.Sequence++
-	server.card.Clock = server.clock()
-	card := server.card
+	server.report.Sequence++
+	server.report.Clock = server.clock()
+	report := server.report
 	if harsh := server.world.harsh; harsh != nil {
-		harsh.announce(server, card)
-		network.at(heartbeat, server.beat)
+		harsh.announceLater(server, report)
+		network.at(heartbeatInterval, server.announce)
 		return
 	}
 	for _, host := range network.hosts {
 		if host.coordinator != nil {
-			network.tick(host, &coordinator.CardAnnounced{Card: card})
+			network.tick(host, &coordinator.CardAnnounced{Card: report})
 			break
 		}
 	}
-	network.at(500*time.Millisecond, server.beat)
+	network.at(500*time.Millisecond, server.announce)
 }
 
 func (server *calledServer) clock() identifier.ServerTime {
-	passed := server.world.network.now.Sub(server.began)
-	return identifier.ServerTime((passed * time.Duration(1000-server.slow) / 1000).Milliseconds())
+	passed := server.world.network.now.Sub(server.startedAt)
+	return identifier.ServerTime((passed * time.Duration(1000-server.clockLag) / 1000).Milliseconds())
 }
 
-// crash ends the server's life; nothing of it runs any more.
+// crash ends the server's process and all of its runs.
 func (server *calledServer) crash() {
 	server.dead = true
 	for _, run := range server.runs {
@@ -175,8 +179,8 @@
 	server.runs = nil
 }
 
-// call carries a call out after the way there, and answers after the way back; or it goes
-// wrong: it is lost, its answer is lost, or it is carried out seconds later.
+// call carries out a call after one hop and answers after another. It may fail instead: the call is
+// lost, its answer is lost, or it is carried out seconds later without an answer.
 func (world *calledWorld) call(host *fakeHost, id identifier.ServerIncarnation, timeout time.Duration, carryOut func(server *calledServer, reply func(answer func())), answer func(outcome allocator.CallOutcome)) {
 	if world.harsh != nil {
 		world.harsh.call(host, id, timeout, carryOut, answer)
@@ -202,15 +206,15 @@
 	if server == nil {
 		return
 	}
-	delay, silent := hop, false
-	if world.chance("call", 99) < world.trouble {
+	delay, answerLost := hop, false
+	if world.chance("call", 99) < world.failurePercent {
 		switch world.chance("how", 2) {
 		case 0:
 			return
 		case 1:
-			silent = true
+			answerLost = true
 		case 2:
-			delay, silent = time.Duration(2+world.chance("late", 10))*time.Second, true
+			delay, answerLost = time.Duration(2+world.chance("late", 10))*time.Second, true
 		}
 	}
 	world.network.at(delay, func() {
@@ -218,19 +222,19 @@
 			return
 		}
 		carryOut(server, func(run func()) {
-			if !silent {
+			if !answerLost {
 				reply(run)
 			}
 		})
 	})
 }
 
-// carryOut takes the outputs that concern called servers and their callers.
+// carryOut handles the outputs that concern called servers and their callers.
 func (world *calledWorld) carryOut(host *fakeHost, output coordinator.Output) {
 	if world == nil {
 		return
 	}
-	world.note(host, output)
+	world.recordDecision(host, output)
 	tick := func(event allocator.Input) { world.network.tick(host, &coordinator.AllocatorEvent{Event: event}) }
 	switch output := output.(type) {
 	case *coordinator.CallStart:
@@ -260,27 +264,27 @@
 			reply(func() { stopped(outcome) })
 		}, stopped)
 	case *coordinator.CallHold:
-		world.hold(host, output.Call, tick)
+		world.poll(host, output.Call, tick)
 	case *coordinator.JobEnded:
-		world.endJob(output.Ended)
+		world.handleJobEnded(output.Ended)
 	}
 }
 
-func (world *calledWorld) hold(host *fakeHost, hold *allocator.HoldServer, tick func(allocator.Input)) {
+func (world *calledWorld) poll(host *fakeHost, call *allocator.HoldServer, tick func(allocator.Input)) {
 	returned := &allocator.HoldReturned{
-		Server: hold.Server, Sequence: hold.Sequence, SentAt: identifier.Moment(world.network.now.Sub(host.startedAt)),
+		Server: call.Server, Sequence: call.Sequence, SentAt: identifier.Moment(world.network.now.Sub(host.startedAt)),
 	}
-	world.call(host, hold.Server, hold.Wait+holdSlack, func(server *calledServer, reply func(func())) {
-		if hold.Epoch < server.fence {
+	world.call(host, call.Server, call.Wait+pollSlack, func(server *calledServer, reply func(func())) {
+		if call.Epoch < server.highestEpoch {
 			reply(func() {
 				returned.Outcome = allocator.CallFenced
 				tick(returned)
 			})
 			return
 		}
-		server.fence = hold.Epoch
-		server.extend(hold.LeaseEnd)
-		for len(server.ended) > 0 && server.ended[0].Number <= hold.Cursor {
+		server.highestEpoch = call.Epoch
+		server.extendLease(call.LeaseEnd)
+		for len(server.ended) > 0 && server.ended[0].Number <= call.Cursor {
 			server.ended = server.ended[1:]
 		}
 		done := false
@@ -290,32 +294,32 @@
 			}
 			done = true
 			returned.Clock = server.clock()
-			returned.Answering = server.card.Server
+			returned.Answering = server.report.Server
 			returned.Ended = append([]allocator.RunEnd(nil), server.ended...)
 			for _, run := range server.runsInOrder() {
 				returned.Running = append(returned.Running, run.key)
 			}
 			reply(func() { tick(returned) })
 		}
-		if len(server.ended) > 0 || hold.Wait == 0 {
+		if len(server.ended) > 0 || call.Wait == 0 {
 			finish()
 			return
 		}
-		server.waits = append(server.waits, finish)
-		world.network.at(hold.Wait, finish)
+		server.pendingPolls = append(server.pendingPolls, finish)
+		world.network.at(call.Wait, finish)
 	}, func(outcome allocator.CallOutcome) {
 		returned.Outcome = outcome
 		tick(returned)
 	})
 }
 
-func (server *calledServer) extend(until identifier.ServerTime) {
-	server.until = max(server.until, min(until, server.clock()+identifier.ServerTime(longestLease.Milliseconds())))
-	left := time.Duration(server.until-server.clock()+1) * time.Millisecond
-	server.world.network.at(max(left, 0)*1000/time.Duration(1000-server.slow)+time.Millisecond, server.expire)
+func (server *calledServer) extendLease(leaseEnd identifier.ServerTime) {
+	server.leaseEnd = max(server.leaseEnd, min(leaseEnd, server.clock()+identifier.ServerTime(maxLease.Milliseconds())))
+	remaining := time.Duration(server.leaseEnd-server.clock()+1) * time.Millisecond
+	server.world.network.at(max(remaining, 0)*1000/time.Duration(1000-server.clockLag)+time.Millisecond, server.endExpiredRuns)
 }
 
-// runsInOrder lists what runs, so that a case that is played again goes the same way.
+// runsInOrder returns the runs in a fixed order, so that a replayed case takes the same course.
 func (server *calledServer) runsInOrder() []*calledRun {
 	var runs []*calledRun
 	for _, run := range server.runs {
@@ -325,9 +329,9 @@
 	return runs
 }
 
-// expire ends what has no lease any more.
-func (server *calledServer) expire() {
-	if server.dead || server.clock() <= server.until {
+// endExpiredRuns ends all runs once the server's lease has expired.
+func (server *calledServer) endExpiredRuns() {
+	if server.dead || server.clock() <= server.leaseEnd {
 		return
 	}
 	for _, run := range server.runsInOrder() {
@@ -337,33 +341,33 @@
 
 func (server *calledServer) start(start *supervisor.StartRun) messenger.StartOutcome {
 	task := taskOf(start.Run)
-	known := server.runs[task]
-	if start.Epoch < server.fence {
+	current := server.runs[task]
+	if start.Epoch < server.highestEpoch {
 		return messenger.StartFenced
 	}
-	server.fence = start.Epoch
-	if start.LeaseEnd <= server.clock() && (known == nil || known.key != start.Run) && start.Run.Run > server.past[task] {
+	server.highestEpoch = start.Epoch
+	if start.LeaseEnd <= server.clock() && (current == nil || current.key != start.Run) && start.Run.Run > server.lastRuns[task] {
 		return messenger.StartLeaseOver
 	}
-	server.extend(start.LeaseEnd)
+	server.extendLease(start.LeaseEnd)
 	switch {
-	case known != nil && known.key == start.Run:
+	case current != nil && current.key == start.Run:
 		return messenger.StartAccepted
-	case start.Run.Run <= server.past[task]:
+	case start.Run.Run <= server.lastRuns[task]:
 		return messenger.StartStaleRun
 	case len(server.runs) >= 3:
 		return messenger.StartNoRoom
 	}
 	world := server.world
 	if other, runs := world.running[task]; runs {
-		world.problems = append(world.problems, fmt.Sprintf("%s runs on %s and starts on %s", task, other, server.card.Server))
+		world.problems = append(world.problems, fmt.Sprintf("%s runs on %s and starts on %s", task, other, server.report.Server))
 	}
 	if world.refused[start.Run.Job] && !world.resent[start.Run.Job] {
 		world.problems = append(world.problems, fmt.Sprintf("%s starts after its job was refused as not run", task))
 	}
-	world.orders.check(server, task)
-	world.running[task] = server.card.Server
-	world.begun[start.Run.Job] = true
+	world.evacuations.checkStart(server, task)
+	world.running[task] = server.report.Server
+	world.started[start.Run.Job] = true
 	run := &calledRun{key: start.Run}
 	server.runs[task] = run
 	kind := allocator.EndDone
@@ -372,11 +376,11 @@
 	}
 	work := time.Duration(20+world.chance("work", 300)) * time.Millisecond
 	if world.harsh != nil && world.chance("long", 4) == 0 {
-		work *= longWork
+		work *= longWorkFactor
 	}
 	world.network.at(work, func() { server.end(run, kind) })
 	if world.harsh != nil {
-		world.history = append(world.history, fmt.Sprintf("%v %s RUNS %s run %d epoch %d", time.Duration(world.network.now), server.card.Server, task, start.Run.Run, start.Epoch))
+		world.history = append(world.history, fmt.Sprintf("%v %s RUNS %s run %d epoch %d", time.Duration(world.network.now), server.report.Server, task, start.Run.Run, start.Epoch))
 	}
 	return messenger.StartAccepted
 }
@@ -389,45 +393,45 @@
 	delete(server.runs, task)
 	delete(server.world.running, task)
 	if server.world.harsh != nil {
-		server.world.history = append(server.world.history, fmt.Sprintf("%v %s ENDS %s run %d %s", time.Duration(server.world.network.now), server.card.Server, task, run.key.Run, kind))
-	}
-	server.past[task] = max(server.past[task], run.key.Run)
-	server.number++
-	server.ended = append(server.ended, allocator.RunEnd{Number: server.number, Run: run.key, Kind: kind})
-	waits := server.waits
-	server.waits = nil
-	for _, finish := range waits {
+		server.world.history = append(server.world.history, fmt.Sprintf("%v %s ENDS %s run %d %s", time.Duration(server.world.network.now), server.report.Server, task, run.key.Run, kind))
+	}
+	server.lastRuns[task] = max(server.lastRuns[task], run.key.Run)
+	server.lastEndNumber++
+	server.ended = append(server.ended, allocator.RunEnd{Number: server.lastEndNumber, Run: run.key, Kind: kind})
+	polls := server.pendingPolls
+	server.pendingPolls = nil
+	for _, finish := range polls {
 		finish()
 	}
 }
 
 func (server *calledServer) stop(stop *allocator.StopRun) allocator.CallOutcome {
-	if stop.Epoch < server.fence {
+	if stop.Epoch < server.highestEpoch {
 		return allocator.CallFenced
 	}
-	server.fence = stop.Epoch
+	server.highestEpoch = stop.Epoch
 	task := taskOf(stop.Run)
-	server.past[task] = max(server.past[task], stop.Run.Run)
+	server.lastRuns[task] = max(server.lastRuns[task], stop.Run.Run)
 	if run := server.runs[task]; run != nil && run.key.Run <= stop.Run.Run {
 		server.world.network.at(40*time.Millisecond, func() { server.end(run, allocator.EndStopped) })
 	}
 	return allocator.CallAnswered
 }
 
-// submit sends a job to a host.
+// submit sends a job to a host with a deadline in 4 seconds.
 func (world *calledWorld) submit(host *fakeHost, id identifier.JobID, tasks int) {
 	if host.coordinator == nil {
 		return
 	}
-	world.next++
+	world.lastWaiter++
 	job := supervisor.Job{Job: id, Service: "desk", Queue: "quick", Attempts: 3, Stretch: 1.6, Allowance: time.Second}
 	for index := range tasks {
 		job.Tasks = append(job.Tasks, messenger.RoomTask{
 			Task: messenger.TaskIndex(index), Needs: identifier.Resources{MilliCPU: 1000, Memory: 1 << 20}, Declared: 100 * time.Millisecond,
 		})
 	}
-	world.waiting[world.next] = id
-	generation, waiter := host.generation, world.next
+	world.waiting[world.lastWaiter] = id
+	generation, waiter := host.generation, world.lastWaiter
 	deadline := identifier.Moment(world.network.now.Sub(host.startedAt)).Add(4 * time.Second)
 	world.network.tick(host, &coordinator.SupervisorEvent{Event: &supervisor.JobArrived{Waiter: waiter, Job: job, Deadline: deadline}})
 	world.network.at(5*time.Second, func() {
@@ -437,21 +441,21 @@
 	})
 }
 
-func (world *calledWorld) endJob(ended *supervisor.JobEnded) {
+func (world *calledWorld) handleJobEnded(ended *supervisor.JobEnded) {
 	delete(world.waiting, ended.Waiter)
 	if world.harsh != nil {
-		world.harsh.answered(ended)
+		world.harsh.handleJobEnded(ended)
 	}
 	if ended.Outcome == supervisor.OutcomeRefused {
-		if world.begun[ended.Job] && !world.resent[ended.Job] {
+		if world.started[ended.Job] && !world.resent[ended.Job] {
 			world.problems = append(world.problems, fmt.Sprintf("%s was refused as not run, but had begun", ended.Job))
 		}
 		world.refused[ended.Job] = true
 	}
 }
 
-// note keeps what was decided, to be shown with a problem.
-func (world *calledWorld) note(host *fakeHost, output coordinator.Output) {
+// recordDecision adds decisions and start calls to the history, which is printed with a problem.
+func (world *calledWorld) recordDecision(host *fakeHost, output coordinator.Output) {
 	at := time.Duration(world.network.now)
 	switch output := output.(type) {
 	case *coordinator.Decided:
--- a/pkg/coordinator/remembering_test.go
+++ b/pkg/coordinator/cellpersister_test.go
@@ -10,12 +10,12 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Symptom: after all hosts lost their power together, callers are refused for up to two
-// heartbeats while backend servers stand idle.
-// Sequence: every host of a failure domain dies and starts again; the backend servers run
-// on and announce themselves only with their next heartbeats, which go to a former lead's
-// address first; jobs arrive meanwhile.
-// Cause: backend servers were known only in the memory of the hosts that had died.
+// Symptom: after all hosts lose power together, callers are refused for up to two heartbeats while
+// backend servers are idle.
+// Sequence: every host of a failure domain crashes and restarts; the backend servers keep running
+// and send reports only with their next heartbeats, which go to a former lead's address first; jobs
+// arrive meanwhile.
+// Cause: backend servers were known only in the memory of the hosts that had crashed.
 func TestKeepersRememberBackendServers(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		network := newNetwork([]identifier.FailureDomain{"leuven"}, 3, 0, 0)
@@ -23,7 +23,7 @@
 		world := newCalledWorld(network, draw, 3)
 		network.advance(3 * time.Second)
 		for _, server := range world.servers {
-			server.mute = true
+			server.unannounced = true
 		}
 		for _, host := range network.hosts {
 			network.crashHost(host)
@@ -36,8 +36,8 @@
 		network.advance(2 * time.Second)
 		world.submit(network.hosts[0], "job-after-the-loss", 2)
 		network.advance(5 * time.Second)
-		if !world.begun["job-after-the-loss"] {
-			draw.Error("no task was started on backend servers that the keepers remembered")
+		if !world.started["job-after-the-loss"] {
+			draw.Error("no task was started on backend servers that the keepers had stored")
 		}
 		for _, problem := range world.problems {
 			draw.Error(problem)
--- a/pkg/coordinator/cost_test.go
+++ b/pkg/coordinator/cost_test.go
@@ -11,7 +11,7 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// cost counts the messages between hosts, without those of the membership.
+// cost counts the messages between hosts, without gossip and load messages.
 type cost struct{ batches, messages int }
 
 func (cost *cost) count(batch *coordinator.ToPeer) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestCostOfAJob pins how many messages between hosts a job takes and how long its
-// answer, with a hop of 0.25 ms and a task of 1 ms, by who leads the job's cell.
+// TestCostOfAJob pins the number of messages between hosts that a job takes and the time to its
+// answer, with a hop of 0.25 ms and a task of 1 ms, depending on which host leads the job's cell.
 func TestCostOfAJob(t *testing.T) {
 	datadriven.RunTest(t, "testdata/cost-of-a-job", func(t *testing.T, data *datadriven.TestData) string {
 		network := newNetwork(bothDomains, 3, 2, 4)
@@ -39,14 +39,14 @@
 				caller = host
 			}
 		}
-		job := jobOf("job", "team", 1, time.Millisecond)
+		job := newJob("job", "team", 1, time.Millisecond)
 		started := network.now
 		network.cost = &cost{}
 		network.submit(caller, job, time.Minute)
 		var answeredAt identifier.Moment
 		for answeredAt == 0 {
 			network.advance(hop / 5)
-			if network.outcome(job) != nil {
+			if network.finalAnswer(job) != nil {
 				answeredAt = network.now
 			}
 		}
--- a/pkg/coordinator/evacuating_test.go
+++ b/pkg/coordinator/evacuating_test.go
@@ -14,75 +14,76 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// evacuationKnown is how long after one host has heard of an evacuation nothing may start in the
-// failure domain, while no host is cut off for longer than a moment.
-const evacuationKnown = 1500 * time.Millisecond
+// evacuationPropagation is how long after the first host has received an evacuation a start in the
+// failure domain becomes a fault, provided that no host is disconnected for longer than a moment.
+const evacuationPropagation = 1500 * time.Millisecond
 
-// orders evacuate failure domains of a world of called servers and take that back.
-type orders struct {
+// evacuations evacuates and readmits failure domains of a world of called servers.
+type evacuations struct {
 	world   *calledWorld
 	version configurer.Version
-	// since is from when nothing may start in the failure domains that are evacuated.
-	since map[identifier.FailureDomain]identifier.Moment
-	// strict tells that a start after that is a fault; while hosts are cut off it need not be.
+	// bannedFrom is the moment from which nothing may start in each evacuated failure domain.
+	bannedFrom map[identifier.FailureDomain]identifier.Moment
+	// strict reports a start after bannedFrom as a fault; while hosts are disconnected it need not
+	// be one.
 	strict bool
 }
 
-func newOrders(world *calledWorld, strict bool) *orders {
-	created := &orders{world: world, since: make(map[identifier.FailureDomain]identifier.Moment), strict: strict}
-	world.orders = created
+func newEvacuations(world *calledWorld, strict bool) *evacuations {
+	created := &evacuations{world: world, bannedFrom: make(map[identifier.FailureDomain]identifier.Moment), strict: strict}
+	world.evacuations = created
 	return created
 }
 
-// step evacuates a failure domain, or takes that back, and tells one living host.
-func (orders *orders) step() {
-	network := orders.world.network
-	host := network.hosts[orders.world.chance("told", len(network.hosts)-1)]
+// randomStep evacuates or readmits a failure domain and notifies one running host.
+func (evacuations *evacuations) randomStep() {
+	network := evacuations.world.network
+	host := network.hosts[evacuations.world.chance("told", len(network.hosts)-1)]
 	if host.coordinator == nil {
 		return
 	}
-	domain := network.hosts[orders.world.chance("evacuated", len(network.hosts)-1)].domain
-	_, evacuated := orders.since[domain]
-	orders.version.Version++
-	orders.version.Evacuations = slices.DeleteFunc(slices.Clone(orders.version.Evacuations), func(state configurer.EvacuationState) bool {
+	domain := network.hosts[evacuations.world.chance("evacuated", len(network.hosts)-1)].domain
+	_, evacuated := evacuations.bannedFrom[domain]
+	evacuations.version.Version++
+	evacuations.version.Evacuations = slices.DeleteFunc(slices.Clone(evacuations.version.Evacuations), func(state configurer.EvacuationState) bool {
 		return state.FailureDomain == domain
 	})
-	orders.version.Evacuations = append(orders.version.Evacuations, configurer.EvacuationState{FailureDomain: domain, Evacuated: !evacuated})
+	evacuations.version.Evacuations = append(evacuations.version.Evacuations, configurer.EvacuationState{FailureDomain: domain, Evacuated: !evacuated})
 	if evacuated {
-		delete(orders.since, domain)
+		delete(evacuations.bannedFrom, domain)
 	} else {
-		orders.since[domain] = network.now.Add(evacuationKnown)
+		evacuations.bannedFrom[domain] = network.now.Add(evacuationPropagation)
 	}
-	orders.world.history = append(orders.world.history, fmt.Sprintf("%v %s hears that %s is evacuated: %t", time.Duration(network.now), host.id, domain, !evacuated))
-	network.tick(host, &coordinator.ConfigRemembered{Version: orders.version})
+	evacuations.world.history = append(evacuations.world.history, fmt.Sprintf("%v %s hears that %s is evacuated: %t", time.Duration(network.now), host.id, domain, !evacuated))
+	network.tick(host, &coordinator.ConfigRemembered{Version: evacuations.version})
 }
 
-// check notes a start in a failure domain that is evacuated.
-func (orders *orders) check(server *calledServer, task string) {
-	if orders == nil || !orders.strict {
+// checkStart records a problem if a task starts in an evacuated failure domain.
+func (evacuations *evacuations) checkStart(server *calledServer, task string) {
+	if evacuations == nil || !evacuations.strict {
 		return
 	}
-	world := orders.world
-	if since, evacuated := orders.since[server.card.FailureDomain]; evacuated && since.Before(world.network.now) {
-		world.problems = append(world.problems, fmt.Sprintf("%s starts on %s, which is evacuated", task, server.card.Server))
+	world := evacuations.world
+	if bannedFrom, evacuated := evacuations.bannedFrom[server.report.FailureDomain]; evacuated && bannedFrom.Before(world.network.now) {
+		world.problems = append(world.problems, fmt.Sprintf("%s starts on %s, which is evacuated", task, server.report.Server))
 	}
 }
 
-// TestEvacuationUnderRandomFaults guards against starts in an evacuated failure domain, tasks that run
-// twice and callers without an answer, while failure domains are evacuated and readmitted, connections
-// are slow, and hosts lose each other for moments.
+// TestEvacuationUnderRandomFaults guards against starts in an evacuated failure domain, tasks that
+// run twice and callers without an answer, while failure domains are evacuated and readmitted,
+// connections are slow, and hosts are disconnected for moments.
 func TestEvacuationUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		settings := coordinator.DefaultSettings()
 		settings.Dispatcher.Cells = 2
 		network := newNetworkWith([]identifier.FailureDomain{"leuven", "geel", "mol"}, 2, settings)
 		world := newCalledWorld(network, draw, 9)
-		orders := newOrders(world, true)
+		evacuations := newEvacuations(world, true)
 		network.advance(3 * time.Second)
 		for step := range rapid.IntRange(40, 80).Draw(draw, "steps") {
-			world.stepShared(step)
+			world.randomHandoffStep(step)
 			if world.chance("order", 7) == 0 {
-				orders.step()
+				evacuations.randomStep()
 			}
 			network.advance(time.Duration(rapid.IntRange(1, 120).Draw(draw, "pause")) * time.Millisecond)
 		}
@@ -94,48 +95,49 @@
 	})
 }
 
-// TestEvacuationUnderHarshFaults has failure domains evacuated and readmitted while hosts stand still,
-// leave and start, and ways are cut: no task runs twice, and what is refused has not run.
+// TestEvacuationUnderHarshFaults evacuates and readmits failure domains while hosts are paused,
+// shut down and start, and paths to backend servers are cut: no task runs twice, and what is
+// refused has not run.
 func TestEvacuationUnderHarshFaults(t *testing.T) {
-	rapid.Check(t, func(draw *rapid.T) { playHarshly(draw, harshKinds{evacuations: true, sameIDs: true}) })
+	rapid.Check(t, func(draw *rapid.T) { runHarshFaults(draw, harshKinds{evacuations: true, sameIDs: true}) })
 }
 
-// TestEvacuationUnderHarshFaultsAndResends has callers send their jobs again, too.
+// TestEvacuationUnderHarshFaultsAndResends also has callers resubmit their jobs.
 func TestEvacuationUnderHarshFaultsAndResends(t *testing.T) {
-	rapid.Check(t, func(draw *rapid.T) { playHarshly(draw, harshKinds{evacuations: true, resends: true}) })
+	rapid.Check(t, func(draw *rapid.T) { runHarshFaults(draw, harshKinds{evacuations: true, resends: true}) })
 }
 
-// evacuatingMachine evacuates failure domains of servers that open a stream, too.
+// evacuatingMachine adds evacuations of failure domains whose servers open a stream.
 type evacuatingMachine struct {
 	machine
 	version configurer.Version
-	// since is from when nothing may start in the failure domains that are evacuated.
-	since map[identifier.FailureDomain]identifier.Moment
+	// bannedFrom is the moment from which nothing may start in each evacuated failure domain.
+	bannedFrom map[identifier.FailureDomain]identifier.Moment
 }
 
-// Order evacuates a failure domain, or takes that back, at two hosts as after a quorum of keepers, and
-// sends a job once all hosts that are not disturbed know.
+// Order evacuates or readmits a failure domain at two hosts, as after a quorum of keepers, and
+// submits a job once all undisturbed hosts know.
 func (machine *evacuatingMachine) Order(t *rapid.T) {
 	first, second := machine.drawHost(t), machine.drawHost(t)
 	if first.coordinator == nil || second.coordinator == nil || first == second {
-		t.Skip("two hosts are wanted")
+		t.Skip("needs two different running hosts")
 	}
 	domain := rapid.SampledFrom(machine.domains).Draw(t, "domain")
-	_, evacuated := machine.since[domain]
-	machine.order([]*fakeHost{first, second}, domain, !evacuated)
-	machine.network.advance(evacuationKnown + time.Millisecond)
+	_, evacuated := machine.bannedFrom[domain]
+	machine.setEvacuation([]*fakeHost{first, second}, domain, !evacuated)
+	machine.network.advance(evacuationPropagation + time.Millisecond)
 	machine.Submit(t)
 }
 
-func (machine *evacuatingMachine) order(hosts []*fakeHost, domain identifier.FailureDomain, evacuated bool) {
-	delete(machine.since, domain)
+func (machine *evacuatingMachine) setEvacuation(hosts []*fakeHost, domain identifier.FailureDomain, evacuated bool) {
+	delete(machine.bannedFrom, domain)
 	if evacuated {
-		machine.since[domain] = machine.network.now.Add(evacuationKnown)
+		machine.bannedFrom[domain] = machine.network.now.Add(evacuationPropagation)
 	}
 	machine.version.Version++
 	machine.version.Evacuations = nil
 	for _, known := range machine.domains {
-		_, evacuated := machine.since[known]
+		_, evacuated := machine.bannedFrom[known]
 		machine.version.Evacuations = append(machine.version.Evacuations, configurer.EvacuationState{FailureDomain: known, Evacuated: evacuated})
 	}
 	for _, host := range hosts {
@@ -143,22 +145,22 @@
 	}
 }
 
-// mayStart tells whether a start in a failure domain is allowed: while hosts are disturbed, and
-// shortly after, some may not have heard.
+// mayStart reports whether a start in a failure domain is allowed. While hosts are disturbed, and
+// shortly after, some may not have received the evacuation.
 func (machine *evacuatingMachine) mayStart(domain identifier.FailureDomain) bool {
-	since, evacuated := machine.since[domain]
-	return !evacuated || machine.network.now < max(since, machine.calmAt.Add(evacuationKnown))
+	bannedFrom, evacuated := machine.bannedFrom[domain]
+	return !evacuated || machine.network.now < max(bannedFrom, machine.recoveredAt.Add(evacuationPropagation))
 }
 
-// TestEvacuationOfStreamsUnderFaults guards against starts in an evacuated failure domain, and against
-// broken promises to callers, while servers, connections and one host at a time fail.
+// TestEvacuationOfStreamsUnderFaults guards against starts in an evacuated failure domain and
+// broken guarantees to callers, while servers, connections and one host at a time fail.
 func TestEvacuationOfStreamsUnderFaults(t *testing.T) {
-	bound(t, "60")
+	limitChecks(t, "60")
 	domains := []identifier.FailureDomain{"leuven", "roeselare"}
 	rapid.Check(t, func(t *rapid.T) {
 		machine := &evacuatingMachine{
-			machine: machine{network: newNetwork(domains, 3, 2, 2), domains: domains},
-			since:   make(map[identifier.FailureDomain]identifier.Moment),
+			machine:    machine{network: newNetwork(domains, 3, 2, 2), domains: domains},
+			bannedFrom: make(map[identifier.FailureDomain]identifier.Moment),
 		}
 		machine.network.mayStart = machine.mayStart
 		t.Repeat(rapid.StateMachineActions(machine))
--- a/pkg/coordinator/fakedisk_test.go
+++ b/pkg/coordinator/fakedisk_test.go
@@ -8,17 +8,17 @@
 	"github.com/stoathitch/stoathitch/pkg/replicator"
 )
 
-// syncTime is how long a keeper's disk takes.
+// syncTime is how long a sync of a keeper's disk takes.
 const syncTime = 4 * time.Millisecond
 
-// fakeDisk keeps what a keeper has synced; what is under way when the process ends
-// is lost. It is never long enough for snapshots.
+// fakeDisk holds what a keeper has synced; writes in progress when the process ends are lost. The
+// log never grows long enough for snapshots.
 type fakeDisk struct {
 	hardState replicator.HardState
 	entries   []replicator.Entry
 }
 
-// persist writes and syncs.
+// persist writes to the host's disk after syncTime, unless its process has ended by then.
 func (network *network) persist(host *fakeHost, output *coordinator.Persist) {
 	generation := host.generation
 	network.at(syncTime, func() {
@@ -46,7 +46,7 @@
 	}}
 }
 
-// makeKeepers starts all hosts anew as keepers.
+// makeKeepers restarts all hosts as keepers.
 func (network *network) makeKeepers() {
 	for _, host := range network.hosts {
 		network.crashHost(host)
--- a/pkg/coordinator/fakeserver_test.go
+++ b/pkg/coordinator/fakeserver_test.go
@@ -11,8 +11,8 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// fakeServer is a backend server that keeps the protocol of backend.proto. A
-// task runs for as long as its payload says.
+// fakeServer is a backend server that follows the protocol of backend.proto. A task's payload is
+// its run time.
 type fakeServer struct {
 	network     *network
 	id          identifier.BackendServerID
@@ -23,20 +23,20 @@
 	startedAt   identifier.Moment
 	alive       bool
 	leaving     bool
-	// silent holds back all that the server would send.
+	// silent suppresses everything that the server would send.
 	silent bool
-	// failing makes every task fail at once.
+	// failing makes every task fail after one millisecond.
 	failing bool
 	epochs  map[messenger.CellNumber]identifier.Epoch
 	leads   map[messenger.CellNumber]*fakeHost
 	tasks   map[dispatcher.TaskKey]messenger.CellNumber
-	// acknowledged are the submissions of which answers were acknowledged.
+	// acknowledged are the submissions whose answers were acknowledged.
 	acknowledged map[messenger.SubmissionDigest]bool
 	finished     map[dispatcher.TaskKey]dispatcher.ServerAnswer
 	cancelled    map[dispatcher.TaskKey]bool
 }
 
-// boot starts a new process of the server, which knows nothing of the old one.
+// boot starts a new process of the server, without any state of the previous one.
 func (server *fakeServer) boot() {
 	server.incarnation++
 	server.startedAt = server.network.now
@@ -52,10 +52,10 @@
 	for _, host := range server.network.hosts {
 		server.attach(host)
 	}
-	server.beat(server.incarnation)
+	server.sendHeartbeat(server.incarnation)
 }
 
-func (server *fakeServer) die() {
+func (server *fakeServer) crash() {
 	server.alive = false
 	for _, host := range server.network.hosts {
 		server.detach(host)
@@ -102,14 +102,14 @@
 	})
 }
 
-func (server *fakeServer) beat(incarnation uint64) {
+func (server *fakeServer) sendHeartbeat(incarnation uint64) {
 	if !server.alive || server.incarnation != incarnation {
 		return
 	}
 	for _, host := range server.network.hosts {
 		server.send(host, &dispatcher.ServerHeartbeat{Server: server.id, Busy: identifier.Slots(len(server.tasks))})
 	}
-	server.network.at(time.Second, func() { server.beat(incarnation) })
+	server.network.at(time.Second, func() { server.sendHeartbeat(incarnation) })
 }
 
 func (server *fakeServer) leave() {
@@ -170,9 +170,9 @@
 		return
 	}
 	server.tasks[start.TaskKey] = start.Cell
-	server.network.oracle.begun(start.TaskKey, server.id)
+	server.network.oracle.recordStart(start.TaskKey, server.id)
 	if allowed := server.network.mayStart; allowed != nil && !allowed(server.domain) {
-		server.network.oracle.breach("%v starts on %s, whose failure domain is evacuated", start.TaskKey, server.id)
+		server.network.oracle.addViolation("%v starts on %s, whose failure domain is evacuated", start.TaskKey, server.id)
 	}
 	runTime, _ := time.ParseDuration(string(start.Payload))
 	if server.failing {
--- a/pkg/coordinator/fakeworker_test.go
+++ b/pkg/coordinator/fakeworker_test.go
@@ -12,8 +12,8 @@
 	"github.com/stoathitch/stoathitch/pkg/planner"
 )
 
-// fakeWorker keeps the protocol of backend.proto for workers: it runs tasks under
-// leases on a clock of its own.
+// fakeWorker follows the protocol of backend.proto for workers: it runs tasks under leases on its
+// own clock.
 type fakeWorker struct {
 	world       *intentWorld
 	worker      placer.Worker
@@ -26,13 +26,13 @@
 	ended       []planner.TaskEnded
 }
 
-// fakeRun is one real run of a task.
+// fakeRun is one actual run of a task.
 type fakeRun struct {
 	task   identifier.TaskID
 	number leaser.Number
 	endsAt identifier.Moment
 	need   identifier.Resources
-	over   bool
+	ended  bool
 	end    planner.TaskEnd
 }
 
@@ -43,7 +43,7 @@
 	return identifier.Moment(worker.network().now.Sub(worker.startedAt)) + 1
 }
 
-// boot starts a process that knows nothing of the one before.
+// boot starts a process without any state of the previous one.
 func (worker *fakeWorker) boot() {
 	worker.incarnation++
 	worker.alive = true
@@ -54,16 +54,16 @@
 	for _, host := range worker.network().hosts {
 		worker.attach(host)
 	}
-	worker.check(worker.incarnation)
-	worker.beat(worker.incarnation)
+	worker.checkRuns(worker.incarnation)
+	worker.sendHeartbeat(worker.incarnation)
 }
 
-// die ends the process with all its tasks.
-func (worker *fakeWorker) die() {
+// crash ends the process and all of its tasks.
+func (worker *fakeWorker) crash() {
 	worker.alive = false
 	worker.incarnation++
 	for _, run := range worker.running {
-		run.over, run.end = true, planner.EndStopped
+		run.ended, run.end = true, planner.EndStopped
 	}
 	worker.running = nil
 	for _, host := range worker.network().hosts {
@@ -98,13 +98,13 @@
 	})
 }
 
-func (worker *fakeWorker) tell(events ...planner.Input) {
+func (worker *fakeWorker) broadcast(events ...planner.Input) {
 	for _, host := range worker.network().hosts {
 		worker.send(host, events)
 	}
 }
 
-// state is what a heartbeat tells.
+// state returns the events of a heartbeat: unacknowledged ends, running tasks and their usage.
 func (worker *fakeWorker) state() []planner.Input {
 	beat := planner.WorkerHeartbeat{Worker: worker.worker.ID, Reading: leaser.HolderMoment(worker.now())}
 	for _, run := range worker.running {
@@ -118,16 +118,16 @@
 	return append(events, beat)
 }
 
-func (worker *fakeWorker) beat(incarnation int) {
+func (worker *fakeWorker) sendHeartbeat(incarnation int) {
 	if worker.incarnation != incarnation {
 		return
 	}
-	worker.tell(worker.state()...)
-	worker.network().at(3*time.Second, func() { worker.beat(incarnation) })
+	worker.broadcast(worker.state()...)
+	worker.network().at(3*time.Second, func() { worker.sendHeartbeat(incarnation) })
 }
 
-// check ends tasks that are done, and stops those whose lease is over.
-func (worker *fakeWorker) check(incarnation int) {
+// checkRuns ends tasks that are done, and stops those whose lease has expired.
+func (worker *fakeWorker) checkRuns(incarnation int) {
 	if worker.incarnation != incarnation {
 		return
 	}
@@ -141,7 +141,7 @@
 			worker.finish(run, planner.EndSucceeded)
 		}
 	}
-	worker.network().at(100*time.Millisecond, func() { worker.check(incarnation) })
+	worker.network().at(100*time.Millisecond, func() { worker.checkRuns(incarnation) })
 }
 
 func (worker *fakeWorker) find(task identifier.TaskID) *fakeRun {
@@ -154,19 +154,19 @@
 }
 
 func (worker *fakeWorker) finish(run *fakeRun, end planner.TaskEnd) {
-	run.over, run.end = true, end
+	run.ended, run.end = true, end
 	worker.running = slices.DeleteFunc(worker.running, func(other *fakeRun) bool { return other == run })
 	worker.holder.Release(run.task)
-	worker.report(planner.TaskEnded{Worker: worker.worker.ID, Task: run.task, Number: run.number, End: end})
+	worker.reportEnd(planner.TaskEnded{Worker: worker.worker.ID, Task: run.task, Number: run.number, End: end})
 }
 
-// report tells how a task ended, and keeps that until it is acknowledged.
-func (worker *fakeWorker) report(ended planner.TaskEnded) {
+// reportEnd sends how a task ended, and keeps it until it is acknowledged.
+func (worker *fakeWorker) reportEnd(ended planner.TaskEnded) {
 	worker.ended = append(worker.ended, ended)
-	worker.tell(ended)
+	worker.broadcast(ended)
 }
 
-// handle applies one batch of a driver.
+// handle applies one batch of a driver, unless its epoch is older than one seen before.
 func (worker *fakeWorker) handle(batch *coordinator.ToWorker) {
 	if !worker.alive || batch.Epoch < worker.epoch {
 		return
@@ -183,16 +183,16 @@
 				_ = worker.holder.Renew(worker.now(), grant)
 			}
 		case planner.StopTask:
-			worker.obey(order.TaskOrder, planner.EndStopped)
+			worker.applyOrder(order.TaskOrder, planner.EndStopped)
 		case planner.CheckpointTask:
-			worker.obey(order.TaskOrder, planner.EndCheckpointed)
+			worker.applyOrder(order.TaskOrder, planner.EndCheckpointed)
 		case planner.StartTask:
 			worker.start(order)
 		}
 	}
 }
 
-func (worker *fakeWorker) obey(order planner.TaskOrder, end planner.TaskEnd) {
+func (worker *fakeWorker) applyOrder(order planner.TaskOrder, end planner.TaskEnd) {
 	if run := worker.find(order.Task); run != nil && run.number == order.Number {
 		worker.finish(run, end)
 	}
@@ -201,10 +201,10 @@
 func (worker *fakeWorker) start(start planner.StartTask) {
 	grant := start.Grant
 	if worker.find(grant.Task) != nil || worker.holder.Accept(worker.now(), grant) != nil {
-		worker.report(planner.TaskEnded{Worker: worker.worker.ID, Task: grant.Task, Number: grant.Number, End: planner.EndRefused})
+		worker.reportEnd(planner.TaskEnded{Worker: worker.worker.ID, Task: grant.Task, Number: grant.Number, End: planner.EndRefused})
 		return
 	}
 	run := &fakeRun{task: grant.Task, number: grant.Number, need: start.Need, endsAt: worker.network().now.Add(start.RunTime)}
 	worker.running = append(worker.running, run)
-	worker.world.started(start, run, worker)
+	worker.world.recordStart(start, run, worker)
 }
--- a/pkg/coordinator/fuzz_test.go
+++ b/pkg/coordinator/fuzz_test.go
@@ -14,14 +14,14 @@
 
 var (
 	long  = flag.Bool("long", false, "fuzz with a random seed and many more runs")
-	trace = flag.Bool("trace", false, "print what each host hears, to read a failing run")
+	trace = flag.Bool("trace", false, "print the inputs of each host, to analyse a failing run")
 )
 
-// TestPromisesUnderFaults mixes submissions, resends and cancellations with the
-// faults of backend servers, connections and one entry host, and asks the oracle
-// after each step whether a promise was broken.
+// TestPromisesUnderFaults mixes submissions, resubmissions and cancellations with faults of backend
+// servers, connections and one entry host. After each step it fails if the oracle has found a
+// violated guarantee.
 func TestPromisesUnderFaults(t *testing.T) {
-	bound(t, "150")
+	limitChecks(t, "150")
 	rapid.Check(t, func(t *rapid.T) {
 		machine := &machine{network: newNetwork([]identifier.FailureDomain{"leuven"}, 3, 4, 2)}
 		machine.network.trace = *trace
@@ -30,10 +30,10 @@
 	})
 }
 
-// TestPromisesAcrossFailureDomains does the same with two small failure domains
-// that hand jobs to each other.
+// TestPromisesAcrossFailureDomains does the same with two small failure domains that hand jobs off
+// to each other.
 func TestPromisesAcrossFailureDomains(t *testing.T) {
-	bound(t, "100")
+	limitChecks(t, "100")
 	domains := []identifier.FailureDomain{"leuven", "roeselare"}
 	rapid.Check(t, func(t *rapid.T) {
 		machine := &machine{network: newNetwork(domains, 3, 2, 2), domains: domains}
@@ -43,9 +43,9 @@
 	})
 }
 
-// bound keeps a run in CI short; the seed is fixed by pkg/seeder. With -long the
-// seed is random and the number of runs that of -rapid.checks.
-func bound(t *testing.T, checks string) {
+// limitChecks keeps a run in CI short; the seed is fixed by pkg/seeder. With -long the seed is
+// random and -rapid.checks sets the number of runs.
+func limitChecks(t *testing.T, checks string) {
 	t.Helper()
 	values := map[string]string{"rapid.checks": checks, "rapid.nofailfile": "true", "rapid.shrinktime": "15s"}
 	if *long {
@@ -63,22 +63,22 @@
 	network *network
 	jobs    []*messenger.Job
 	domains []identifier.FailureDomain
-	// calmAt is when the last fault among hosts is over and made good. The record
-	// of a submission stands in two hosts' memory, so a run has one such fault at a
-	// time; faults of backend servers mix with it freely.
-	calmAt identifier.Moment
+	// recoveredAt is when the last fault among hosts has ended and its effects are repaired. The
+	// record of a submission is in the memory of two hosts, so a run has one such fault at a time;
+	// faults of backend servers mix with it freely.
+	recoveredAt identifier.Moment
 }
 
-func (machine *machine) skipUnlessCalm(t *rapid.T) {
-	if machine.network.now < machine.calmAt {
-		t.Skip("another fault among hosts is under way")
+func (machine *machine) skipUnlessRecovered(t *rapid.T) {
+	if machine.network.now < machine.recoveredAt {
+		t.Skip("another fault among hosts is in progress")
 	}
 }
 
-// Check is called after every action.
+// Check runs after every action and fails if the oracle has found a violated guarantee.
 func (machine *machine) Check(t *rapid.T) {
-	if breaches := machine.network.oracle.breaches; len(breaches) > 0 {
-		t.Fatalf("broken promises: %v", breaches)
+	if violations := machine.network.oracle.violations; len(violations) > 0 {
+		t.Fatalf("broken promises: %v", violations)
 	}
 }
 
@@ -92,12 +92,12 @@
 
 func (machine *machine) drawJob(t *rapid.T) *messenger.Job {
 	if len(machine.jobs) == 0 {
-		t.Skip("nothing was sent yet")
+		t.Skip("no job was submitted yet")
 	}
 	return machine.jobs[rapid.IntRange(0, len(machine.jobs)-1).Draw(t, "job")]
 }
 
-// drawMayRun draws where a job may run; its home comes first.
+// drawMayRun draws the failure domains where a job may run; its home comes first.
 func (machine *machine) drawMayRun(t *rapid.T) []identifier.FailureDomain {
 	if len(machine.domains) == 0 {
 		return []identifier.FailureDomain{"leuven"}
@@ -109,7 +109,7 @@
 	return mayRun
 }
 
-// Submit sends a new job.
+// Submit submits a new job of 1 to 6 tasks to a drawn host.
 func (machine *machine) Submit(t *rapid.T) {
 	machine.send(t, machine.drawNewJob(t))
 }
@@ -136,12 +136,12 @@
 	machine.network.submit(machine.drawHost(t), job, rapid.SampledFrom([]time.Duration{time.Second, 20 * time.Second}).Draw(t, "timeout"))
 }
 
-// Resend sends a known job again, to any host.
+// Resend resubmits a known job to any host.
 func (machine *machine) Resend(t *rapid.T) {
 	machine.network.submit(machine.drawHost(t), machine.drawJob(t), 20*time.Second)
 }
 
-// Cancel cancels a known job.
+// Cancel cancels a known job at any host.
 func (machine *machine) Cancel(t *rapid.T) {
 	machine.network.cancel(machine.drawHost(t), machine.drawJob(t))
 }
@@ -156,20 +156,20 @@
 func (machine *machine) KillServer(t *rapid.T) {
 	server := machine.drawServer(t)
 	if server.alive {
-		server.die()
+		server.crash()
 		return
 	}
 	server.boot()
 }
 
-// RestartServer replaces a backend server's process at once.
+// RestartServer replaces a backend server's process by a new one at once.
 func (machine *machine) RestartServer(t *rapid.T) {
 	server := machine.drawServer(t)
-	server.die()
+	server.crash()
 	server.boot()
 }
 
-// BreakServerStream ends one stream; the server opens it again, or does so later.
+// BreakServerStream ends one stream; the server reopens it after a delay.
 func (machine *machine) BreakServerStream(t *rapid.T) {
 	server, host := machine.drawServer(t), machine.drawHost(t)
 	server.detach(host)
@@ -177,8 +177,8 @@
 	machine.network.at(later, func() { server.attach(host) })
 }
 
-// SilenceServer holds back what a server sends and hears, or ends that: what it
-// has missed comes by a new stream.
+// SilenceServer makes a server unresponsive, or ends that: what it has missed arrives over a new
+// stream.
 func (machine *machine) SilenceServer(t *rapid.T) {
 	server := machine.drawServer(t)
 	server.silent = !server.silent
@@ -191,45 +191,44 @@
 	}
 }
 
-// FailServer makes a server fail all tasks that it starts from now on, or ends that.
+// FailServer makes a server fail all tasks that it finishes from now on, or ends that.
 func (machine *machine) FailServer(t *rapid.T) {
 	server := machine.drawServer(t)
 	server.failing = !server.failing
 }
 
-// Leave makes a server take no new starts.
+// Leave makes a server accept no new starts.
 func (machine *machine) Leave(t *rapid.T) {
 	if server := machine.drawServer(t); server.alive {
 		server.leave()
 	}
 }
 
-// BreakPeers ends a connection between two hosts for a short time.
+// BreakPeers disconnects two hosts for a short time.
 func (machine *machine) BreakPeers(t *rapid.T) {
 	first, second := machine.drawHost(t), machine.drawHost(t)
-	machine.skipUnlessCalm(t)
+	machine.skipUnlessRecovered(t)
 	if first == second {
 		t.Skip("a host is connected to itself")
 	}
-	machine.network.breakHosts(first, second)
+	machine.network.disconnectHosts(first, second)
 	later := rapid.SampledFrom([]time.Duration{time.Microsecond, 100 * time.Millisecond, 10 * time.Second}).Draw(t, "reconnect")
-	machine.calmAt = machine.network.now.Add(later + time.Second)
+	machine.recoveredAt = machine.network.now.Add(later + time.Second)
 	machine.network.at(later, func() { machine.network.connectHosts(first, second) })
 }
 
-// CrashHost ends one entry host and starts it again later, without its memory. The
-// next fault among hosts comes when the others have noticed and made good for it.
+// CrashHost ends one entry host and restarts it later, without state. The next fault among hosts
+// comes only after the others have noticed and repaired the loss.
 func (machine *machine) CrashHost(t *rapid.T) {
-	machine.skipUnlessCalm(t)
+	machine.skipUnlessRecovered(t)
 	host := machine.drawHost(t)
 	machine.network.crashHost(host)
 	later := rapid.SampledFrom([]time.Duration{50 * time.Millisecond, 3 * time.Second}).Draw(t, "restart")
-	machine.calmAt = machine.network.now.Add(later + 15*time.Second)
+	machine.recoveredAt = machine.network.now.Add(later + 15*time.Second)
 	machine.network.at(later, func() { machine.network.startHost(host) })
 }
 
-// heal ends all faults; every caller that still waits at a living host must then
-// get its answer.
+// heal ends all faults. Every caller that still waits at a running host must then get its answer.
 func (machine *machine) heal(t *rapid.T) {
 	for _, server := range machine.network.servers {
 		if !server.alive {
--- a/pkg/coordinator/handover_test.go
+++ b/pkg/coordinator/handover_test.go
@@ -7,23 +7,23 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// occupy has work wait for leuven's slots, so that what comes next is handed over.
-func (network *network) occupy(front *fakeHost) {
-	job := jobOf("occupant", "team", 16, time.Second)
+// fillSlots fills the slots of leuven and its queue, so that the next job is handed off.
+func (network *network) fillSlots(callerHost *fakeHost) {
+	job := newJob("occupant", "team", 16, time.Second)
 	job.MayRun = bothDomains[:1]
-	network.submit(front, job, time.Minute)
+	network.submit(callerHost, job, time.Minute)
 	network.advance(10 * time.Millisecond)
 }
 
-// Symptom: tasks of a submission run in two failure domains, or the job is called
-// unknown although the other failure domain has it.
-// Sequence: a lead that sees no other host of its failure domain hands a job over. The
-// others are back and hold its records, and one of them takes the cell.
-// Cause: only a second host remembered where a job goes, and a lead that is alone has
-// none. The next lead found a record that says nothing of the other failure domain, and
-// no backend server at home that has the job.
+// Symptom: tasks of a submission run in two failure domains, or the job is answered as unknown
+// although the other failure domain has it.
+// Sequence: a lead that sees no other host of its failure domain hands a job off. The others return
+// and hold its records, and one of them takes over the cell.
+// Cause: only a second host remembered where a job was handed off to, and a lead that is alone has
+// none. The next lead found a record without the other failure domain, and no backend server at
+// home that has the job.
 func TestLeadRemembersWhereItHandsJobsTo(t *testing.T) {
-	network := twoDomains(t)
+	network := newTwoDomains(t)
 	lead := network.leadOf("leuven")
 	second := network.hosts[0]
 	if second == lead {
@@ -31,13 +31,13 @@
 	}
 	network.crashHost(second)
 	network.advance(3 * time.Second)
-	network.occupy(lead)
-	job := jobOf("job", "team", 2, 10*time.Second)
+	network.fillSlots(lead)
+	job := newJob("job", "team", 2, 10*time.Second)
 	job.MayRun = bothDomains
 	network.submit(lead, job, time.Minute)
 	network.advance(100 * time.Millisecond)
-	if spread := network.spread(); spread["roeselare"] != 2 {
-		t.Fatalf("the job was not handed over: %v", spread)
+	if spread := network.startsByDomain(); spread["roeselare"] != 2 {
+		t.Fatalf("the job was not handed off: %v", spread)
 	}
 	network.startHost(second)
 	network.advance(3 * time.Second)
@@ -45,7 +45,7 @@
 	network.advance(3 * time.Second)
 	network.submit(second, job, time.Minute)
 	network.advance(20 * time.Second)
-	if answer := network.outcome(job); answer == nil || answer.Outcome != messenger.OutcomeComplete {
+	if answer := network.finalAnswer(job); answer == nil || answer.Outcome != messenger.OutcomeComplete {
 		t.Fatalf("answered %+v", answer)
 	}
 }
--- a/pkg/coordinator/harsh_fuzz_test.go
+++ b/pkg/coordinator/harsh_fuzz_test.go
@@ -13,39 +13,40 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// A task ran twice at the same time, on two backend servers that lived. A lead had taken its
-// first run for over by what it or another host knew before, after a host had been cut off from
-// one backend server, had stood still for seconds and woken, or had left and started again, after
-// all hosts had started together, or lives had ended and begun.
+// Failure that these tests guard against: a task runs twice at the same time, on two running
+// backend servers. A lead considered its first run ended because of outdated information, its own
+// or another host's: after a host had been cut off from one backend server, had been paused for
+// seconds, or had shut down and restarted, after all hosts had started together, or after
+// incarnations of servers had ended and begun.
 
-// TestHarshFaults sends jobs, each once, while ways between single hosts and backend
-// servers are cut, hosts stand still, leave and start.
+// TestHarshFaults submits each job once, while paths between single hosts and backend servers are
+// cut, and hosts are paused, shut down and start.
 func TestHarshFaults(t *testing.T) {
-	rapid.Check(t, func(draw *rapid.T) { playHarshly(draw, harshKinds{}) })
+	rapid.Check(t, func(draw *rapid.T) { runHarshFaults(draw, harshKinds{}) })
 }
 
-// TestHarshFaultsAndLateCards has announcements of lives come after their end, too.
+// TestHarshFaultsAndLateCards also delivers reports of incarnations after their end.
 func TestHarshFaultsAndLateCards(t *testing.T) {
-	rapid.Check(t, func(draw *rapid.T) { playHarshly(draw, harshKinds{lateCards: true}) })
+	rapid.Check(t, func(draw *rapid.T) { runHarshFaults(draw, harshKinds{lateReports: true}) })
 }
 
-// TestHarshFaultsAndResends has callers send their jobs again, too.
+// TestHarshFaultsAndResends also has callers resubmit their jobs.
 func TestHarshFaultsAndResends(t *testing.T) {
-	rapid.Check(t, func(draw *rapid.T) { playHarshly(draw, harshKinds{resends: true}) })
+	rapid.Check(t, func(draw *rapid.T) { runHarshFaults(draw, harshKinds{resends: true}) })
 }
 
-// TestServerStartsAgainUnderHarshFaults has the lives at one address share an id: calls to one reach the
-// next, whose heartbeats, ends and clock count anew.
+// TestServerStartsAgainUnderHarshFaults gives the incarnations at one address the same server id:
+// calls to one reach the next, whose heartbeats, ends and clock count from the start again.
 func TestServerStartsAgainUnderHarshFaults(t *testing.T) {
-	rapid.Check(t, func(draw *rapid.T) { playHarshly(draw, harshKinds{lateCards: true, sameIDs: true}) })
+	rapid.Check(t, func(draw *rapid.T) { runHarshFaults(draw, harshKinds{lateReports: true, sameIDs: true}) })
 }
 
-// TestServerStartsAgainUnderHarshFaultsAndResends has callers send their jobs again, too.
+// TestServerStartsAgainUnderHarshFaultsAndResends also has callers resubmit their jobs.
 func TestServerStartsAgainUnderHarshFaultsAndResends(t *testing.T) {
-	rapid.Check(t, func(draw *rapid.T) { playHarshly(draw, harshKinds{resends: true, sameIDs: true}) })
+	rapid.Check(t, func(draw *rapid.T) { runHarshFaults(draw, harshKinds{resends: true, sameIDs: true}) })
 }
 
-func playHarshly(draw *rapid.T, kinds harshKinds) {
+func runHarshFaults(draw *rapid.T, kinds harshKinds) {
 	settings := coordinator.DefaultSettings()
 	settings.Dispatcher.Cells = rapid.IntRange(1, 2).Draw(draw, "cells")
 	domains := []identifier.FailureDomain{"leuven", "geel"}[:rapid.IntRange(1, 2).Draw(draw, "domains")]
@@ -53,13 +54,13 @@
 	network := newNetworkWith(domains, hosts, settings)
 	servers := rapid.IntRange(3, 5).Draw(draw, "servers") * len(domains)
 	world, harsh := newHarshWorld(network, draw, servers, kinds)
-	orders := newOrders(world, false)
+	evacuations := newEvacuations(world, false)
 	network.advance(2 * time.Second)
-	world.trouble = rapid.IntRange(0, 15).Draw(draw, "trouble")
+	world.failurePercent = rapid.IntRange(0, 15).Draw(draw, "trouble")
 	for step := range rapid.IntRange(20, 80).Draw(draw, "steps") {
-		harsh.step(step)
+		harsh.randomStep(step)
 		if kinds.evacuations && world.chance("order", 9) == 0 {
-			orders.step()
+			evacuations.randomStep()
 		}
 		network.advance(time.Duration(rapid.IntRange(1, 150).Draw(draw, "pause")) * time.Millisecond)
 		if len(world.problems) > 0 {
@@ -77,7 +78,7 @@
 	}
 }
 
-// newHarshWorld returns a world of servers whose ids are of the kind that is wanted.
+// newHarshWorld returns a world whose servers have ids of the kind that kinds.sameIDs selects.
 func newHarshWorld(network *network, draw *rapid.T, servers int, kinds harshKinds) (*calledWorld, *harshFaults) {
 	if !kinds.sameIDs {
 		world := newCalledWorld(network, draw, servers)
@@ -91,18 +92,18 @@
 	return world, harsh
 }
 
-// step does one thing that a caller or a fault does.
-func (harsh *harshFaults) step(step int) {
+// randomStep performs one action of a caller or one fault.
+func (harsh *harshFaults) randomStep(step int) {
 	world, network := harsh.world, harsh.world.network
 	host := network.hosts[world.chance("host", len(network.hosts)-1)]
 	kind := world.chance("step", 34)
 	switch {
 	case kind < 14:
-		harsh.send(host, identifier.JobID(fmt.Sprintf("job-%d", step)), 1+world.chance("tasks", 3))
+		harsh.submit(host, identifier.JobID(fmt.Sprintf("job-%d", step)), 1+world.chance("tasks", 3))
 	case kind < 17:
-		if jobs := harsh.jobs(); harsh.kinds.resends && len(jobs) > 0 {
+		if jobs := harsh.unfinishedJobs(); harsh.kinds.resends && len(jobs) > 0 {
 			id := jobs[world.chance("job", len(jobs)-1)]
-			harsh.resend(id, host, harsh.duration("again", 500))
+			harsh.resubmit(id, host, harsh.duration("again", 500))
 		}
 	case kind < 24:
 		harsh.disturbHost(host, kind)
@@ -133,12 +134,12 @@
 	case 21, 22:
 		harsh.freeze(host, 100*time.Millisecond+harsh.duration("frozen", 3900), harsh.world.chance("stands", 1) == 0)
 	case 23:
-		harsh.herd()
+		harsh.restartAllHosts()
 	}
 }
 
-// herd ends all hosts and starts them at about the same time.
-func (harsh *harshFaults) herd() {
+// restartAllHosts ends all hosts and starts them again at about the same time.
+func (harsh *harshFaults) restartAllHosts() {
 	for _, host := range harsh.world.network.hosts {
 		harsh.crash(host)
 		harsh.world.network.at(harsh.duration("down", 300), func() { harsh.start(host) })
@@ -156,54 +157,56 @@
 		network.connection(string(host.id), string(other.id)).delay = delays[harsh.world.chance("delay", len(delays)-1)]
 		return
 	}
-	harsh.note("%s and %s lose each other", host.id, other.id)
-	network.breakHosts(host, other)
+	harsh.record("%s and %s lose each other", host.id, other.id)
+	network.disconnectHosts(host, other)
 	network.at(harsh.duration("cut", 3000), func() { network.connectHosts(host, other) })
 }
 
 func (harsh *harshFaults) disturbServer(host *fakeHost, kind, step int) {
 	world := harsh.world
-	servers := harsh.living()
+	servers := harsh.liveServers()
 	if len(servers) == 0 {
 		return
 	}
 	server := servers[world.chance("server", len(servers)-1)]
 	switch kind {
 	case 27, 28, 29:
-		ways := world.chance("ways", 2)
-		lasts := 100*time.Millisecond + harsh.duration("cut", 4000)
-		harsh.cutOff([]*fakeHost{host}, server.place, lasts, ways != 1, ways != 0, world.chance("refused", 1) == 0)
+		direction := world.chance("ways", 2)
+		duration := 100*time.Millisecond + harsh.duration("cut", 4000)
+		harsh.cutOff([]*fakeHost{host}, server.address, duration, direction != 1, direction != 0, world.chance("refused", 1) == 0)
 	case 30:
 		lasts := 300*time.Millisecond + harsh.duration("blip", 400)
-		harsh.cutOff(world.network.hosts, server.place, lasts, true, true, world.chance("refused", 1) == 0)
+		harsh.cutOff(world.network.hosts, server.address, lasts, true, true, world.chance("refused", 1) == 0)
 	case 31, 32:
-		harsh.end(server, world.chance("announced", 1) == 0, harsh.duration("next", 1000), step+2)
+		harsh.endIncarnation(server, world.chance("announced", 1) == 0, harsh.duration("next", 1000), step+2)
 	default:
-		if harsh.kinds.lateCards && len(harsh.cards) > 0 {
-			card := harsh.cards[world.chance("old card", len(harsh.cards)-1)]
-			harsh.note("old card of %s to %s", card.Server, host.id)
-			world.network.tick(host, &coordinator.CardAnnounced{Card: card})
+		if harsh.kinds.lateReports && len(harsh.oldReports) > 0 {
+			report := harsh.oldReports[world.chance("old card", len(harsh.oldReports)-1)]
+			harsh.record("old card of %s to %s", report.Server, host.id)
+			world.network.tick(host, &coordinator.CardAnnounced{Card: report})
 		}
 	}
 }
 
-// Two cases of TestHarshFaultsAndResends in which a task runs twice, kept in testdata/rapid. In
-// one a job's callers' hosts and leads crash twice within a lease, its run goes on under the
-// leases of other runs on its server, and the caller sends the job again to another failure
-// domain, whose leads know of no run. In the other a host that led stands still for seconds and
-// acts on a job that waited for it, at a server that the new lead has not reached, while the
-// job's second sending runs elsewhere:
+// Two regression cases of TestHarshFaultsAndResends in testdata/rapid, in which a task runs twice.
+// In the first, the hosts of a job's callers and the leads crash twice within a lease, while its
+// run continues under the leases of other runs on its server. The caller resubmits the job to
+// another failure domain, whose leads know of no run.
+// In the second, a host that led is paused for seconds. It then handles a job that was waiting for
+// it, at a server that the new lead has not reached, while the job's second submission runs
+// elsewhere:
 //
 //	8.80075s called-0-1 RUNS job-12/1 run 2
 //	8.909s   leuven-host-1 wakes
 //	8.90925s called-1-1 RUNS job-12/1 run 2
 func TestJobSentAgainWhereItsRunsAreUnknown(t *testing.T) {
-	rapid.Check(t, func(draw *rapid.T) { playHarshly(draw, harshKinds{resends: true}) })
+	rapid.Check(t, func(draw *rapid.T) { runHarshFaults(draw, harshKinds{resends: true}) })
 }
 
-// A job is sent once, and one of its tasks runs twice. Hosts lose each other and a second one takes
-// the lead. It doesn't reach the backend server of a run; the former lead, which nobody has told,
-// does and renews its lease. The new lead counts leases from its own taking and calls the run over:
+// TestRunOnAServerThatTheNewLeadDoesNotReach guards against a job that is submitted once and one of
+// whose tasks runs twice. Hosts are disconnected and a second one becomes lead. It doesn't reach
+// the backend server of a run; the former lead, which was not notified, does and renews its lease.
+// The new lead counts leases from the start of its own term and considers the run ended:
 //
 //	9.28125s called-3-1 RUNS job-25/3 run 5 epoch 7753734461
 //	9.399s geel-host-0 lead changed: epoch 11219761635
@@ -212,14 +215,14 @@
 //	10.485898925s called-1-1 RUNS job-25/3 run 6 epoch 11219761635
 //	10.523137359s called-3-1 ENDS job-25/3 run 5 lapsed
 func TestRunOnAServerThatTheNewLeadDoesNotReach(t *testing.T) {
-	keptCasesOnly(t)
-	rapid.Check(t, func(draw *rapid.T) { playHarshly(draw, harshKinds{}) })
+	regressionCasesOnly(t)
+	rapid.Check(t, func(draw *rapid.T) { runHarshFaults(draw, harshKinds{}) })
 }
 
-// A job is sent again after a while in which nothing of it should be left, and runs beside its
-// first sending. All hosts crash twice within a second and a half; each lead between the crashes
-// renews a server's lease for another job, which the unwanted run lives on, too. The last lead has
-// not reached that server when the job comes:
+// TestRunUnderTheLeasesOfOthers guards against a job that is resubmitted when all of its runs
+// should have ended, and runs beside its first submission. All hosts crash twice within a second
+// and a half; each lead between the crashes renews a server's lease for another job, and the
+// unclaimed run continues under it. The last lead has not reached that server when the job arrives:
 //
 //	9.09525s called-3-1 RUNS job-11/1 run 6 epoch 7868913877
 //	9.336s the caller of job-11 leaves leuven-host-2
@@ -229,13 +232,13 @@
 //	10.94s called-1-42 RUNS job-11/1 run 2 epoch 7868913877
 //	11.002s called-3-1 ENDS job-11/1 run 6 lapsed
 func TestRunUnderTheLeasesOfOthers(t *testing.T) {
-	keptCasesOnly(t)
-	rapid.Check(t, func(draw *rapid.T) { playHarshly(draw, harshKinds{resends: true}) })
+	regressionCasesOnly(t)
+	rapid.Check(t, func(draw *rapid.T) { runHarshFaults(draw, harshKinds{resends: true}) })
 }
 
-// keptCasesOnly has a test replay what is kept for it in testdata/rapid, and one case more. The
-// tests of all harsh faults draw the others.
-func keptCasesOnly(t *testing.T) {
+// regressionCasesOnly limits a test to its regression cases in testdata/rapid and one drawn case.
+// The tests of all harsh faults draw the others.
+func regressionCasesOnly(t *testing.T) {
 	t.Helper()
 	checks := flag.Lookup("rapid.checks")
 	former := checks.Value.String()
@@ -249,17 +252,18 @@
 	})
 }
 
-// TestRunUnderTheLeasesOfNewStarts guards against a resend that runs in another failure domain while a
-// run of its first sending goes on, which all its hosts have forgotten and which starts of other jobs on
-// its server keep at work until it is stopped.
+// TestRunUnderTheLeasesOfNewStarts guards against a resubmitted job that runs in another failure
+// domain while a run of its first submission continues. All of that run's hosts have lost their
+// state, and starts of other jobs extend its server's lease until it is stopped.
 func TestRunUnderTheLeasesOfNewStarts(t *testing.T) {
-	keptCasesOnly(t)
-	rapid.Check(t, func(draw *rapid.T) { playHarshly(draw, harshKinds{resends: true}) })
+	regressionCasesOnly(t)
+	rapid.Check(t, func(draw *rapid.T) { runHarshFaults(draw, harshKinds{resends: true}) })
 }
 
-// TestWokenHostStartsWhatRanElsewhere guards against a host that is suspended together with its clock, and
-// on waking starts a job that its caller has meanwhile sent to another failure domain.
+// TestWokenHostStartsWhatRanElsewhere guards against a host that is suspended together with its
+// clock and, when it resumes, starts a job that its caller has since submitted to another failure
+// domain.
 func TestWokenHostStartsWhatRanElsewhere(t *testing.T) {
-	keptCasesOnly(t)
-	rapid.Check(t, func(draw *rapid.T) { playHarshly(draw, harshKinds{resends: true, sameIDs: true}) })
+	regressionCasesOnly(t)
+	rapid.Check(t, func(draw *rapid.T) { runHarshFaults(draw, harshKinds{resends: true, sameIDs: true}) })
 }
--- a/pkg/coordinator/harshworld_test.go
+++ b/pkg/coordinator/harshworld_test.go
@@ -13,71 +13,71 @@
 	"github.com/stoathitch/stoathitch/pkg/supervisor"
 )
 
-// heartbeat is how often a backend server announces itself.
-const heartbeat = 1500 * time.Millisecond
+// heartbeatInterval is how often a backend server sends a report.
+const heartbeatInterval = 1500 * time.Millisecond
 
-// latestCard is how late an announcement may come: it waits for a host that stands still.
-const latestCard = 6 * time.Second
+// maxReportDelay is how late a report may arrive: it waits for a paused host.
+const maxReportDelay = 6 * time.Second
 
-// harshFaults are faults of a part of the world only: one host can't reach one backend
-// server, hosts stand still, announcements come late, callers come back.
+// harshFaults adds partial faults to a world: one host can't reach one backend server, hosts are
+// paused, reports arrive late, callers resubmit jobs.
 type harshFaults struct {
 	world *calledWorld
-	cuts  map[cutKey]cut
+	cuts  map[pathKey]cut
 	kinds harshKinds
-	// sent are the jobs under way, by their last sending.
-	sent map[identifier.JobID]sending
-	// cards are the last announcements of lives that ended a short while ago.
-	cards []messenger.ServerCard
+	// submissions holds the last submission of each unfinished job.
+	submissions map[identifier.JobID]submission
+	// oldReports are the last reports of incarnations that ended less than maxReportDelay ago.
+	oldReports []messenger.ServerCard
 }
 
-// harshKinds are kinds of faults that a test may leave out, so that each has its own.
+// harshKinds selects the kinds of faults that not every test has.
 type harshKinds struct {
-	// resends tells that callers leave and send their jobs again.
+	// resends has callers leave and resubmit their jobs.
 	resends bool
-	// lateCards tells that announcements may come after the end of their life.
-	lateCards bool
-	// sameIDs tells that the lives at one address have one id, and tell when they began.
+	// lateReports lets reports arrive after the end of their incarnation.
+	lateReports bool
+	// sameIDs gives the incarnations at one address the same server id, with their start times.
 	sameIDs bool
-	// evacuations tells that failure domains are evacuated and readmitted.
+	// evacuations has failure domains evacuated and readmitted.
 	evacuations bool
 }
 
-// cutKey names the way between a host and what stands at a backend server's address.
-type cutKey struct {
-	host  identifier.HostID
-	place int
+// pathKey identifies the path between a host and the server at an address.
+type pathKey struct {
+	host    identifier.HostID
+	address int
 }
 
-// cut tells until when calls, or their answers, don't get through.
+// cut is until when calls, or their answers, are lost on a path.
 type cut struct {
-	there, back identifier.Moment
-	// refused tells that a call fails at once and not by its timeout.
+	callsLostUntil, answersLostUntil identifier.Moment
+	// refused makes a call fail at once instead of after its timeout.
 	refused bool
 }
 
-// sending is one sending of a job.
-type sending struct {
+// submission is one submission of a job.
+type submission struct {
 	host   *fakeHost
 	waiter supervisor.WaiterID
 	tasks  int
-	// again tells that the caller waits to send the job once more.
-	again bool
+	// resubmitting is set while the caller waits to resubmit the job.
+	resubmitting bool
 }
 
 func newHarshFaults(world *calledWorld, kinds harshKinds) *harshFaults {
-	created := &harshFaults{world: world, kinds: kinds, cuts: make(map[cutKey]cut), sent: make(map[identifier.JobID]sending)}
+	created := &harshFaults{world: world, kinds: kinds, cuts: make(map[pathKey]cut), submissions: make(map[identifier.JobID]submission)}
 	world.harsh = created
 	return created
 }
 
-func (harsh *harshFaults) note(format string, arguments ...any) {
-	line := fmt.Sprintf("%v ", time.Duration(harsh.world.network.now)) + fmt.Sprintf(format, arguments...)
-	harsh.world.history = append(harsh.world.history, line)
+func (harsh *harshFaults) record(format string, arguments ...any) {
+	entry := fmt.Sprintf("%v ", time.Duration(harsh.world.network.now)) + fmt.Sprintf(format, arguments...)
+	harsh.world.history = append(harsh.world.history, entry)
 }
 
-// living lists the servers that live, or have died, in the order of their ids.
-func (harsh *harshFaults) living() []*calledServer {
+// liveServers returns the servers that have not crashed, in the order of their ids.
+func (harsh *harshFaults) liveServers() []*calledServer {
 	var servers []*calledServer
 	for _, server := range harsh.world.servers {
 		if !server.dead {
@@ -85,23 +85,23 @@
 		}
 	}
 	slices.SortFunc(servers, func(first, second *calledServer) int {
-		return strings.Compare(string(first.card.Server), string(second.card.Server))
+		return strings.Compare(string(first.report.Server), string(second.report.Server))
 	})
 	return servers
 }
 
-func (harsh *harshFaults) at(place int) *calledServer {
-	for _, server := range harsh.living() {
-		if server.place == place {
+func (harsh *harshFaults) serverAt(address int) *calledServer {
+	for _, server := range harsh.liveServers() {
+		if server.address == address {
 			return server
 		}
 	}
 	return nil
 }
 
-// announce sends a card to some host, sometimes seconds later: to a host that stands
-// still, or over a connection that loses packets.
-func (harsh *harshFaults) announce(server *calledServer, card messenger.ServerCard) {
+// announceLater delivers a report to a drawn host, sometimes seconds later, as to a paused host or
+// over a connection that loses packets.
+func (harsh *harshFaults) announceLater(server *calledServer, report messenger.ServerCard) {
 	world := harsh.world
 	delay := hop
 	if world.chance("late card", 9) == 0 {
@@ -109,25 +109,26 @@
 	}
 	first := world.chance("card host", len(world.network.hosts)-1)
 	world.network.at(delay, func() {
-		if !server.dead || card.Gone || harsh.kinds.lateCards {
-			harsh.deliver(server.place, card, first)
+		if !server.dead || report.Gone || harsh.kinds.lateReports {
+			harsh.deliver(server.address, report, first)
 		}
 	})
 }
 
-// deliver hands a card to the first host from a given one on that runs and is reached.
-func (harsh *harshFaults) deliver(place int, card messenger.ServerCard, first int) {
+// deliver passes a report to the first host, counted from a given one, that runs and can be
+// reached.
+func (harsh *harshFaults) deliver(address int, report messenger.ServerCard, first int) {
 	network := harsh.world.network
 	for offset := range network.hosts {
 		host := network.hosts[(first+offset)%len(network.hosts)]
-		if host.coordinator != nil && !network.now.Before(harsh.cuts[cutKey{host.id, place}].back) {
-			network.tick(host, &coordinator.CardAnnounced{Card: card})
+		if host.coordinator != nil && !network.now.Before(harsh.cuts[pathKey{host.id, address}].answersLostUntil) {
+			network.tick(host, &coordinator.CardAnnounced{Card: report})
 			return
 		}
 	}
 }
 
-// call carries a call out as calledWorld.call does, under harsh faults.
+// call carries out a call as calledWorld.call does, under harsh faults.
 func (harsh *harshFaults) call(host *fakeHost, id identifier.ServerIncarnation, timeout time.Duration, carryOut func(server *calledServer, reply func(answer func())), answer func(outcome allocator.CallOutcome)) {
 	world, network := harsh.world, harsh.world.network
 	generation, answered := host.generation, false
@@ -151,23 +152,23 @@
 	if target == nil {
 		return
 	}
-	way := cutKey{host.id, target.place}
-	delay, silent := hop, false
+	path := pathKey{host.id, target.address}
+	delay, answerLost := hop, false
 	switch {
-	case network.now.Before(harsh.cuts[way].there):
-		if harsh.cuts[way].refused {
+	case network.now.Before(harsh.cuts[path].callsLostUntil):
+		if harsh.cuts[path].refused {
 			network.at(hop, unanswered)
 		}
 		return
-	case world.chance("call", 99) >= world.trouble:
+	case world.chance("call", 99) >= world.failurePercent:
 	default:
 		switch world.chance("how", 4) {
 		case 0:
 			return
 		case 1:
-			silent = true
+			answerLost = true
 		case 2:
-			delay, silent = time.Duration(2+world.chance("late", 10))*time.Second, true
+			delay, answerLost = time.Duration(2+world.chance("late", 10))*time.Second, true
 		case 3:
 			delay = time.Duration(world.chance("slow call", 400)) * time.Millisecond
 		case 4:
@@ -175,14 +176,14 @@
 			return
 		}
 	}
-	// What a server carries out seconds later ends with its life.
+	// A call that a server carries out seconds later is lost when its process ends.
 	queued := delay > time.Second
 	network.at(delay, func() {
-		if present := harsh.at(target.place); target.dead && present != nil && !queued && present.sharesIDWith(target) {
+		if present := harsh.serverAt(target.address); target.dead && present != nil && !queued && present.sharesIDWith(target) {
 			target = present
 		}
 		if target.dead {
-			if harsh.at(target.place) != nil {
+			if harsh.serverAt(target.address) != nil {
 				network.at(hop, func() { finish(func() { answer(allocator.CallGone) }) })
 				return
 			}
@@ -190,7 +191,7 @@
 			return
 		}
 		carryOut(target, func(run func()) {
-			if !silent && !network.now.Before(harsh.cuts[way].back) {
+			if !answerLost && !network.now.Before(harsh.cuts[path].answersLostUntil) {
 				network.at(hop, func() { finish(run) })
 			}
 		})
@@ -198,45 +199,45 @@
 }
 
 func (server *calledServer) sharesIDWith(other *calledServer) bool {
-	return server.card.Server.Server() == other.card.Server.Server()
+	return server.report.Server.Server() == other.report.Server.Server()
 }
 
-// cutOff cuts the ways between hosts and one server's address for a while.
-func (harsh *harshFaults) cutOff(hosts []*fakeHost, place int, lasts time.Duration, there, back, refused bool) {
-	until := harsh.world.network.now.Add(lasts)
+// cutOff cuts the paths between hosts and one server's address for a while.
+func (harsh *harshFaults) cutOff(hosts []*fakeHost, address int, duration time.Duration, cutCalls, cutAnswers, refused bool) {
+	until := harsh.world.network.now.Add(duration)
 	for _, host := range hosts {
-		key := cutKey{host.id, place}
+		key := pathKey{host.id, address}
 		changed := harsh.cuts[key]
-		if there {
-			changed.there = until
+		if cutCalls {
+			changed.callsLostUntil = until
 		}
-		if back {
-			changed.back = until
+		if cutAnswers {
+			changed.answersLostUntil = until
 		}
 		changed.refused = refused
 		harsh.cuts[key] = changed
-		harsh.note("%s is cut off place %d for %v there %v back %v", host.id, place, lasts, there, back)
+		harsh.record("%s is cut off place %d for %v there %v back %v", host.id, address, duration, cutCalls, cutAnswers)
 	}
 }
 
-// freeze lets a host stand still for a while. Messages wait for it; its steady clock
-// stands still where the machine is suspended, and goes on where only its process is.
-func (harsh *harshFaults) freeze(host *fakeHost, lasts time.Duration, clockStands bool) {
+// freeze pauses a host for a while. Messages wait for it; its steady clock stops if the machine is
+// suspended, and continues if only the process is paused.
+func (harsh *harshFaults) freeze(host *fakeHost, duration time.Duration, clockStops bool) {
 	if host.coordinator == nil || host.frozen {
 		return
 	}
 	network := harsh.world.network
-	harsh.note("%s is frozen for %v, clock stands %v", host.id, lasts, clockStands)
+	harsh.record("%s is frozen for %v, clock stands %v", host.id, duration, clockStops)
 	host.frozen = true
 	generation := host.generation
-	network.at(lasts, func() {
+	network.at(duration, func() {
 		if host.generation != generation {
 			return
 		}
-		harsh.note("%s wakes", host.id)
+		harsh.record("%s wakes", host.id)
 		host.frozen = false
-		if clockStands {
-			host.startedAt = host.startedAt.Add(lasts)
+		if clockStops {
+			host.startedAt = host.startedAt.Add(duration)
 		}
 		backlog := host.backlog
 		host.backlog = nil
@@ -247,14 +248,14 @@
 	})
 }
 
-// leave shuts a host down gracefully; its process ends by a deadline at the latest, and
-// answers its callers before.
+// leave shuts a host down gracefully; its process ends by the deadline at the latest, and answers
+// its callers before.
 func (harsh *harshFaults) leave(host *fakeHost, deadline time.Duration) {
 	if host.coordinator == nil || host.frozen {
 		return
 	}
 	network := harsh.world.network
-	harsh.note("%s leaves", host.id)
+	harsh.record("%s leaves", host.id)
 	generation := host.generation
 	network.tick(host, &coordinator.ShutdownRequested{})
 	network.at(deadline, func() {
@@ -272,82 +273,83 @@
 
 func (harsh *harshFaults) crash(host *fakeHost) {
 	if host.coordinator != nil {
-		harsh.note("%s crashes", host.id)
+		harsh.record("%s crashes", host.id)
 		harsh.world.network.crashHost(host)
 	}
 }
 
 func (harsh *harshFaults) start(host *fakeHost) {
 	if host.coordinator == nil {
-		harsh.note("%s starts", host.id)
+		harsh.record("%s starts", host.id)
 		harsh.world.network.startHost(host)
 	}
 }
 
-// end ends the life of a backend server; the next stands at its address after a while.
-func (harsh *harshFaults) end(server *calledServer, announced bool, next time.Duration, life int) {
-	harsh.note("%s ends, announced %v", server.card.Server, announced)
+// endIncarnation ends a backend server's process; the next incarnation starts at its address after
+// the downtime.
+func (harsh *harshFaults) endIncarnation(server *calledServer, announced bool, downtime time.Duration, incarnation int) {
+	harsh.record("%s ends, announced %v", server.report.Server, announced)
 	server.crash()
-	harsh.cards = append(harsh.cards, server.card)
-	harsh.world.network.at(latestCard, func() { harsh.cards = harsh.cards[1:] })
+	harsh.oldReports = append(harsh.oldReports, server.report)
+	harsh.world.network.at(maxReportDelay, func() { harsh.oldReports = harsh.oldReports[1:] })
 	if announced {
-		gone := messenger.ServerCard{Server: server.card.Server, FailureDomain: server.card.FailureDomain, Gone: true}
+		departure := messenger.ServerCard{Server: server.report.Server, FailureDomain: server.report.FailureDomain, Gone: true}
 		if harsh.kinds.sameIDs && harsh.world.chance("undated", 1) == 0 {
-			gone.Server = identifier.UndatedIncarnation(server.card.Server.Server())
+			departure.Server = identifier.UndatedIncarnation(server.report.Server.Server())
 		}
-		harsh.announce(server, gone)
+		harsh.announceLater(server, departure)
 	}
-	harsh.world.network.at(next, func() {
-		if harsh.at(server.place) == nil {
-			harsh.world.startServer(server.place, life)
-			harsh.note("place %d has life %d", server.place, life)
+	harsh.world.network.at(downtime, func() {
+		if harsh.serverAt(server.address) == nil {
+			harsh.world.startServer(server.address, incarnation)
+			harsh.record("place %d has life %d", server.address, incarnation)
 		}
 	})
 }
 
-// send sends a job and remembers whom to.
-func (harsh *harshFaults) send(host *fakeHost, id identifier.JobID, tasks int) {
+// submit submits a job and records its host, waiter and number of tasks.
+func (harsh *harshFaults) submit(host *fakeHost, id identifier.JobID, tasks int) {
 	if host.coordinator == nil {
 		return
 	}
-	harsh.sent[id] = sending{host: host, waiter: harsh.world.next + 1, tasks: tasks}
-	harsh.note("%s is sent to %s, %d tasks", id, host.id, tasks)
+	harsh.submissions[id] = submission{host: host, waiter: harsh.world.lastWaiter + 1, tasks: tasks}
+	harsh.record("%s is sent to %s, %d tasks", id, host.id, tasks)
 	harsh.world.submit(host, id, tasks)
 }
 
-// resendAfter is how long a caller whose connection broke waits before it sends again.
-const resendAfter = 1300 * time.Millisecond
+// resubmitAfter is how long a caller whose connection broke waits before it resubmits.
+const resubmitAfter = 1300 * time.Millisecond
 
-// resend breaks the connection of some job's caller, who sends the job again. A host that
-// stands still hears of the break when it wakes.
-func (harsh *harshFaults) resend(id identifier.JobID, to *fakeHost, later time.Duration) {
-	last, under := harsh.sent[id]
-	if !under || last.again {
+// resubmit breaks the connection of a job's caller, which submits the job again. A paused host is
+// notified of the break when it resumes.
+func (harsh *harshFaults) resubmit(id identifier.JobID, to *fakeHost, delay time.Duration) {
+	last, pending := harsh.submissions[id]
+	if !pending || last.resubmitting {
 		return
 	}
-	last.again = true
-	harsh.sent[id] = last
-	harsh.note("the caller of %s leaves %s", id, last.host.id)
+	last.resubmitting = true
+	harsh.submissions[id] = last
+	harsh.record("the caller of %s leaves %s", id, last.host.id)
 	harsh.world.network.tick(last.host, &coordinator.SupervisorEvent{Event: &supervisor.CallerLeft{Waiter: last.waiter, Job: id}})
-	harsh.world.network.at(resendAfter+later, func() {
-		if _, under := harsh.sent[id]; under && to.coordinator != nil {
+	harsh.world.network.at(resubmitAfter+delay, func() {
+		if _, pending := harsh.submissions[id]; pending && to.coordinator != nil {
 			harsh.world.resent[id] = true
-			harsh.send(to, id, last.tasks)
+			harsh.submit(to, id, last.tasks)
 		}
 	})
 }
 
-// answered takes the end of a job. A job that is done is not sent again.
-func (harsh *harshFaults) answered(ended *supervisor.JobEnded) {
+// handleJobEnded forgets a completed job, which is not resubmitted.
+func (harsh *harshFaults) handleJobEnded(ended *supervisor.JobEnded) {
 	if ended.Outcome == supervisor.OutcomeComplete {
-		delete(harsh.sent, ended.Job)
+		delete(harsh.submissions, ended.Job)
 	}
 }
 
-// jobs lists the jobs that are not done.
-func (harsh *harshFaults) jobs() []identifier.JobID {
+// unfinishedJobs returns the jobs that are not complete, sorted.
+func (harsh *harshFaults) unfinishedJobs() []identifier.JobID {
 	var jobs []identifier.JobID
-	for id := range harsh.sent {
+	for id := range harsh.submissions {
 		jobs = append(jobs, id)
 	}
 	slices.Sort(jobs)
--- a/pkg/coordinator/intentsfuzz_test.go
+++ b/pkg/coordinator/intentsfuzz_test.go
@@ -11,12 +11,12 @@
 	"github.com/stoathitch/stoathitch/pkg/planner"
 )
 
-// intentMachine drives random exchanges with faults.
+// intentMachine draws actions of operators and faults.
 type intentMachine struct {
 	network *network
 	names   []identifier.IntentName
 	crashed *fakeHost
-	// cancelled tells which intents somebody tried to cancel.
+	// cancelled are the intents that somebody tried to cancel.
 	cancelled map[identifier.IntentName]bool
 	requests  int
 }
@@ -26,8 +26,8 @@
 }
 
 func (machine *intentMachine) Check(t *rapid.T) {
-	if breaches := machine.network.intents.breaches; len(breaches) > 0 {
-		t.Fatalf("broken promises: %v", breaches)
+	if violations := machine.network.intents.violations; len(violations) > 0 {
+		t.Fatalf("broken promises: %v", violations)
 	}
 }
 
@@ -37,12 +37,12 @@
 		return
 	}
 	name := identifier.IntentName(fmt.Sprintf("intent-%d", len(machine.names)))
-	spec := specOf(rapid.IntRange(1, 12).Draw(t, "count"), time.Duration(rapid.IntRange(1, 20).Draw(t, "seconds"))*time.Second, rapid.Bool().Draw(t, "repeatable"))
+	spec := newSpec(rapid.IntRange(1, 12).Draw(t, "count"), time.Duration(rapid.IntRange(1, 20).Draw(t, "seconds"))*time.Second, rapid.Bool().Draw(t, "repeatable"))
 	machine.network.intents.create(host, "an", name, spec)
 	machine.names = append(machine.names, name)
 }
 
-// Order confirms or cancels with the numbers that the host shows.
+// Order confirms or cancels an intent with the revision and plan number that the host shows.
 func (machine *intentMachine) Order(t *rapid.T) {
 	host := machine.host(t)
 	if host.coordinator == nil || len(machine.names) == 0 {
@@ -65,7 +65,7 @@
 	} else {
 		machine.cancelled[name] = true
 	}
-	machine.network.intents.ask(host, command)
+	machine.network.intents.sendCommand(host, command)
 }
 
 func (machine *intentMachine) Wait(t *rapid.T) {
@@ -82,8 +82,8 @@
 	machine.network.crashHost(machine.crashed)
 }
 
-// Isolate cuts a host, the driving one more often, from some or all other hosts; the
-// workers still hear it.
+// Isolate disconnects a host, often the driving one, from some or all other hosts; the workers
+// still receive its messages.
 func (machine *intentMachine) Isolate(t *rapid.T) {
 	one := machine.network.leadOf("leuven")
 	if one == nil || rapid.Bool().Draw(t, "any") {
@@ -95,7 +95,7 @@
 		if one == other || position == spared {
 			continue
 		}
-		machine.network.breakHosts(one, other)
+		machine.network.disconnectHosts(one, other)
 		machine.network.at(wait, func() { machine.network.connectHosts(one, other) })
 	}
 }
@@ -103,13 +103,13 @@
 func (machine *intentMachine) Worker(t *rapid.T) {
 	worker := rapid.SampledFrom(machine.network.intents.workers).Draw(t, "worker")
 	if worker.alive {
-		worker.die()
+		worker.crash()
 		return
 	}
 	worker.boot()
 }
 
-// CutWorker ends a worker's connections for a while; its tasks run on.
+// CutWorker ends a worker's connections for a while; its tasks continue.
 func (machine *intentMachine) CutWorker(t *rapid.T) {
 	worker := rapid.SampledFrom(machine.network.intents.workers).Draw(t, "worker")
 	for _, host := range machine.network.hosts {
@@ -122,7 +122,8 @@
 	})
 }
 
-// heal mends everything, and asks whether every word in the log is true.
+// heal ends all faults and checks the state of each intent, and what it says of each task, against
+// what really ran.
 func (machine *intentMachine) heal(t *rapid.T) {
 	network := machine.network
 	if machine.crashed != nil {
@@ -138,12 +139,12 @@
 	machine.Check(t)
 	for _, name := range machine.names {
 		if record := network.intents.read(network.hosts[0], name); record != nil {
-			machine.judge(t, record)
+			machine.checkRecord(t, record)
 		}
 	}
 }
 
-func (machine *intentMachine) judge(t *rapid.T, record *planner.Record) {
+func (machine *intentMachine) checkRecord(t *rapid.T, record *planner.Record) {
 	world := machine.network.intents
 	switch {
 	case record.State == planner.StateCreated:
@@ -151,37 +152,37 @@
 	case record.State == planner.StatePlanned:
 		return
 	case !record.State.Ended():
-		t.Fatalf("%s has not ended but is %s: %+v", record.Name, record.State, record.Steps)
+		t.Fatalf("%s has not ended, it is %s: %+v", record.Name, record.State, record.Steps)
 	case world.repeatable[record.Name] && !machine.cancelled[record.Name] && record.State != planner.StateComplete:
-		t.Fatalf("%s may run again, was not cancelled and is %s: %+v", record.Name, record.State, record.Steps)
+		t.Fatalf("%s is repeatable, was not cancelled and is %s: %+v", record.Name, record.State, record.Steps)
 	}
 	for _, ended := range record.Ranges {
 		for index := ended.From; index < ended.To; index++ {
-			machine.judgeTask(t, planner.NameTask(record.Name, ended.Batch, index), ended.Outcome)
+			machine.checkTask(t, planner.NameTask(record.Name, ended.Batch, index), ended.Outcome)
 		}
 	}
 }
 
-func (machine *intentMachine) judgeTask(t *rapid.T, task identifier.TaskID, outcome planner.Outcome) {
+func (machine *intentMachine) checkTask(t *rapid.T, task identifier.TaskID, outcome planner.Outcome) {
 	runs := machine.network.intents.runs[task]
 	succeeded := false
 	for _, run := range runs {
-		succeeded = succeeded || run.over && run.end == planner.EndSucceeded
+		succeeded = succeeded || run.ended && run.end == planner.EndSucceeded
 	}
 	switch {
 	case outcome == planner.OutcomeSucceeded && !succeeded:
-		t.Fatalf("%s is said to have succeeded; it ran %d times", task, len(runs))
+		t.Fatalf("%s is recorded as succeeded, but none of its %d runs succeeded", task, len(runs))
 	case outcome == planner.OutcomeNotRun && len(runs) > 0:
-		t.Fatalf("%s is said not to have run", task)
+		t.Fatalf("%s is recorded as not run, but has run", task)
 	case outcome == planner.OutcomeStopped && len(runs) == 0:
-		t.Fatalf("%s is said to have been stopped; it never ran", task)
+		t.Fatalf("%s is recorded as stopped, but never ran", task)
 	}
 }
 
-// TestIntentsUnderFaults mixes operators with deaths of hosts and workers and cut
+// TestIntentsUnderFaults mixes operators' commands with crashes of hosts and workers and broken
 // connections, over whole coordinators with real keepers.
 func TestIntentsUnderFaults(t *testing.T) {
-	bound(t, "20")
+	limitChecks(t, "20")
 	rapid.Check(t, func(t *rapid.T) {
 		machine := &intentMachine{
 			network:   newIntentNetwork([]identifier.FailureDomain{"leuven"}, 3, 3),
@@ -193,10 +194,10 @@
 	})
 }
 
-// TestIntentsAcrossFailureDomains does the same with two failure domains that lose
-// sight of each other; the smaller side can't reach a quorum.
+// TestIntentsAcrossFailureDomains does the same with two failure domains that are disconnected from
+// each other; the smaller side can't reach a quorum.
 func TestIntentsAcrossFailureDomains(t *testing.T) {
-	bound(t, "15")
+	limitChecks(t, "15")
 	rapid.Check(t, func(t *rapid.T) {
 		machine := &intentMachine{
 			network:   newIntentNetwork([]identifier.FailureDomain{"leuven", "roeselare"}, 2, 2),
@@ -210,7 +211,7 @@
 	})
 }
 
-// cutDomains cuts all connections between the failure domains for a while.
+// cutDomains breaks all connections between the failure domains for a while.
 func (machine *intentMachine) cutDomains(t *rapid.T) {
 	wait := time.Duration(rapid.IntRange(1, 60).Draw(t, "s")) * time.Second
 	for _, one := range machine.network.hosts {
@@ -218,7 +219,7 @@
 			if one.domain == other.domain {
 				continue
 			}
-			machine.network.breakHosts(one, other)
+			machine.network.disconnectHosts(one, other)
 			machine.network.at(wait, func() { machine.network.connectHosts(one, other) })
 		}
 	}
--- a/pkg/coordinator/intentworld_test.go
+++ b/pkg/coordinator/intentworld_test.go
@@ -12,17 +12,19 @@
 	"github.com/stoathitch/stoathitch/pkg/planner"
 )
 
-// intentWorld holds the workers and operators of a network, and what really ran.
+// intentWorld holds the workers and operators of a network and the actual runs of tasks. It checks
+// that no task starts unconfirmed, runs twice at once, or runs again without being repeatable.
 type intentWorld struct {
 	network *network
 	workers []*fakeWorker
 	runs    map[identifier.TaskID][]*fakeRun
-	// repeatable tells of each intent, confirmed whether anybody has confirmed it.
+	// repeatable and confirmed say whether an intent is repeatable and whether an operator has
+	// confirmed it.
 	repeatable map[identifier.IntentName]bool
 	confirmed  map[identifier.IntentName]bool
 	waiters    uint64
 	answers    map[uint64]*coordinator.OperatorAnswer
-	breaches   []string
+	violations []string
 }
 
 // newIntentNetwork returns a network in which every host is a keeper.
@@ -100,30 +102,30 @@
 	return nil
 }
 
-// started checks that a task may run.
-func (world *intentWorld) started(start planner.StartTask, run *fakeRun, worker *fakeWorker) {
+// recordStart records a run and checks that the task was allowed to start.
+func (world *intentWorld) recordStart(start planner.StartTask, run *fakeRun, worker *fakeWorker) {
 	task := start.Grant.Task
 	if !world.confirmed[start.Intent] {
-		world.breach("%s started before anybody confirmed it", task)
+		world.addViolation("%s started before anybody confirmed it", task)
 	}
 	for _, former := range world.runs[task] {
-		if !former.over {
-			world.breach("%s runs twice at once, now on %s", task, worker.worker.ID)
+		if !former.ended {
+			world.addViolation("%s runs twice at once, now on %s", task, worker.worker.ID)
 		}
 		if !world.repeatable[start.Intent] {
-			world.breach("%s is not repeatable and runs again", task)
+			world.addViolation("%s is not repeatable and runs again", task)
 		}
 	}
 	world.runs[task] = append(world.runs[task], run)
 }
 
-func (world *intentWorld) breach(format string, arguments ...any) {
-	world.breaches = append(world.breaches, fmt.Sprintf(format, arguments...))
+func (world *intentWorld) addViolation(format string, arguments ...any) {
+	world.violations = append(world.violations, fmt.Sprintf(format, arguments...))
 }
 
-// ask sends a command of an operator to a host, and returns what its answer is
-// found by.
-func (world *intentWorld) ask(host *fakeHost, command planner.Command) uint64 {
+// sendCommand sends an operator's command to a host and returns the waiter under which result finds
+// its answer.
+func (world *intentWorld) sendCommand(host *fakeHost, command planner.Command) uint64 {
 	world.waiters++
 	if command.Kind == planner.CommandConfirm {
 		world.confirmed[command.Name] = true
@@ -132,7 +134,7 @@
 	return world.waiters
 }
 
-// result returns the result of a command, or nil while there is none.
+// result returns the result of a command, or nil until it is applied.
 func (world *intentWorld) result(waiter uint64) *planner.Result {
 	answer := world.answers[waiter]
 	if answer == nil || !answer.Applied {
@@ -141,12 +143,12 @@
 	return answer.Result.Intent
 }
 
-// read asks a host for an intent.
+// read requests an intent from a host and returns nil if there is no answer or no such intent.
 func (world *intentWorld) read(host *fakeHost, name identifier.IntentName) *planner.Record {
 	world.waiters++
 	waiter := world.waiters
 	world.network.tick(host, &coordinator.OperatorRequest{Waiter: waiter, Read: &keeper.IntentRead{Name: name}})
-	world.network.advance(resultPatience)
+	world.network.advance(answerTime)
 	answer := world.answers[waiter]
 	if answer == nil || !answer.Applied || len(answer.Result.Intents.Records) == 0 {
 		return nil
@@ -154,8 +156,8 @@
 	return &answer.Result.Intents.Records[0]
 }
 
-// recoded passes a batch through its wire form, as the connections do.
-func recoded(batch coordinator.PeerBatch) coordinator.PeerBatch {
+// encodedAndDecoded passes a batch through its wire encoding, as connections do.
+func encodedAndDecoded(batch coordinator.PeerBatch) coordinator.PeerBatch {
 	content, err := cbor.Marshal(batch)
 	if err != nil {
 		panic(err)
--- a/pkg/coordinator/tending_test.go
+++ b/pkg/coordinator/keepermembership_test.go
@@ -11,9 +11,9 @@
 	"github.com/stoathitch/stoathitch/pkg/keeper"
 )
 
-// tendedKeepers starts three keepers, one in each failure domain, and spare hosts that
-// become keepers when they are started.
-func tendedKeepers(t *testing.T) *network {
+// newKeeperNetwork starts three keepers, one in each failure domain. Hosts that are added and
+// started later may join them.
+func newKeeperNetwork(t *testing.T) *network {
 	t.Helper()
 	network := newNetwork([]identifier.FailureDomain{"leuven", "roeselare", "geel"}, 1, 0, 0)
 	network.settings.Voters = 3
@@ -22,7 +22,7 @@
 	return network
 }
 
-// propose sends a configuration to a host and returns the waiter of its answer.
+// propose sends a configuration change to a host and returns the waiter of its answer.
 func (network *network) propose(host *fakeHost, revision identifier.ConfigRevision) uint64 {
 	waiter := uint64(len(network.operators) + 1)
 	network.operators[waiter] = nil
@@ -36,7 +36,7 @@
 	return answer != nil && answer.Applied
 }
 
-// read returns the revision that a host reads, and false without a quorum.
+// read returns the configuration revision that a host reads, and false without a quorum.
 func (network *network) read(host *fakeHost) (identifier.ConfigRevision, bool) {
 	waiter := uint64(len(network.operators) + 1)
 	network.operators[waiter] = nil
@@ -48,25 +48,25 @@
 	return network.operators[waiter].Result.Config.Revision, true
 }
 
-// wipe ends a host's process, takes its disk, and starts it again.
+// wipe ends a host's process, empties its disk and restarts it.
 func (network *network) wipe(host *fakeHost) {
 	network.crashHost(host)
 	host.disk = fakeDisk{}
-	host.joins = true
+	host.joinsKeepers = true
 	network.startHost(host)
 }
 
-// Symptom: an acknowledged configuration is gone, an older one is in force.
-// Sequence: a change is acknowledged by two of three keepers while the third is cut
-// off. One of the two loses its disk right after and comes back at the old address;
-// then the other is lost for a moment and the third is reached again.
-// Cause: the keeper with the empty disk voted for the third, as if it had never
-// acknowledged anything.
+// Symptom: an acknowledged configuration is lost, and an older one is in force.
+// Sequence: a change is acknowledged by two of three keepers while the third is disconnected. One
+// of the two loses its disk right after and restarts at the old address; then the other is lost for
+// a moment and the third is reached again.
+// Cause: the keeper with the empty disk voted for the third, as if it had never acknowledged
+// anything.
 func TestWipedKeeperElectsNobody(t *testing.T) {
-	network := tendedKeepers(t)
+	network := newKeeperNetwork(t)
 	first, second, third := network.hosts[0], network.hosts[1], network.hosts[2]
-	network.breakHosts(first, third)
-	network.breakHosts(second, third)
+	network.disconnectHosts(first, third)
+	network.disconnectHosts(second, third)
 	network.advance(3 * time.Second)
 	waiter := network.propose(first, 7)
 	network.advance(time.Second)
@@ -86,12 +86,12 @@
 	}
 }
 
-// Symptom: after one keeper's disk and later another's are lost, nothing can be changed
-// any more, or a change is lost.
+// Symptom: after one keeper's disk and later another's are lost, nothing can be changed any more,
+// or a change is lost.
 // Sequence: each of the three keepers loses its disk in turn, with seconds between.
-// Cause: a keeper that came back empty never counted again.
+// Cause: a keeper that restarted with an empty disk never became a voter again.
 func TestKeepersAreWipedInTurn(t *testing.T) {
-	network := tendedKeepers(t)
+	network := newKeeperNetwork(t)
 	for round, host := range network.hosts {
 		revision := identifier.ConfigRevision(round + 1)
 		waiter := network.propose(network.hosts[(round+1)%3], revision)
@@ -101,8 +101,8 @@
 		}
 		network.wipe(host)
 		network.advance(4 * time.Second)
-		if host.joins {
-			t.Fatalf("%s does not count 4 s after its disk was lost", host.id)
+		if host.joinsKeepers {
+			t.Fatalf("%s is no voter 4 s after its disk was lost", host.id)
 		}
 		if read, known := network.read(host); !known || read != revision {
 			t.Fatalf("revision %d is read, known %v, want %d", read, known, revision)
@@ -110,21 +110,21 @@
 	}
 }
 
-// Symptom: the loss of a second keeper stops all changes, long after another one has
-// taken the place of the first.
-// Sequence: one keeper is gone for good, an empty one comes at another address.
-// Cause: the members of the log were those of the first start for ever.
+// Symptom: the loss of a second keeper stops all changes, long after another one has replaced the
+// first.
+// Sequence: one keeper is lost for good, an empty one starts at another address.
+// Cause: the members of the log stayed those of the first start.
 func TestNewKeeperTakesThePlaceOfOneThatIsGone(t *testing.T) {
-	network := tendedKeepers(t)
+	network := newKeeperNetwork(t)
 	network.propose(network.hosts[0], 1)
 	network.advance(time.Second)
 	network.crashHost(network.hosts[2])
-	created := &fakeHost{id: "geel-host-9", domain: "geel", keeper: true, joins: true}
+	created := &fakeHost{id: "geel-host-9", domain: "geel", keeper: true, joinsKeepers: true}
 	network.hosts = append(network.hosts, created)
 	network.startHost(created)
 	network.advance(8 * time.Second)
-	if created.joins {
-		t.Fatal("the new keeper does not count after 8 s")
+	if created.joinsKeepers {
+		t.Fatal("the new keeper is no voter after 8 s")
 	}
 	network.crashHost(network.hosts[0])
 	network.advance(5 * time.Second)
@@ -132,19 +132,19 @@
 	waiter := network.propose(network.hosts[living], 2)
 	network.advance(3 * time.Second)
 	if !network.acknowledged(waiter) {
-		t.Fatal("the two keepers that are left take no change")
+		t.Fatal("the two remaining keepers did not acknowledge a change")
 	}
 }
 
-// Symptom: after a loss of all power, hosts go by an older configuration than one that
-// had been acknowledged, for a quarter of a second, until the newer one appears.
-// Sequence: two changes are acknowledged, the second some seconds after the first; all
-// hosts lose power; each starts with its journal, which has both changes but tells only
-// of the first that it was agreed on.
-// Cause: a keeper told its host of what it had recovered before any leader had told it
-// up to where the log was agreed on.
+// Symptom: after a loss of all power, hosts apply an older configuration than one that had been
+// acknowledged, for a quarter of a second, until the newer one appears.
+// Sequence: two changes are acknowledged, the second some seconds after the first; all hosts lose
+// power; each restarts with its journal, which contains both changes but marks only the first as
+// committed.
+// Cause: a keeper passed the recovered state to its host before a leader had sent it the commit
+// index of the log.
 func TestPowerLossShowsNoOlderConfiguration(t *testing.T) {
-	network := tendedKeepers(t)
+	network := newKeeperNetwork(t)
 	for revision := identifier.ConfigRevision(1); revision <= 2; revision++ {
 		waiter := network.propose(network.hosts[0], revision)
 		network.advance(2 * time.Second)
@@ -162,15 +162,15 @@
 	network.advance(5 * time.Second)
 	for _, host := range network.hosts {
 		if !slices.Equal(host.inForce, []identifier.ConfigRevision{2}) {
-			t.Errorf("%s went by the revisions %v, want 2 alone", host.id, host.inForce)
+			t.Errorf("%s applied the revisions %v, want only 2", host.id, host.inForce)
 		}
 	}
 }
 
-// TestLateKeeperTellsTheConfiguration: a keeper that starts again beside a living leader
-// goes by the configuration without a new election.
-func TestLateKeeperTellsTheConfiguration(t *testing.T) {
-	network := tendedKeepers(t)
+// TestRestartedKeeperAppliesTheConfiguration checks that a keeper that restarts while a leader
+// lives applies the configuration without a new election.
+func TestRestartedKeeperAppliesTheConfiguration(t *testing.T) {
+	network := newKeeperNetwork(t)
 	waiter := network.propose(network.hosts[0], 1)
 	network.advance(time.Second)
 	if !network.acknowledged(waiter) {
@@ -182,7 +182,7 @@
 		network.startHost(host)
 		network.advance(3 * time.Second)
 		if !slices.Equal(host.inForce, []identifier.ConfigRevision{1}) {
-			t.Errorf("%s went by the revisions %v, want 1", host.id, host.inForce)
+			t.Errorf("%s applied the revisions %v, want 1", host.id, host.inForce)
 		}
 	}
 }
--- a/pkg/coordinator/leaving_test.go
+++ b/pkg/coordinator/leaving_test.go
@@ -8,8 +8,8 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// leave asks a host for a graceful shutdown. Its process ends once it says that it
-// is drained, or by the shutdown deadline.
+// leave requests a graceful shutdown of a host. Its process ends once it reports that it is
+// drained, or at the shutdown deadline of 10 seconds.
 func (network *network) leave(host *fakeHost) {
 	generation := host.generation
 	network.tick(host, &coordinator.ShutdownRequested{})
@@ -20,7 +20,7 @@
 	})
 }
 
-// endDrained ends the process of a drained host a moment later, as the daemon does.
+// endDrained ends the process of a drained host one millisecond later, as the daemon does.
 func (network *network) endDrained(host *fakeHost) {
 	generation := host.generation
 	network.at(time.Millisecond, func() {
@@ -30,18 +30,18 @@
 	})
 }
 
-// ask asks a host for the answer of a job as the caller does.
-func (network *network) ask(host *fakeHost, job *messenger.Job) {
-	waiter := network.oracle.expect(job)
+// queryAnswer requests the answer of a job from a host, as the caller does.
+func (network *network) queryAnswer(host *fakeHost, job *messenger.Job) {
+	waiter := network.oracle.addWaiter(job)
 	event := &forwarder.CallerAsked{Waiter: waiter, Caller: job.Caller, Submission: job.Submission}
 	network.tick(host, &coordinator.CallerEvent{Event: event})
 }
 
-// last returns what the newest request for a job was answered, or nil.
-func (network *network) last(job *messenger.Job) *messenger.JobAnswer {
-	for waiter := network.oracle.next; waiter > 0; waiter-- {
+// lastAnswer returns the answer to the newest request for a job, or nil.
+func (network *network) lastAnswer(job *messenger.Job) *messenger.JobAnswer {
+	for waiter := network.oracle.lastWaiter; waiter > 0; waiter-- {
 		if network.oracle.waiters[waiter].Submission == job.Submission {
-			return network.oracle.done[waiter]
+			return network.oracle.answers[waiter]
 		}
 	}
 	return nil
--- a/pkg/coordinator/lostguests_test.go
+++ b/pkg/coordinator/losthome_test.go
@@ -7,20 +7,19 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// warmUp runs a job of roeselare, so that its lead tells the others of its free slots.
-func (network *network) warmUp(front *fakeHost) {
-	job := jobOf("warm-up", "team", 1, time.Millisecond)
+// warmUp runs a job of roeselare, so that its lead sends the others the number of its free slots.
+func (network *network) warmUp(callerHost *fakeHost) {
+	job := newJob("warm-up", "team", 1, time.Millisecond)
 	job.MayRun = bothDomains[1:]
-	network.submit(front, job, time.Minute)
+	network.submit(callerHost, job, time.Minute)
 	network.advance(100 * time.Millisecond)
 }
 
-// Symptom: a resend runs at home although the job ran in another failure domain.
-// Sequence: a home hands a job over, and it ends there, or runs still. Both hosts of the
-// home that know it die, at once, one shortly after the other, or one a while before the
-// other is cut off for good; where they start again they remember nothing. The job is
-// sent again by way of the third host.
-// Cause: a new lead asked its own failure domain only, where nobody was left who knew.
+// Symptom: a resubmitted job runs at home although it ran in another failure domain.
+// Sequence: a home hands a job off, and it has ended there or still runs. Both hosts of the home
+// that know it crash: at once, one shortly after the other, or the lead after the second has
+// restarted. Hosts that restart have no state. The job is resubmitted through the third host.
+// Cause: a new lead queried only its own failure domain, where no host was left that knew the job.
 func TestLostHomeAsksWhereItsJobsRan(t *testing.T) {
 	losses := map[string]func(network *network, lead, second *fakeHost){
 		"both die": func(network *network, lead, second *fakeHost) {
@@ -55,23 +54,23 @@
 				homes := network.others(lead)
 				second, third := homes[0], homes[1]
 				network.warmUp(network.leadOf("roeselare"))
-				network.occupy(lead)
-				job := jobOf("job", "team", 2, runTime)
+				network.fillSlots(lead)
+				job := newJob("job", "team", 2, runTime)
 				job.MayRun = bothDomains
 				network.submit(second, job, time.Minute)
 				network.advance(200 * time.Millisecond)
-				if spread := network.spread(); spread["roeselare"] != 3 {
-					t.Fatalf("the job was not handed over: %v", spread)
+				if spread := network.startsByDomain(); spread["roeselare"] != 3 {
+					t.Fatalf("the job was not handed off: %v", spread)
 				}
 				lose(network, lead, second)
 				network.advance(4 * time.Second)
 				network.submit(third, job, time.Minute)
 				network.advance(10 * time.Second)
-				if answer := network.outcome(job); answer == nil || answer.Outcome != messenger.OutcomeComplete {
+				if answer := network.finalAnswer(job); answer == nil || answer.Outcome != messenger.OutcomeComplete {
 					t.Errorf("answered %+v", answer)
 				}
-				if len(network.oracle.breaches) > 0 {
-					t.Errorf("broken promises: %v", network.oracle.breaches)
+				if len(network.oracle.violations) > 0 {
+					t.Errorf("broken promises: %v", network.oracle.violations)
 				}
 			})
 		}
@@ -79,10 +78,11 @@
 }
 
 // Symptom: a job runs at home although it ran in another failure domain.
-// Sequence: as above, while the other failure domain is cut off; the third host knows
-// the job from a resend, but not where it went. The other one comes back in time, or not.
-// Cause: a lead that may miss records took what no backend server at home has for not
-// started, without a word from where the job may run as well.
+// Sequence: as above, while the other failure domain is disconnected; the third host knows the job
+// from a resubmission, but not where it was handed off to. The other failure domain is reconnected
+// in time, or not.
+// Cause: a lead that may miss records considered a job that no backend server at home has as not
+// started, without an answer from where the job may run as well.
 func TestLostHomeWaitsForWhereItsJobsMayHaveRun(t *testing.T) {
 	for name, test := range map[string]struct {
 		cutOff  time.Duration
@@ -97,34 +97,34 @@
 			homes := network.others(lead)
 			second, third := homes[0], homes[1]
 			network.warmUp(network.leadOf("roeselare"))
-			network.occupy(lead)
-			job := jobOf("job", "team", 2, time.Second)
+			network.fillSlots(lead)
+			job := newJob("job", "team", 2, time.Second)
 			job.MayRun = bothDomains
 			network.submit(second, job, time.Hour)
 			network.submit(third, job, time.Hour)
 			network.advance(200 * time.Millisecond)
-			if spread := network.spread(); spread["roeselare"] != 3 {
-				t.Fatalf("the job was not handed over: %v", spread)
+			if spread := network.startsByDomain(); spread["roeselare"] != 3 {
+				t.Fatalf("the job was not handed off: %v", spread)
 			}
-			network.cutDomainsOff()
+			network.disconnectDomains()
 			network.crashHost(lead)
 			network.crashHost(second)
 			network.advance(test.cutOff)
-			network.joinDomains()
+			network.connectDomains()
 			network.advance(10 * time.Second)
 			network.submit(third, job, time.Hour)
 			network.advance(10 * time.Second)
-			if answer := network.last(job); answer == nil || answer.Outcome != test.outcome || answer.NotRun {
+			if answer := network.lastAnswer(job); answer == nil || answer.Outcome != test.outcome || answer.NotRun {
 				t.Errorf("answered %+v, want %v", answer, test.outcome)
 			}
-			if len(network.oracle.breaches) > 0 {
-				t.Errorf("broken promises: %v", network.oracle.breaches)
+			if len(network.oracle.violations) > 0 {
+				t.Errorf("broken promises: %v", network.oracle.violations)
 			}
 		})
 	}
 }
 
-// eachPair calls visit for the hosts of two failure domains, pair by pair.
+// eachPair calls visit for each pair of hosts in two different failure domains.
 func (network *network) eachPair(visit func(first, second *fakeHost)) {
 	for _, first := range network.hosts {
 		for _, second := range network.hosts {
@@ -135,6 +135,6 @@
 	}
 }
 
-func (network *network) cutDomainsOff() { network.eachPair(network.breakHosts) }
+func (network *network) disconnectDomains() { network.eachPair(network.disconnectHosts) }
 
-func (network *network) joinDomains() { network.eachPair(network.connectHosts) }
+func (network *network) connectDomains() { network.eachPair(network.connectHosts) }
--- a/pkg/coordinator/network_test.go
+++ b/pkg/coordinator/network_test.go
@@ -16,39 +16,38 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// network is a failure domain in virtual time: entry hosts, fake backend servers
-// and the connections between them. A connection delivers in order; what is under
-// way when it breaks is lost.
+// network simulates entry hosts, fake backend servers and the connections between them in virtual
+// time. A connection delivers in order; messages on their way are lost when it breaks.
 type network struct {
 	now     identifier.Moment
 	events  eventHeap
 	counter int
 	hosts   []*fakeHost
-	// leads are the hosts that last took a cell in each failure domain.
+	// leads are the hosts that last became lead of a cell in each failure domain.
 	leads       map[identifier.FailureDomain]*fakeHost
 	servers     []*fakeServer
 	connections map[string]*connection
 	oracle      *oracle
 	trace       bool
-	// settings are those of the hosts that start from now on.
+	// settings apply to the hosts that start from now on.
 	settings coordinator.Settings
-	// intents is nil where no intents are run.
+	// intents is nil if no intents are run.
 	intents *intentWorld
-	// operators holds the answers to operators' requests where no intents are run.
+	// operators holds the answers to operators' requests if no intents are run.
 	operators map[uint64]*coordinator.OperatorAnswer
-	// called is nil where no backend servers are called.
+	// called is nil if no backend servers are called.
 	called *calledWorld
 	// cost counts messages between hosts unless it is nil.
 	cost *cost
-	// mayStart tells whether a start in a failure domain is allowed now; nil allows all.
+	// mayStart reports whether a start in a failure domain is allowed now; nil allows all.
 	mayStart func(domain identifier.FailureDomain) bool
 }
 
-// connection counts its breaks, so that messages of an older one are dropped.
+// connection counts its breaks as generations, so that messages of an older one are dropped.
 type connection struct {
 	open       bool
 	generation int
-	// delay holds messages back on this connection.
+	// delay is added to the delivery time of messages on this connection.
 	delay time.Duration
 }
 
@@ -78,28 +77,28 @@
 	return popped
 }
 
-// fakeHost runs one coordinator on a clock of its own.
+// fakeHost runs one coordinator on its own clock.
 type fakeHost struct {
 	id          identifier.HostID
 	domain      identifier.FailureDomain
 	coordinator *coordinator.Coordinator
 	startedAt   identifier.Moment
 	generation  int
-	// frozen tells that the host does nothing; backlog is what reached it meanwhile.
+	// frozen pauses the host; backlog holds the inputs that arrive meanwhile.
 	frozen  bool
 	backlog []coordinator.Input
-	// keeper gives the host a part in the replicated log.
+	// keeper makes the host a member of the replicated log.
 	keeper bool
-	// joins tells that the host's keeper has nothing on its disk that it vouched for.
-	joins bool
-	disk  fakeDisk
-	// cells is what the keeper remembers of the cells on its disk.
+	// joinsKeepers is set if the host's keeper has no disk state that counts towards a quorum.
+	joinsKeepers bool
+	disk         fakeDisk
+	// cells are the cells that the keeper has stored on its disk.
 	cells []messenger.CellMemory
-	// inForce are the revisions that the process has gone by, in their order.
+	// inForce are the configuration revisions that the process has applied, in order.
 	inForce []identifier.ConfigRevision
 }
 
-// member describes the host's present process.
+// member describes the host's current process.
 func (host *fakeHost) member() gossiper.Member {
 	roles := []gossiper.Role{gossiper.RoleEntry}
 	if host.keeper {
@@ -115,6 +114,7 @@
 	}
 }
 
+// hop is how long a message takes on a connection without additional delay.
 const hop = 250 * time.Microsecond
 
 func newNetwork(domains []identifier.FailureDomain, hostsEach, serversEach int, slots identifier.Slots) *network {
@@ -180,7 +180,7 @@
 	return found
 }
 
-// send delivers over the connection unless it breaks before.
+// send delivers over the connection unless it breaks in the meantime.
 func (network *network) send(first, second string, deliver func()) {
 	link := network.connection(first, second)
 	if !link.open {
@@ -223,7 +223,7 @@
 		Seed:     uint64(slices.Index(network.hosts, host)),
 		Settings: network.settings,
 	}
-	host.coordinator.Settings.JoinKeepers = host.joins
+	host.coordinator.Settings.JoinKeepers = host.joinsKeepers
 	for _, other := range network.hosts {
 		host.coordinator.Seeds = append(host.coordinator.Seeds, other.member())
 	}
@@ -253,8 +253,8 @@
 	network.tick(second, &coordinator.PeerConnected{Host: first.id})
 }
 
-// breakHosts ends the connection of two hosts; both notice.
-func (network *network) breakHosts(first, second *fakeHost) {
+// disconnectHosts ends the connection of two hosts; both notice.
+func (network *network) disconnectHosts(first, second *fakeHost) {
 	link := network.connection(string(first.id), string(second.id))
 	if !link.open {
 		return
@@ -272,7 +272,7 @@
 	host.frozen = false
 	host.backlog = nil
 	for _, other := range network.hosts {
-		network.breakHosts(host, other)
+		network.disconnectHosts(host, other)
 	}
 	for _, server := range network.servers {
 		server.detach(host)
@@ -280,7 +280,7 @@
 	network.intents.detach(host)
 }
 
-// tick runs the coordinator, carries out its outputs and plans its next deadline.
+// tick runs the coordinator, carries out its outputs and schedules its next deadline.
 func (network *network) tick(host *fakeHost, inputs ...coordinator.Input) {
 	if host.coordinator == nil {
 		return
@@ -317,7 +317,7 @@
 		peer := network.host(output.Host)
 		batch := output.Batch
 		if network.intents != nil {
-			batch = recoded(batch)
+			batch = encodedAndDecoded(batch)
 		}
 		network.send(string(host.id), string(peer.id), func() {
 			network.tick(peer, &coordinator.PeerBatchArrived{From: host.id, Batch: batch})
@@ -337,7 +337,7 @@
 	case *coordinator.Persist:
 		network.persist(host, output)
 	case *coordinator.KeeperJoined:
-		host.joins = false
+		host.joinsKeepers = false
 	case *coordinator.ConfigInForce:
 		host.inForce = append(host.inForce, output.Version.Revision)
 		network.intents.carryOut(host, output)
@@ -350,7 +350,7 @@
 	case *coordinator.Drained:
 		network.endDrained(host)
 	case *coordinator.ToCaller:
-		network.oracle.answered(output.Answer.Waiter, output.Answer.Answer)
+		network.oracle.checkAnswer(output.Answer.Waiter, output.Answer.Answer)
 	case *coordinator.CallStart, *coordinator.CallStop, *coordinator.CallHold, *coordinator.JobEnded, *coordinator.Decided:
 		network.called.carryOut(host, output)
 	default:
@@ -358,18 +358,18 @@
 	}
 }
 
-// submit sends a job to a host as a caller does.
+// submit submits a job to a host as a caller does.
 func (network *network) submit(host *fakeHost, job *messenger.Job, timeout time.Duration) {
 	if host.coordinator == nil {
 		return
 	}
 	deadline := identifier.Moment(network.now.Sub(host.startedAt)).Add(timeout)
-	waiter := network.oracle.expect(job)
+	waiter := network.oracle.addWaiter(job)
 	network.tick(host, &coordinator.CallerEvent{Event: &forwarder.CallerSubmitted{Waiter: waiter, Job: job, Deadline: deadline}})
 }
 
 func (network *network) cancel(host *fakeHost, job *messenger.Job) {
-	waiter := network.oracle.expect(job)
+	waiter := network.oracle.addWaiter(job)
 	event := &forwarder.CallerCancelled{Waiter: waiter, Caller: job.Caller, Submission: job.Submission}
 	network.tick(host, &coordinator.CallerEvent{Event: event})
 }
@@ -378,7 +378,7 @@
 	network.tick(host, &coordinator.ServerEvent{Event: event})
 }
 
-// traceInputs prints what a host hears, for the search of a fault.
+// traceInputs prints the inputs of a host except heartbeats, for debugging.
 func (network *network) traceInputs(host *fakeHost, inputs []coordinator.Input) {
 	for _, input := range inputs {
 		if event, isServer := input.(*coordinator.ServerEvent); isServer {
--- a/pkg/coordinator/records_fuzz_test.go
+++ b/pkg/coordinator/records_fuzz_test.go
@@ -9,17 +9,18 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// recordsMachine draws hosts that crash, leave and return again and again, in place
-// of the one fault among hosts of machine. A record has two hosts, so the next such
-// fault waits until the copies of the one before can be made good.
+// recordsMachine draws hosts that crash, shut down and restart repeatedly, instead of machine's
+// single fault among hosts. A record is kept by two hosts, so the next such fault waits until the
+// copies lost by the previous one can be restored.
 type recordsMachine struct{ machine }
 
-// repairTime is how long the loss of a host takes to be noticed and made good.
+// repairTime is how long it takes until the loss of a host is noticed and its records are copied.
 const repairTime = 4 * time.Second
 
-// TestRecordsOutliveHosts draws 3 to 6 hosts in one or two failure domains.
+// TestRecordsOutliveHosts checks that records survive faults of 3 to 6 hosts in one or two failure
+// domains.
 func TestRecordsOutliveHosts(t *testing.T) {
-	bound(t, "150")
+	limitChecks(t, "150")
 	rapid.Check(t, func(t *rapid.T) {
 		domains := []identifier.FailureDomain{"leuven", "roeselare"}[:rapid.IntRange(1, 2).Draw(t, "failure domains")]
 		fuzzed := &recordsMachine{machine{network: newNetwork(domains, 3, 2, 2), domains: domains}}
@@ -34,10 +35,10 @@
 	})
 }
 
-// TestNotRepeatableJobsRunOnce makes every host a keeper and draws resubmissions of
-// two not-repeatable jobs under new ids, at any host of either failure domain.
+// TestNotRepeatableJobsRunOnce makes every host a keeper and draws resubmissions of two
+// not-repeatable jobs under new ids, at any host of either failure domain.
 func TestNotRepeatableJobsRunOnce(t *testing.T) {
-	bound(t, "100")
+	limitChecks(t, "100")
 	rapid.Check(t, func(t *rapid.T) {
 		domains := []identifier.FailureDomain{"leuven", "roeselare"}[:rapid.IntRange(1, 2).Draw(t, "failure domains")]
 		fuzzed := &claimsMachine{recordsMachine{machine{network: newNetwork(domains, 3, 2, 2), domains: domains}}}
@@ -45,7 +46,7 @@
 		fuzzed.network.makeKeepers()
 		t.Repeat(rapid.StateMachineActions(fuzzed))
 		for _, host := range fuzzed.network.hosts {
-			fuzzed.startAgain(host)
+			fuzzed.restartHost(host)
 		}
 		fuzzed.heal(t)
 	})
@@ -53,12 +54,12 @@
 
 type claimsMachine struct{ recordsMachine }
 
-// Submit sends a new submission of one of two not-repeatable jobs.
+// Submit makes a new submission of one of two not-repeatable jobs.
 func (machine *claimsMachine) Submit(t *rapid.T) {
 	job := machine.drawNewJob(t)
 	job.Repeatable = false
 	job.Job = rapid.SampledFrom([]identifier.JobID{"once-0", "once-1"}).Draw(t, "job")
-	// A resubmission asks for the same tasks.
+	// A resubmission has the same tasks.
 	for _, earlier := range machine.jobs {
 		if earlier.Job == job.Job {
 			job.Tasks = earlier.Tasks
@@ -67,49 +68,49 @@
 	machine.send(t, job)
 }
 
-func (machine *recordsMachine) later(delay time.Duration, run func()) {
-	machine.calmAt = machine.network.now.Add(delay + repairTime)
+func (machine *recordsMachine) scheduleFaultEnd(delay time.Duration, run func()) {
+	machine.recoveredAt = machine.network.now.Add(delay + repairTime)
 	machine.network.at(delay, run)
 }
 
-// CrashHost ends one entry host and starts it again later, without its memory.
+// CrashHost ends one entry host and restarts it later, without state.
 func (machine *recordsMachine) CrashHost(t *rapid.T) {
-	machine.skipUnlessCalm(t)
+	machine.skipUnlessRecovered(t)
 	host := machine.drawHost(t)
 	machine.network.crashHost(host)
 	delay := rapid.SampledFrom([]time.Duration{50 * time.Millisecond, 3 * time.Second}).Draw(t, "restart")
-	machine.later(delay, func() { machine.startAgain(host) })
+	machine.scheduleFaultEnd(delay, func() { machine.restartHost(host) })
 }
 
-// LeaveHost shuts one entry host down gracefully and starts it again.
+// LeaveHost shuts one entry host down gracefully and restarts it.
 func (machine *recordsMachine) LeaveHost(t *rapid.T) {
-	machine.skipUnlessCalm(t)
+	machine.skipUnlessRecovered(t)
 	host := machine.drawHost(t)
 	machine.network.leave(host)
 	delay := rapid.SampledFrom([]time.Duration{11 * time.Second, 20 * time.Second}).Draw(t, "restart")
-	machine.later(delay, func() { machine.startAgain(host) })
+	machine.scheduleFaultEnd(delay, func() { machine.restartHost(host) })
 }
 
-// Ask asks any host for a known job, as its caller or as a stranger.
+// Ask queries any host for a known job, as its caller or as another one.
 func (machine *recordsMachine) Ask(t *rapid.T) {
 	host, job := machine.drawHost(t), machine.drawJob(t)
 	if !rapid.Bool().Draw(t, "stranger") {
-		machine.network.ask(host, job)
+		machine.network.queryAnswer(host, job)
 		return
 	}
-	stranger := *job
-	stranger.Caller = "stranger"
-	machine.network.oracle.strangers[machine.network.oracle.next+1] = true
-	machine.network.ask(host, &stranger)
+	otherCaller := *job
+	otherCaller.Caller = "stranger"
+	machine.network.oracle.otherCallers[machine.network.oracle.lastWaiter+1] = true
+	machine.network.queryAnswer(host, &otherCaller)
 }
 
-func (machine *recordsMachine) startAgain(host *fakeHost) {
+func (machine *recordsMachine) restartHost(host *fakeHost) {
 	if host.coordinator == nil {
 		machine.network.startHost(host)
 	}
 }
 
-// Wait lets time pass, also as long as repairs take.
+// Wait lets time pass, up to longer than repairs take.
 func (machine *recordsMachine) Wait(t *rapid.T) {
 	waits := []time.Duration{100 * time.Microsecond, 300 * time.Microsecond, 2 * time.Millisecond, 60 * time.Millisecond, time.Second, 8 * time.Second}
 	machine.network.advance(rapid.SampledFrom(waits).Draw(t, "wait"))
--- a/pkg/coordinator/repair_test.go
+++ b/pkg/coordinator/repair_test.go
@@ -7,24 +7,24 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// Symptom: a resend runs again, minutes after the job was answered.
-// Sequence: two hosts know the submission. The one that is not the lead crashes and
-// comes back empty; later the lead crashes; the caller sends the job to the third.
-// Cause: each loss alone is harmless, but nobody made good for the first.
+// Symptom: a resubmitted job runs again, minutes after it was answered.
+// Sequence: two hosts know the submission. The one that is not the lead crashes and restarts
+// without state; later the lead crashes; the caller resubmits the job to the third.
+// Cause: each loss alone is harmless, but no host restored the copy that the first one lost.
 func TestRecordOutlivesTwoLossesInTurn(t *testing.T) {
 	for _, name := range []string{"caller at the lead", "caller elsewhere"} {
 		t.Run(name, func(t *testing.T) {
-			network := domainOf(t, 4, 2)
+			network := newDomain(t, 4, 2)
 			lead := network.leadOf("leuven")
 			first := network.others(lead)[0]
-			front := first
+			callerHost := first
 			if name == "caller at the lead" {
-				front = lead
+				callerHost = lead
 			}
-			job := jobOf("job", "team", 3, 50*time.Millisecond)
-			network.submit(front, job, time.Minute)
+			job := newJob("job", "team", 3, 50*time.Millisecond)
+			network.submit(callerHost, job, time.Minute)
 			network.advance(time.Second)
-			network.expect(t, job, messenger.OutcomeComplete, messenger.ReasonNone)
+			network.expectAnswer(t, job, messenger.OutcomeComplete, messenger.ReasonNone)
 
 			network.crashHost(first)
 			network.advance(time.Second)
@@ -33,18 +33,18 @@
 			network.crashHost(lead)
 			network.advance(15 * time.Second)
 
-			// The oracle notices a second start and another answer.
-			waiter := network.oracle.next + 1
+			// The oracle notices a second start and a different answer.
+			waiter := network.oracle.lastWaiter + 1
 			network.submit(first, job, time.Minute)
 			network.advance(time.Second)
-			if answer := network.oracle.done[waiter]; answer == nil || answer.Outcome != messenger.OutcomeComplete {
-				t.Fatalf("the resend was answered %+v", answer)
+			if answer := network.oracle.answers[waiter]; answer == nil || answer.Outcome != messenger.OutcomeComplete {
+				t.Fatalf("the resubmitted job was answered %+v", answer)
 			}
 		})
 	}
 }
 
-// others lists the hosts other than one.
+// others returns the hosts other than the given one.
 func (network *network) others(host *fakeHost) []*fakeHost {
 	var others []*fakeHost
 	for _, other := range network.hosts {
@@ -55,25 +55,24 @@
 	return others
 }
 
-// Symptom: a resend runs again after one loss.
-// Sequence: the caller is connected to a host of another failure domain than the
-// job's home; the home lead answers and crashes; the caller sends the job to a
-// third host.
-// Cause: the record stood at the lead and at the caller's host, and a new lead asks
-// only its own failure domain.
+// Symptom: a resubmitted job runs again after one loss.
+// Sequence: the caller is connected to a host of another failure domain than the job's home; the
+// home lead answers and crashes; the caller resubmits the job to a third host.
+// Cause: the lead and the caller's host held the record, and a new lead queries only its own
+// failure domain.
 func TestRecordOfRemoteCallerOutlivesTheLead(t *testing.T) {
-	network := twoDomains(t)
-	job := jobOf("job", "team", 2, 50*time.Millisecond)
+	network := newTwoDomains(t)
+	job := newJob("job", "team", 2, 50*time.Millisecond)
 	job.MayRun = bothDomains[1:]
 	network.submit(network.hosts[0], job, time.Minute)
 	network.advance(time.Second)
-	network.expect(t, job, messenger.OutcomeComplete, messenger.ReasonNone)
+	network.expectAnswer(t, job, messenger.OutcomeComplete, messenger.ReasonNone)
 	network.crashHost(network.leadOf("roeselare"))
 	network.advance(15 * time.Second)
-	waiter := network.oracle.next + 1
+	waiter := network.oracle.lastWaiter + 1
 	network.submit(network.hosts[1], job, time.Minute)
 	network.advance(time.Second)
-	if answer := network.oracle.done[waiter]; answer == nil || answer.Outcome != messenger.OutcomeComplete {
-		t.Fatalf("the resend was answered %+v", answer)
+	if answer := network.oracle.answers[waiter]; answer == nil || answer.Outcome != messenger.OutcomeComplete {
+		t.Fatalf("the resubmitted job was answered %+v", answer)
 	}
 }
--- a/pkg/coordinator/resends_test.go
+++ b/pkg/coordinator/resends_test.go
@@ -9,85 +9,86 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// resends plays jobs that are sent again beside one disturbance each, with every host as the one
-// that is disturbed.
-type resends struct {
+// scenario submits each job twice, with one disturbance right before the second submission, and
+// disturbs every host in turn.
+type scenario struct {
 	domains   []identifier.FailureDomain
 	hostsEach int
 	cells     int
-	// disturb strikes a host right before the second sending, which comes to another one.
-	disturb func(network *network, again, struck *fakeHost)
-	// sentThirdAfter is when the job comes to a third host, after the second one; zero is never.
-	sentThirdAfter time.Duration
+	// disturb disturbs a host right before the second submission, which another host receives.
+	disturb func(network *network, second, disturbed *fakeHost)
+	// thirdSubmissionAfter is how long after the second submission the job is submitted to a third
+	// host; zero is never.
+	thirdSubmissionAfter time.Duration
 }
 
-// play returns what went wrong.
-func (resends *resends) play() []string {
+// run returns the problems that the world has found.
+func (scenario *scenario) run() []string {
 	settings := coordinator.DefaultSettings()
-	settings.Dispatcher.Cells = resends.cells
-	network := newNetworkWith(resends.domains, resends.hostsEach, settings)
-	world := newCalledWorld(network, nil, 6*len(resends.domains))
+	settings.Dispatcher.Cells = scenario.cells
+	network := newNetworkWith(scenario.domains, scenario.hostsEach, settings)
+	world := newCalledWorld(network, nil, 6*len(scenario.domains))
 	network.advance(3 * time.Second)
-	hosts := network.hosts[:resends.hostsEach]
+	hosts := network.hosts[:scenario.hostsEach]
 	for number := range 16 * len(hosts) {
-		first, again := hosts[number%len(hosts)], hosts[(number+1)%len(hosts)]
-		struck := network.hosts[(number/len(hosts))%len(network.hosts)]
+		first, second := hosts[number%len(hosts)], hosts[(number+1)%len(hosts)]
+		disturbed := network.hosts[(number/len(hosts))%len(network.hosts)]
 		id := identifier.JobID(fmt.Sprintf("job-%d", number))
 		world.resent[id] = true
 		world.submit(first, id, 2)
 		network.advance(5 * time.Millisecond)
-		if struck != again {
-			resends.disturb(network, again, struck)
+		if disturbed != second {
+			scenario.disturb(network, second, disturbed)
 		}
-		world.submit(again, id, 2)
-		if resends.sentThirdAfter > 0 {
+		world.submit(second, id, 2)
+		if scenario.thirdSubmissionAfter > 0 {
 			third := hosts[(number+2)%len(hosts)]
-			network.at(resends.sentThirdAfter, func() { world.submit(third, id, 2) })
+			network.at(scenario.thirdSubmissionAfter, func() { world.submit(third, id, 2) })
 		}
 		network.advance(8 * time.Second)
 	}
 	return world.problems
 }
 
-func breakLink(lasts time.Duration) func(network *network, again, struck *fakeHost) {
-	return func(network *network, again, struck *fakeHost) {
-		network.breakHosts(again, struck)
-		network.at(lasts, func() { network.connectHosts(again, struck) })
+func breakConnection(duration time.Duration) func(network *network, second, disturbed *fakeHost) {
+	return func(network *network, second, disturbed *fakeHost) {
+		network.disconnectHosts(second, disturbed)
+		network.at(duration, func() { network.connectHosts(second, disturbed) })
 	}
 }
 
-func standStill(lasts time.Duration) func(network *network, again, struck *fakeHost) {
-	return func(network *network, _, struck *fakeHost) {
-		struck.frozen = true
-		network.at(lasts, func() {
-			struck.frozen = false
-			backlog := struck.backlog
-			struck.backlog = nil
-			network.tick(struck, backlog...)
+func pauseHost(duration time.Duration) func(network *network, second, disturbed *fakeHost) {
+	return func(network *network, _, disturbed *fakeHost) {
+		disturbed.frozen = true
+		network.at(duration, func() {
+			disturbed.frozen = false
+			backlog := disturbed.backlog
+			disturbed.backlog = nil
+			network.tick(disturbed, backlog...)
 		})
 	}
 }
 
-// TestResendBesideADisturbance guards against a task that runs twice at once, where its job is sent
-// again while one host is out of reach, stands still or dies.
+// TestResendBesideADisturbance guards against a task that runs twice at once when its job is
+// resubmitted while one host is unreachable or paused.
 func TestResendBesideADisturbance(t *testing.T) {
 	one, two := []identifier.FailureDomain{"leuven"}, []identifier.FailureDomain{"leuven", "geel"}
-	for name, resends := range map[string]resends{
-		"two cells, link breaks":          {one, 3, 2, breakLink(300 * time.Millisecond), 0},
-		"two cells, link breaks for long": {one, 3, 2, breakLink(3 * time.Second), 0},
-		"two cells, third sending":        {one, 4, 2, breakLink(300 * time.Millisecond), 100 * time.Millisecond},
-		"two cells, stands still":         {one, 3, 2, standStill(300 * time.Millisecond), 0},
-		"two cells, third after a stand":  {one, 4, 2, standStill(200 * time.Millisecond), 250 * time.Millisecond},
-		"three cells, link breaks":        {one, 4, 3, breakLink(300 * time.Millisecond), 0},
-		"three cells, stands still":       {one, 5, 3, standStill(300 * time.Millisecond), 0},
-		"three cells, stands for long":    {one, 5, 3, standStill(1200 * time.Millisecond), 100 * time.Millisecond},
-		"two domains, link breaks":        {two, 3, 1, breakLink(300 * time.Millisecond), 0},
-		"two domains, third sending":      {two, 3, 1, breakLink(300 * time.Millisecond), 100 * time.Millisecond},
-		"two domains, stands still":       {two, 3, 1, standStill(300 * time.Millisecond), 0},
-		"two domains, two cells each":     {two, 3, 2, standStill(300 * time.Millisecond), 200 * time.Millisecond},
+	for name, scenario := range map[string]scenario{
+		"two cells, link breaks":          {one, 3, 2, breakConnection(300 * time.Millisecond), 0},
+		"two cells, link breaks for long": {one, 3, 2, breakConnection(3 * time.Second), 0},
+		"two cells, third submission":     {one, 4, 2, breakConnection(300 * time.Millisecond), 100 * time.Millisecond},
+		"two cells, host pauses":          {one, 3, 2, pauseHost(300 * time.Millisecond), 0},
+		"two cells, third after a pause":  {one, 4, 2, pauseHost(200 * time.Millisecond), 250 * time.Millisecond},
+		"three cells, link breaks":        {one, 4, 3, breakConnection(300 * time.Millisecond), 0},
+		"three cells, host pauses":        {one, 5, 3, pauseHost(300 * time.Millisecond), 0},
+		"three cells, long pause":         {one, 5, 3, pauseHost(1200 * time.Millisecond), 100 * time.Millisecond},
+		"two domains, link breaks":        {two, 3, 1, breakConnection(300 * time.Millisecond), 0},
+		"two domains, third submission":   {two, 3, 1, breakConnection(300 * time.Millisecond), 100 * time.Millisecond},
+		"two domains, host pauses":        {two, 3, 1, pauseHost(300 * time.Millisecond), 0},
+		"two domains, two cells each":     {two, 3, 2, pauseHost(300 * time.Millisecond), 200 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for _, problem := range resends.play() {
+			for _, problem := range scenario.run() {
 				t.Error(problem)
 			}
 		})
--- a/pkg/coordinator/seed_test.go
+++ b/pkg/coordinator/seed_test.go
@@ -1,4 +1,4 @@
 package coordinator_test
 
-// The random tests draw from a fixed seed, so that CI has one verdict.
+// The random tests draw from a fixed seed, so that results in CI are reproducible.
 import _ "github.com/stoathitch/stoathitch/pkg/seeder"
--- a/pkg/coordinator/silentlead_test.go
+++ b/pkg/coordinator/silentlead_test.go
@@ -9,9 +9,9 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// TestResendWhileTheHomeLeadIsSilent guards against a job that is sent again to a host which does not
-// reach one other host for a moment. Where that one leads the job's home, the host asks another cell,
-// which knows nothing of the first sending's runs, and each task runs twice.
+// TestResendWhileTheHomeLeadIsSilent guards against a job that is resubmitted to a host which can't
+// reach one other host for a moment. If that host leads the job's home, the receiving host requests
+// another cell, which knows nothing of the first submission's runs, and each task runs twice.
 func TestResendWhileTheHomeLeadIsSilent(t *testing.T) {
 	settings := coordinator.DefaultSettings()
 	settings.Dispatcher.Cells = 2
@@ -29,7 +29,7 @@
 		world.resent[id] = true
 		world.submit(first, id, 2)
 		network.advance(5 * time.Millisecond)
-		network.breakHosts(again, unreached)
+		network.disconnectHosts(again, unreached)
 		network.at(300*time.Millisecond, func() { network.connectHosts(again, unreached) })
 		world.submit(again, id, 2)
 		network.advance(5 * time.Second)
--- a/pkg/coordinator/spill_test.go
+++ b/pkg/coordinator/spill_test.go
@@ -11,8 +11,8 @@
 
 var bothDomains = []identifier.FailureDomain{"leuven", "roeselare"}
 
-// spread counts the tasks that began in each failure domain.
-func (network *network) spread() map[identifier.FailureDomain]int {
+// startsByDomain counts the tasks that began in each failure domain.
+func (network *network) startsByDomain() map[identifier.FailureDomain]int {
 	counts := make(map[identifier.FailureDomain]int)
 	for _, id := range network.oracle.starts {
 		counts[network.server(id).domain]++
@@ -20,12 +20,12 @@
 	return counts
 }
 
-func twoDomains(t *testing.T) *network {
+func newTwoDomains(t *testing.T) *network {
 	t.Helper()
 	network := newNetwork(bothDomains, 2, 2, 4)
 	t.Cleanup(func() {
-		if len(network.oracle.breaches) > 0 {
-			t.Errorf("broken promises: %v", network.oracle.breaches)
+		if len(network.oracle.violations) > 0 {
+			t.Errorf("broken promises: %v", network.oracle.violations)
 		}
 	})
 	return network
@@ -34,7 +34,7 @@
 func (network *network) submitMany(count int, mayRun []identifier.FailureDomain) []*messenger.Job {
 	jobs := make([]*messenger.Job, 0, count)
 	for number := range count {
-		job := jobOf(fmt.Sprintf("job-%d", number), "team", 2, 500*time.Millisecond)
+		job := newJob(fmt.Sprintf("job-%d", number), "team", 2, 500*time.Millisecond)
 		job.MayRun = mayRun
 		jobs = append(jobs, job)
 		network.submit(network.hosts[number%2], job, time.Minute)
@@ -43,54 +43,54 @@
 	return jobs
 }
 
-// Symptom: jobs wait at home while another failure domain where they may run is
-// idle. Sequence: 20 tasks come at once to 8 slots, the neighbour has 8 free.
+// Symptom: jobs wait at home while another failure domain where they may run is idle.
+// Sequence: 20 tasks arrive at once for 8 slots, and the other failure domain has 8 free.
 func TestJobsSpillWhenHomeIsBusy(t *testing.T) {
-	network := twoDomains(t)
+	network := newTwoDomains(t)
 	jobs := network.submitMany(10, bothDomains)
 	network.advance(10 * time.Second)
 	for _, job := range jobs {
-		network.expect(t, job, messenger.OutcomeComplete, messenger.ReasonNone)
+		network.expectAnswer(t, job, messenger.OutcomeComplete, messenger.ReasonNone)
 	}
-	spread := network.spread()
+	spread := network.startsByDomain()
 	t.Logf("began at home %d, elsewhere %d", spread["leuven"], spread["roeselare"])
 	if spread["roeselare"] == 0 {
-		t.Fatal("nothing was handed over")
+		t.Fatal("no job was handed off")
 	}
 }
 
-// Symptom: a job runs where it may not. Sequence: as above, with jobs that may run
-// at home only.
+// Symptom: a job runs in a failure domain where it may not.
+// Sequence: as above, with jobs that may run at home only.
 func TestJobsStayWhereTheyMayRun(t *testing.T) {
-	network := twoDomains(t)
+	network := newTwoDomains(t)
 	jobs := network.submitMany(10, bothDomains[:1])
 	network.advance(10 * time.Second)
 	for _, job := range jobs {
-		network.expect(t, job, messenger.OutcomeComplete, messenger.ReasonNone)
+		network.expectAnswer(t, job, messenger.OutcomeComplete, messenger.ReasonNone)
 	}
-	if spread := network.spread(); spread["roeselare"] != 0 {
+	if spread := network.startsByDomain(); spread["roeselare"] != 0 {
 		t.Fatalf("began elsewhere: %d", spread["roeselare"])
 	}
 }
 
-// Symptom: jobs are refused although they may run next door. Sequence: the home's
-// backend servers all die, its entry hosts live.
+// Symptom: jobs are refused although they may run in another failure domain.
+// Sequence: the home's backend servers all die, its entry hosts live.
 func TestHomeWithoutServersSpillsAll(t *testing.T) {
-	network := twoDomains(t)
-	network.servers[0].die()
-	network.servers[1].die()
+	network := newTwoDomains(t)
+	network.servers[0].crash()
+	network.servers[1].crash()
 	network.advance(time.Second)
 	jobs := network.submitMany(4, bothDomains)
 	network.advance(10 * time.Second)
 	for _, job := range jobs {
-		network.expect(t, job, messenger.OutcomeComplete, messenger.ReasonNone)
+		network.expectAnswer(t, job, messenger.OutcomeComplete, messenger.ReasonNone)
 	}
 }
 
-// Symptom: a job that was handed over runs a second time at home, or hangs.
-// Sequence: it runs next door when the hosts there become unreachable for good, or
-// when its home lead dies and another host takes the cell.
-// Cause: nobody at home can tell what became of it; it must not start there.
+// Symptom: a job that was handed off runs a second time at home, or hangs.
+// Sequence: it runs in the other failure domain when the hosts there become unreachable for good,
+// or when its home lead dies and another host takes over the cell.
+// Cause: no host at home can know its outcome, so it must not start there.
 func TestSpilledJobOutlivesFaults(t *testing.T) {
 	faults := map[string]struct {
 		fault   func(network *network)
@@ -99,7 +99,7 @@
 		"cut off": {func(network *network) {
 			for _, home := range network.hosts[:2] {
 				for _, away := range network.hosts[2:] {
-					network.breakHosts(home, away)
+					network.disconnectHosts(home, away)
 				}
 			}
 		}, messenger.OutcomeFailed},
@@ -108,27 +108,27 @@
 	}
 	for name, test := range faults {
 		t.Run(name, func(t *testing.T) {
-			network := twoDomains(t)
-			network.servers[0].die()
-			network.servers[1].die()
+			network := newTwoDomains(t)
+			network.servers[0].crash()
+			network.servers[1].crash()
 			network.advance(time.Second)
-			job := jobOf("job", "team", 2, time.Second)
+			job := newJob("job", "team", 2, time.Second)
 			job.MayRun = bothDomains
 			lead := network.leadOf("leuven")
-			front := network.hosts[0]
-			if front == lead {
-				front = network.hosts[1]
+			callerHost := network.hosts[0]
+			if callerHost == lead {
+				callerHost = network.hosts[1]
 			}
-			network.submit(front, job, time.Minute)
+			network.submit(callerHost, job, time.Minute)
 			network.advance(100 * time.Millisecond)
 			if len(network.serversOf(job)) != 2 {
-				t.Fatal("the job was not handed over")
+				t.Fatal("the job was not handed off")
 			}
 			test.fault(network)
 			network.servers[0].boot()
 			network.servers[1].boot()
 			network.advance(20 * time.Second)
-			if answer := network.outcome(job); answer == nil || answer.Outcome != test.outcome {
+			if answer := network.finalAnswer(job); answer == nil || answer.Outcome != test.outcome {
 				t.Fatalf("answered %+v, want %v", answer, test.outcome)
 			}
 		})
--- a/pkg/coordinator/standstill_test.go
+++ b/pkg/coordinator/suspension_test.go
@@ -8,10 +8,11 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// A task ran twice at the same time. A lead stood still for seconds while a caller's job waited for
-// it. The caller left and sent the job to another host, which leads by then and runs it. The former
-// lead woke, took the job that had waited for the first one of its day, and granted it room at a
-// backend server that the new lead had not reached; a moment later it heard that it leads no more:
+// TestWokenLeadGrantsNothing guards against a task that runs twice at the same time. A lead was
+// paused for seconds while a caller's job waited for it. The caller left and submitted the job to
+// another host, which by then leads and runs it. The former lead resumed, handled the job that had
+// waited as if it were its first submission, and granted it capacity at a backend server that the
+// new lead had not reached; a moment later it was notified that it no longer leads:
 //
 //	8.80075s called-0-1 RUNS job-12/1 run 2 epoch 8341296327
 //	8.85s leuven-host-1 wakes
@@ -29,13 +30,13 @@
 	}
 	harsh.cutOff(network.hosts[:2], 1, 4*time.Second, true, true, true)
 	harsh.freeze(lead, 1500*time.Millisecond, false)
-	harsh.send(lead, "job", 2)
-	harsh.resend("job", other, 0)
+	harsh.submit(lead, "job", 2)
+	harsh.resubmit("job", other, 0)
 	network.advance(3 * time.Second)
 	for _, problem := range world.problems {
 		t.Error(problem)
 	}
-	if !world.begun["job"] {
+	if !world.started["job"] {
 		t.Error("the job did not start")
 	}
 	if t.Failed() {
