--- /dev/null
+++ b/pkg/coordinator/cellpersister.go
@@ -0,0 +1,157 @@
+package coordinator
+
+import (
+	"slices"
+	"time"
+
+	"github.com/stoathitch/stoathitch/pkg/allocator"
+	"github.com/stoathitch/stoathitch/pkg/elector"
+	"github.com/stoathitch/stoathitch/pkg/gossiper"
+	"github.com/stoathitch/stoathitch/pkg/identifier"
+	"github.com/stoathitch/stoathitch/pkg/messenger"
+)
+
+// persistDelay is how long a lead collects changes of its backend servers before it sends them to
+// the keepers. A cell is sent whole, about 150 bytes a server, so that keepers that missed an
+// update are correct again after the next one.
+const persistDelay = 250 * time.Millisecond
+
+// cellPersister has the keepers store on their disks which backend servers each cell has and under
+// which epoch it is led.
+//
+// When all hosts of a failure domain restart, none of them knows a backend server until it
+// announces itself, and each server has seen a higher epoch than the first one of the new lead. The
+// symptom is refusals for one to two heartbeats while servers are idle. With the stored memory, a
+// lead calls all servers at once, under an epoch that they accept.
+type cellPersister struct {
+	coordinator *Coordinator
+	// cells are the cell memories that a keeper stores.
+	cells map[messenger.CellRef]messenger.CellMemory
+	// changed marks the own cells that have to be sent to the keepers at dueAt.
+	changed []bool
+	dueAt   identifier.Moment
+}
+
+func newCellPersister(coordinator *Coordinator) *cellPersister {
+	return &cellPersister{
+		coordinator: coordinator,
+		cells:       make(map[messenger.CellRef]messenger.CellMemory),
+		changed:     make([]bool, coordinator.cells()),
+		dueAt:       identifier.Never,
+	}
+}
+
+// markChanged records that the backend servers of a cell or its epoch have changed.
+func (cellPersister *cellPersister) markChanged(cell messenger.CellNumber) {
+	cellPersister.changed[cell] = true
+	cellPersister.dueAt = identifier.Earlier(cellPersister.dueAt, cellPersister.coordinator.now.Add(persistDelay))
+}
+
+// settle sends changed cells to the keepers when dueAt is reached.
+func (cellPersister *cellPersister) settle() {
+	coordinator := cellPersister.coordinator
+	if !cellPersister.dueAt.Due(coordinator.now) {
+		return
+	}
+	cellPersister.dueAt = identifier.Never
+	for cell, changed := range cellPersister.changed {
+		if !changed {
+			continue
+		}
+		cellPersister.changed[cell] = false
+		if memory, leads := cellPersister.ownCell(messenger.CellNumber(cell)); leads {
+			cellPersister.sendToKeepers(&memory)
+		}
+	}
+}
+
+// ownCell returns the memory of a cell, and false if this host doesn't lead it.
+func (cellPersister *cellPersister) ownCell(cell messenger.CellNumber) (messenger.CellMemory, bool) {
+	coordinator := cellPersister.coordinator
+	cellAllocator := coordinator.allocators[cell]
+	if !cellAllocator.allocator.Leads() {
+		return messenger.CellMemory{}, false
+	}
+	domain := coordinator.Self.FailureDomain
+	_, epoch := coordinator.elector.Lead(domain, cell)
+	return messenger.CellMemory{
+		Cell: messenger.CellRef{FailureDomain: domain, Cell: cell}, Epoch: epoch, Cards: cellAllocator.allocator.Cards(),
+	}, true
+}
+
+func (cellPersister *cellPersister) sendToKeepers(memory *messenger.CellMemory) {
+	coordinator := cellPersister.coordinator
+	if len(memory.Cards) == 0 {
+		return
+	}
+	for _, state := range coordinator.gossiper.Members() {
+		member := state.Member
+		if state.Living() && member.Host != coordinator.Self.Host && slices.Contains(member.Roles, gossiper.RoleKeeper) {
+			coordinator.outputs.toPeer(member.Host, PeerMessage{CellMemory: memory})
+		}
+	}
+}
+
+// exchangeWith sends memories to a host that lives now: leads send theirs to a keeper, and a keeper
+// sends those of a failure domain to its entry hosts.
+func (cellPersister *cellPersister) exchangeWith(host identifier.HostID) {
+	coordinator := cellPersister.coordinator
+	state, known := coordinator.gossiper.State(host)
+	if !known || host == coordinator.Self.Host {
+		return
+	}
+	if slices.Contains(state.Member.Roles, gossiper.RoleKeeper) {
+		for cell := range cellPersister.changed {
+			if memory, leads := cellPersister.ownCell(messenger.CellNumber(cell)); leads && len(memory.Cards) > 0 {
+				coordinator.outputs.toPeer(host, PeerMessage{CellMemory: &memory})
+			}
+		}
+	}
+	if !slices.Contains(state.Member.Roles, gossiper.RoleEntry) {
+		return
+	}
+	for ref, memory := range cellPersister.cells {
+		if ref.FailureDomain == state.Member.FailureDomain {
+			coordinator.outputs.toPeer(host, PeerMessage{CellMemory: &memory})
+		}
+	}
+}
+
+// handleMemory processes the memory of a cell from another host: a keeper stores it, an entry host
+// of the cell's failure domain uses it.
+func (cellPersister *cellPersister) handleMemory(memory *messenger.CellMemory) {
+	coordinator := cellPersister.coordinator
+	if coordinator.keeper != nil {
+		cellPersister.store(memory)
+	}
+	if memory.Cell.FailureDomain != coordinator.Self.FailureDomain || !slices.Contains(coordinator.Self.Roles, gossiper.RoleEntry) {
+		return
+	}
+	coordinator.notifyElector(elector.EpochSeen{Cell: memory.Cell.Cell, Epoch: memory.Epoch})
+	for index := range memory.Cards {
+		report := &memory.Cards[index]
+		coordinator.notifyAllocator(coordinator.cellOfServer(report.Server), &allocator.CardRecalled{Card: *report})
+	}
+}
+
+// store stores a memory, unless a lead with a higher epoch has already sent one for the cell.
+func (cellPersister *cellPersister) store(memory *messenger.CellMemory) {
+	if cellPersister.cells[memory.Cell].Epoch > memory.Epoch {
+		return
+	}
+	cellPersister.cells[memory.Cell] = *memory
+	all := make([]messenger.CellMemory, 0, len(cellPersister.cells))
+	for _, known := range cellPersister.cells {
+		all = append(all, known)
+	}
+	cellPersister.coordinator.outputs.add(&RememberCells{Cells: all})
+}
+
+// restore loads the memories that this keeper had on its disk at startup.
+func (cellPersister *cellPersister) restore(cells []messenger.CellMemory) {
+	for _, memory := range cells {
+		if cellPersister.cells[memory.Cell].Epoch <= memory.Epoch {
+			cellPersister.cells[memory.Cell] = memory
+		}
+	}
+}
--- a/pkg/coordinator/coordinator.go
+++ b/pkg/coordinator/coordinator.go
@@ -1,7 +1,6 @@
-// Package coordinator joins the deciding packages of one host into a whole. It
-// routes messages between them and batches what goes to other hosts and to
-// backend servers. It is pure, so that the daemon, the trace replay and the fuzz
-// tests run the very same host.
+// Package coordinator combines the deciding packages of one host. It routes messages between them
+// and batches what is sent to other hosts and to backend servers. It is pure, so the daemon, the
+// trace replay and the fuzz tests all run the same host.
 package coordinator
 
 import (
@@ -22,26 +21,25 @@
 	"github.com/stoathitch/stoathitch/pkg/supervisor"
 )
 
-// Coordinator is one host of the system. Set the exported fields before the
-// first Tick.
+// Coordinator is one host of the system. Set the exported fields before the first Tick.
 type Coordinator struct {
-	// Self describes this host, Seeds the other hosts that the settings name.
+	// Self describes this host. Seeds are the other hosts that the settings name.
 	Self  gossiper.Member
 	Seeds []gossiper.Member
-	// Founders are the keepers that found a new log; without them, those of Self and
-	// Seeds do.
+	// Founders are the keepers that found a new log. If empty, the keepers among Self and Seeds
+	// found it.
 	Founders []identifier.HostID
-	// Seed makes random choices repeatable; it differs between hosts.
+	// Seed makes random choices repeatable. It differs between hosts.
 	Seed     uint64
 	Settings Settings
-	// LimitsOf returns the limits of a configuration document, and false for a
-	// document that can't be read. It must be pure; nil changes no limits.
+	// LimitsOf returns the limits of a configuration document, and false if the document can't be
+	// read. It must be pure. If nil, configurations change no limits.
 	LimitsOf func(document []byte) (dispatcher.LimitsConfigured, bool)
-	// QuotasOf returns the quotas of a configuration document, and false for a document
-	// that can't be read. It must be pure; nil changes no quotas.
+	// QuotasOf returns the quotas of a configuration document, and false if the document can't be
+	// read. It must be pure. If nil, configurations change no quotas.
 	QuotasOf func(document []byte) ([]planner.TeamQuota, bool)
-	// WallStart is the wall clock's reading at moment 0. It is shown to operators and
-	// nothing is decided by it.
+	// WallStart is the wall clock's reading at moment 0. It is only shown to operators; no decision
+	// depends on it.
 	WallStart planner.WallTime
 
 	now        identifier.Moment
@@ -49,41 +47,41 @@
 	forwarder  *forwarder.Forwarder
 	gossiper   *gossiper.Gossiper
 	elector    *elector.Elector
-	// keeper is nil on a host without a disk.
-	keeper    *keeper.Keeper
-	requester *claimer.Requester
-	follower  *configurer.Follower
-	petitions *petitions
-	// driving runs intents on the workers of the failure domain, intentKeeping plans
-	// them where this host leads the keepers.
-	driving       *driving
-	intentKeeping *intentKeeping
-	quotas        quotas
-	tending       *tending
-	// supervisor and rooms serve jobs that need not be remembered on backend servers
-	// that are called.
+	// keeper is nil on a host without the keeper role.
+	keeper           *keeper.Keeper
+	requester        *claimer.Requester
+	follower         *configurer.Follower
+	operatorRequests *operatorRequests
+	// intentDriver runs intents on the workers of the failure domain. intentPlanner plans them
+	// while this host leads the keepers.
+	intentDriver     *intentDriver
+	intentPlanner    *intentPlanner
+	quotas           quotas
+	keeperMembership *keeperMembership
+	// supervisor and allocators serve jobs that need not be remembered, on backend servers that are
+	// called.
 	supervisor *supervisor.Supervisor
-	// starter decides which host makes the calls that start their runs.
+	// starter decides which host makes the calls that start runs.
 	starter *starter.Starter
-	// inquirer holds requests for room that no lead has vouched for.
-	inquirer *inquirer.Inquirer
-	rooms    []*room
-	// remembering has the keepers remember the backend servers.
-	remembering *remembering
-	// following tells the rooms which hosts follow this one as their lead.
-	following *following
-	// keeperLeader is the keeper believed to lead.
+	// inquirer holds capacity requests for jobs that no lead has referred to the cell.
+	inquirer   *inquirer.Inquirer
+	allocators []*cellAllocator
+	// cellPersister has the keepers store the backend servers of each cell.
+	cellPersister *cellPersister
+	// followerTracker reports to the allocators which hosts follow this one as their lead.
+	followerTracker *followerTracker
+	// keeperLeader is the keeper last known to lead.
 	keeperLeader identifier.HostID
 	nextNonce    keeper.Nonce
-	// enforced are the evacuations that all that start work were told of.
-	enforced messenger.Evacuated
-	// stoodStill tells that this tick comes long after a deadline.
-	stoodStill bool
-	// aloneUnproven tells that no other host of the failure domain lives, as far as
-	// is seen here, and that no backend server was heard since.
-	aloneUnproven bool
+	// enforcedEvacuations are the evacuations last sent to every component that starts work.
+	enforcedEvacuations messenger.Evacuated
+	// wasSuspended reports whether this tick comes long after a missed deadline.
+	wasSuspended bool
+	// possiblyIsolated reports that no other host of the failure domain is known to live and that
+	// no backend server has responded since.
+	possiblyIsolated bool
 
-	// What the parts have still to apply in this tick.
+	// Inputs that the components still have to process in this tick.
 	toDispatcher []dispatcher.Input
 	toForwarder  []forwarder.Input
 	toGossiper   []gossiper.Input
@@ -96,23 +94,23 @@
 	toInquirer   []inquirer.Input
 	outputs      outbox
 	draining     bool
-	// connected are the hosts to which a connection stands.
+	// connected are the hosts with an open connection to this one.
 	connected map[identifier.HostID]bool
-	// silentlyLost are the hosts of the own failure domain that counted as dead while their
-	// connection stood, and were not heard since.
-	silentlyLost map[identifier.HostID]bool
+	// deadButConnected are the hosts of the own failure domain that were declared dead while their
+	// connection was open, and have sent nothing since.
+	deadButConnected map[identifier.HostID]bool
 }
 
-// Tick applies the inputs, lets deadlines fall due and returns what to do.
+// Tick applies the inputs, runs the deadlines that are due and returns the outputs to carry out.
 func (coordinator *Coordinator) Tick(now identifier.Moment, inputs []Input) []Output {
-	coordinator.noteStandstill(now)
-	coordinator.prepare(now)
-	coordinator.endStandstill()
-	coordinator.endIsolation(inputs)
+	coordinator.detectSuspension(now)
+	coordinator.initialize(now)
+	coordinator.handleSuspension()
+	coordinator.handleIsolationEnd(inputs)
 	for _, input := range inputs {
 		coordinator.apply(input)
 	}
-	coordinator.petitions.expire()
+	coordinator.operatorRequests.expire()
 	coordinator.settle()
 	coordinator.reportDrained()
 	return coordinator.outputs.drain()
@@ -129,16 +127,16 @@
 	next = identifier.Earlier(next, coordinator.elector.NextDeadline())
 	next = identifier.Earlier(next, coordinator.requester.NextDeadline())
 	next = identifier.Earlier(next, coordinator.follower.NextDeadline())
-	next = identifier.Earlier(next, coordinator.petitions.timers.Next())
-	next = identifier.Earlier(next, coordinator.driving.nextDeadline())
-	next = identifier.Earlier(next, coordinator.intentKeeping.nextDeadline())
-	next = identifier.Earlier(next, coordinator.tending.dueAt)
-	next = identifier.Earlier(next, coordinator.remembering.dueAt)
+	next = identifier.Earlier(next, coordinator.operatorRequests.timers.Next())
+	next = identifier.Earlier(next, coordinator.intentDriver.nextDeadline())
+	next = identifier.Earlier(next, coordinator.intentPlanner.nextDeadline())
+	next = identifier.Earlier(next, coordinator.keeperMembership.dueAt)
+	next = identifier.Earlier(next, coordinator.cellPersister.dueAt)
 	next = identifier.Earlier(next, coordinator.supervisor.NextDeadline())
 	next = identifier.Earlier(next, coordinator.starter.NextDeadline())
 	next = identifier.Earlier(next, coordinator.inquirer.NextDeadline())
-	for _, room := range coordinator.rooms {
-		next = identifier.Earlier(next, room.allocator.NextDeadline())
+	for _, cellAllocator := range coordinator.allocators {
+		next = identifier.Earlier(next, cellAllocator.allocator.NextDeadline())
 	}
 	if coordinator.keeper != nil {
 		next = identifier.Earlier(next, coordinator.keeper.NextDeadline())
@@ -146,7 +144,7 @@
 	return next
 }
 
-func (coordinator *Coordinator) prepare(now identifier.Moment) {
+func (coordinator *Coordinator) initialize(now identifier.Moment) {
 	coordinator.now = now
 	if coordinator.dispatcher != nil {
 		return
@@ -171,100 +169,99 @@
 		Settings:      coordinator.Settings.Supervisor,
 	}
 	coordinator.inquirer = &inquirer.Inquirer{Settings: coordinator.Settings.Inquirer}
-	coordinator.rooms = newRooms(coordinator)
-	coordinator.remembering = newRemembering(coordinator)
-	coordinator.following = newFollowing(coordinator)
+	coordinator.allocators = newAllocators(coordinator)
+	coordinator.cellPersister = newCellPersister(coordinator)
+	coordinator.followerTracker = newFollowerTracker(coordinator)
 	coordinator.gossiper = coordinator.newGossiper()
 	coordinator.elector = coordinator.newElector()
 	if !slices.Contains(coordinator.Self.Roles, gossiper.RoleEntry) {
-		coordinator.tellElector(elector.Resign{})
+		coordinator.notifyElector(elector.Resign{})
 	}
 	coordinator.keeper = coordinator.newKeeper()
-	coordinator.tending = newTending(coordinator)
+	coordinator.keeperMembership = newKeeperMembership(coordinator)
 	coordinator.requester = &claimer.Requester{Settings: coordinator.Settings.Claims}
 	coordinator.follower = &configurer.Follower{Settings: coordinator.Settings.Configuration, StartedAt: now}
-	coordinator.petitions = newPetitions(coordinator)
+	coordinator.operatorRequests = newOperatorRequests(coordinator)
 	coordinator.nextNonce = firstNonce(coordinator.Self.Incarnation)
 	coordinator.connected = make(map[identifier.HostID]bool)
-	coordinator.silentlyLost = make(map[identifier.HostID]bool)
+	coordinator.deadButConnected = make(map[identifier.HostID]bool)
 	coordinator.quotas.set(coordinator.Settings.Intents.Quotas)
-	coordinator.driving = newDriving(coordinator)
-	coordinator.intentKeeping = newIntentKeeping(coordinator)
-	coordinator.tellForwarder(&forwarder.HostsChanged{Living: []identifier.HostID{coordinator.Self.Host}})
-	coordinator.tellRequester(&claimer.KeepersChanged{Keepers: coordinator.keepersInOrder()})
+	coordinator.intentDriver = newIntentDriver(coordinator)
+	coordinator.intentPlanner = newIntentPlanner(coordinator)
+	coordinator.notifyForwarder(&forwarder.HostsChanged{Living: []identifier.HostID{coordinator.Self.Host}})
+	coordinator.notifyRequester(&claimer.KeepersChanged{Keepers: coordinator.keepersInOrder()})
 }
 
-// settle runs the parts until none has anything left to apply. A message between
-// two parts of the same host thus costs no delay.
+// settle runs the components until none has inputs left, so that a message between two components
+// of the same host takes effect in the same tick.
 func (coordinator *Coordinator) settle() {
-	for round := 0; round == 0 || coordinator.unsettled(); round++ {
+	for round := 0; round == 0 || coordinator.hasPendingInputs(); round++ {
 		coordinator.settleMembership()
-		coordinator.tending.settle()
+		coordinator.keeperMembership.settle()
 		coordinator.settleKeeping()
 		coordinator.settleDispatch()
-		coordinator.settleRooming()
-		coordinator.following.settle()
-		coordinator.remembering.settle()
-		coordinator.driving.settle()
-		coordinator.intentKeeping.settle()
+		coordinator.settleAllocation()
+		coordinator.followerTracker.settle()
+		coordinator.cellPersister.settle()
+		coordinator.intentDriver.settle()
+		coordinator.intentPlanner.settle()
 	}
 }
 
-func (coordinator *Coordinator) unsettled() bool {
+func (coordinator *Coordinator) hasPendingInputs() bool {
 	return len(coordinator.toDispatcher) > 0 || len(coordinator.toForwarder) > 0 ||
 		len(coordinator.toGossiper) > 0 || len(coordinator.toElector) > 0 ||
 		len(coordinator.toKeeper) > 0 || len(coordinator.toRequester) > 0 ||
-		len(coordinator.toSupervisor) > 0 || len(coordinator.toStarter) > 0 || len(coordinator.toInquirer) > 0 || coordinator.roomsUnsettled() ||
-		len(coordinator.toFollower) > 0 || len(coordinator.driving.inputs) > 0
+		len(coordinator.toSupervisor) > 0 || len(coordinator.toStarter) > 0 || len(coordinator.toInquirer) > 0 || coordinator.allocatorsHavePendingInputs() ||
+		len(coordinator.toFollower) > 0 || len(coordinator.intentDriver.inputs) > 0
 }
 
 func (coordinator *Coordinator) settleMembership() {
 	now := coordinator.now
-	tickPart(now, coordinator.gossiper, &coordinator.toGossiper, coordinator.routeGossiperOutput)
-	tickPart(now, coordinator.elector, &coordinator.toElector, coordinator.routeElectorOutput)
+	tickComponent(now, coordinator.gossiper, &coordinator.toGossiper, coordinator.routeGossiperOutput)
+	tickComponent(now, coordinator.elector, &coordinator.toElector, coordinator.routeElectorOutput)
 }
 
 func (coordinator *Coordinator) settleKeeping() {
 	now := coordinator.now
-	tickPart(now, coordinator.requester, &coordinator.toRequester, coordinator.routeRequesterOutput)
+	tickComponent(now, coordinator.requester, &coordinator.toRequester, coordinator.routeRequesterOutput)
 	if coordinator.keeper != nil {
-		tickPart(now, coordinator.keeper, &coordinator.toKeeper, coordinator.routeKeeperOutput)
+		tickComponent(now, coordinator.keeper, &coordinator.toKeeper, coordinator.routeKeeperOutput)
 	}
-	tickPart(now, coordinator.follower, &coordinator.toFollower, coordinator.routeFollowerOutput)
+	tickComponent(now, coordinator.follower, &coordinator.toFollower, coordinator.routeFollowerOutput)
 }
 
 func (coordinator *Coordinator) settleDispatch() {
 	now := coordinator.now
-	tickPart(now, coordinator.forwarder, &coordinator.toForwarder, coordinator.routeForwarderOutput)
-	tickPart(now, coordinator.dispatcher, &coordinator.toDispatcher, coordinator.routeDispatcherOutput)
+	tickComponent(now, coordinator.forwarder, &coordinator.toForwarder, coordinator.routeForwarderOutput)
+	tickComponent(now, coordinator.dispatcher, &coordinator.toDispatcher, coordinator.routeDispatcherOutput)
 }
 
-// part is a deciding package that the coordinator drives.
-type part[Input, Output any] interface {
+// component is a deciding package that the coordinator drives.
+type component[Input, Output any] interface {
 	Tick(now identifier.Moment, inputs []Input) []Output
 	NextDeadline() identifier.Moment
 }
 
-// tickPart ticks a part that has inputs or a deadline which has been reached, and
-// routes what it hands back.
-func tickPart[Input, Output any](now identifier.Moment, part part[Input, Output], queue *[]Input, route func(Output)) {
-	if len(*queue) == 0 && !part.NextDeadline().Due(now) {
+// tickComponent ticks a component that has inputs or a due deadline, and routes its outputs.
+func tickComponent[Input, Output any](now identifier.Moment, component component[Input, Output], queue *[]Input, route func(Output)) {
+	if len(*queue) == 0 && !component.NextDeadline().Due(now) {
 		return
 	}
-	for _, output := range part.Tick(now, taken(queue)) {
+	for _, output := range component.Tick(now, drainQueue(queue)) {
 		route(output)
 	}
 }
 
-// taken empties a queue of inputs and returns what was in it.
-func taken[T any](queue *[]T) []T {
+// drainQueue empties a queue of inputs and returns its contents.
+func drainQueue[T any](queue *[]T) []T {
 	inputs := *queue
 	*queue = nil
 	return inputs
 }
 
-// reportDrained tells, during a graceful shutdown, that every caller's
-// submission has its answer and that other hosts know all that this one knows.
+// reportDrained emits Drained during a graceful shutdown once every caller's submission is answered
+// and other hosts have all records of this one.
 func (coordinator *Coordinator) reportDrained() {
 	answered := coordinator.supervisor.Jobs() == 0 && coordinator.forwarder.Unanswered() == 0 && coordinator.forwarder.Questions() == 0
 	if coordinator.draining && answered && coordinator.forwarder.Unhanded() == 0 {
@@ -280,7 +277,7 @@
 	return coordinator.forwarder.Unanswered()
 }
 
-// Unhanded returns how many records have still to reach another host.
+// Unhanded returns how many records still have to reach another host.
 func (coordinator *Coordinator) Unhanded() int {
 	if coordinator.forwarder == nil {
 		return 0
--- a/pkg/coordinator/ends.go
+++ b/pkg/coordinator/ends.go
@@ -10,39 +10,40 @@
 )
 
 const (
-	// endsKept bounds the ends that wait for the log. Beyond it they are acknowledged
-	// although the log may not know them yet.
-	endsKept = 16_384
-	// flushes is after how many flush intervals the driver has surely reported an end.
-	flushes = 2
+	// maxUnacknowledgedEnds limits the ends that wait for the log. Further ends are acknowledged
+	// although the log may not have recorded them yet.
+	maxUnacknowledgedEnds = 16_384
+	// flushesUntilReported is the number of flush intervals after which the driver has certainly
+	// reported an end.
+	flushesUntilReported = 2
 )
 
-// heldEnds remembers how tasks ended until the log knows it. Workers repeat an end
-// until it is acknowledged. If that happened as soon as the driver knows it, an end
-// would be lost with a driver that dies before it has reported: the next one would say
-// "unknown" of a task that has succeeded. So an end is acknowledged when it is
-// repeated while no report of its intent is under way any more.
-type heldEnds struct {
+// unacknowledgedEnds records how tasks ended until the log has recorded it. Workers repeat an end
+// until it is acknowledged. If an end were acknowledged as soon as the driver received it, it would
+// be lost if the driver died before reporting it, and the next driver would report "unknown" for a
+// task that succeeded. So an end is acknowledged when it is repeated while no report of its intent
+// is in flight.
+type unacknowledgedEnds struct {
 	arrived *tabulator.Table[leaser.Number, identifier.Moment]
 }
 
-func newHeldEnds() *heldEnds {
-	return &heldEnds{arrived: tabulator.New[leaser.Number, identifier.Moment]()}
+func newUnacknowledgedEnds() *unacknowledgedEnds {
+	return &unacknowledgedEnds{arrived: tabulator.New[leaser.Number, identifier.Moment]()}
 }
 
-// settled tells whether an end may be acknowledged at now. reporting tells whether a
-// report of its intent waits for the log.
-func (ends *heldEnds) settled(now identifier.Moment, ended planner.TaskEnded, flush time.Duration, reporting bool) bool {
-	since := ends.arrived.Get(ended.Number)
+// mayAcknowledge reports whether an end may be acknowledged at now. reporting says whether a report
+// of its intent waits for the log.
+func (unacknowledgedEnds *unacknowledgedEnds) mayAcknowledge(now identifier.Moment, ended planner.TaskEnded, flush time.Duration, reporting bool) bool {
+	since := unacknowledgedEnds.arrived.Get(ended.Number)
 	final := ended.End == planner.EndSucceeded || ended.End == planner.EndFailed
 	switch {
-	case !final || ends.arrived.Len() >= endsKept:
+	case !final || unacknowledgedEnds.arrived.Len() >= maxUnacknowledgedEnds:
 	case since == nil:
-		ends.arrived.Put(ended.Number, &now)
+		unacknowledgedEnds.arrived.Put(ended.Number, &now)
 		return false
-	case reporting || now.Sub(*since) < flushes*flush:
+	case reporting || now.Sub(*since) < flushesUntilReported*flush:
 		return false
 	}
-	ends.arrived.Remove(ended.Number)
+	unacknowledgedEnds.arrived.Remove(ended.Number)
 	return true
 }
--- a/pkg/coordinator/evacuating.go
+++ b/pkg/coordinator/evacuating.go
@@ -11,32 +11,33 @@
 	"github.com/stoathitch/stoathitch/pkg/supervisor"
 )
 
-// enforceEvacuations tells all that start work, in the tick in which a version comes into
-// force, where nothing is started.
+// enforceEvacuations sends the evacuated failure domains to every component that starts work, in
+// the tick in which a configuration comes into force. Nothing is started in those domains.
 func (coordinator *Coordinator) enforceEvacuations() {
 	evacuated := coordinator.evacuated()
-	if slices.Equal(evacuated, coordinator.enforced) {
+	if slices.Equal(evacuated, coordinator.enforcedEvacuations) {
 		return
 	}
-	coordinator.enforced = evacuated
-	coordinator.tellDispatcher(&dispatcher.EvacuationsKnown{Evacuated: evacuated})
-	coordinator.tellAllocators(&allocator.EvacuationsKnown{Evacuated: evacuated})
-	coordinator.tellSupervisor(&supervisor.EvacuationsKnown{Evacuated: evacuated})
-	coordinator.tellStarter(&starter.EvacuationsKnown{Evacuated: evacuated})
-	coordinator.driving.followEvacuations(evacuated)
+	coordinator.enforcedEvacuations = evacuated
+	coordinator.notifyDispatcher(&dispatcher.EvacuationsKnown{Evacuated: evacuated})
+	coordinator.notifyAllocators(&allocator.EvacuationsKnown{Evacuated: evacuated})
+	coordinator.notifySupervisor(&supervisor.EvacuationsKnown{Evacuated: evacuated})
+	coordinator.notifyStarter(&starter.EvacuationsKnown{Evacuated: evacuated})
+	coordinator.intentDriver.updateEvacuations(evacuated)
 }
 
-// evacuated lists the failure domains where nothing is started, as far as known here.
+// evacuated lists the failure domains where nothing is started, by the configuration last known to
+// this host.
 func (coordinator *Coordinator) evacuated() messenger.Evacuated {
 	inForce := coordinator.follower.InForce()
 	return inForce.Evacuated()
 }
 
-// followEvacuations tells the driver whether it may start something.
-func (driving *driving) followEvacuations(evacuated messenger.Evacuated) {
-	if driving.driver != nil {
-		driving.inputs = append(driving.inputs, planner.EvacuationChanged{
-			Evacuated: evacuated.Has(driving.coordinator.Self.FailureDomain),
+// updateEvacuations notifies the driver whether its failure domain is evacuated.
+func (intentDriver *intentDriver) updateEvacuations(evacuated messenger.Evacuated) {
+	if intentDriver.driver != nil {
+		intentDriver.inputs = append(intentDriver.inputs, planner.EvacuationChanged{
+			Evacuated: evacuated.Has(intentDriver.coordinator.Self.FailureDomain),
 		})
 	}
 }
--- a/pkg/coordinator/inquiring.go
+++ b/pkg/coordinator/inquiring.go
@@ -9,34 +9,35 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// requestRoom passes a request on to the ledger of a cell. A job that the lead of its home has not
-// sent there, and that the ledger doesn't have, waits until the other hosts of its home were asked.
-func (coordinator *Coordinator) requestRoom(from identifier.HostID, request *messenger.RoomRequest) {
-	if !request.Unvouched || !coordinator.isNewHere(request) {
-		coordinator.tellAllocator(request.Cell, &allocator.RoomRequested{From: from, Request: *request})
+// requestCapacity passes a request on to the allocator of a cell. If the job was not referred by
+// the lead of its home and the allocator doesn't have it, the request first waits until the other
+// hosts of its home have been queried.
+func (coordinator *Coordinator) requestCapacity(from identifier.HostID, request *messenger.RoomRequest) {
+	if !request.Unvouched || !coordinator.isUnknownJob(request) {
+		coordinator.notifyAllocator(request.Cell, &allocator.RoomRequested{From: from, Request: *request})
 		return
 	}
 	home := coordinator.domainOf(from)
 	peers := coordinator.entryHosts(coordinator.livingIn(home))
 	peers = slices.DeleteFunc(peers, func(host identifier.HostID) bool { return host == from })
-	coordinator.tellInquirer(&inquirer.RoomRequested{From: from, Request: *request, Home: home, Peers: peers})
+	coordinator.notifyInquirer(&inquirer.RoomRequested{From: from, Request: *request, Home: home, Peers: peers})
 }
 
-// isNewHere tells whether this host leads the cell that is asked and doesn't have the job there.
-func (coordinator *Coordinator) isNewHere(request *messenger.RoomRequest) bool {
-	if int(request.Cell) >= len(coordinator.rooms) {
+// isUnknownJob reports whether this host leads the requested cell and doesn't have the job there.
+func (coordinator *Coordinator) isUnknownJob(request *messenger.RoomRequest) bool {
+	if int(request.Cell) >= len(coordinator.allocators) {
 		return false
 	}
-	ledger := coordinator.rooms[request.Cell].allocator
-	return ledger.Leads() && !ledger.Has(request.Job)
+	cellAllocator := coordinator.allocators[request.Cell].allocator
+	return cellAllocator.Leads() && !cellAllocator.Has(request.Job)
 }
 
-// homeCellOf is the cell of its failure domain that a job is asked for first.
+// homeCellOf returns the cell of its failure domain that a job is requested from first.
 func (coordinator *Coordinator) homeCellOf(job identifier.JobID) messenger.CellNumber {
 	return messenger.CellOf(identifier.SubmissionID(job), coordinator.cells())
 }
 
-// domainOf is the failure domain of a host; that of this host where the other is not known.
+// domainOf returns the failure domain of a host, or that of this host if the other one is unknown.
 func (coordinator *Coordinator) domainOf(host identifier.HostID) identifier.FailureDomain {
 	if state, known := coordinator.gossiper.State(host); known && host != coordinator.Self.Host {
 		return state.Member.FailureDomain
@@ -44,41 +45,41 @@
 	return coordinator.Self.FailureDomain
 }
 
-// releaseRoom passes on that a host wants no more room for a job.
-func (coordinator *Coordinator) releaseRoom(from identifier.HostID, release *messenger.RoomRelease) {
-	coordinator.tellInquirer(&inquirer.RoomReleased{From: from, Job: release.Job, Cell: release.Cell})
-	coordinator.tellAllocator(release.Cell, &allocator.RoomReleased{From: from, Job: release.Job})
+// releaseCapacity passes on that a host needs no more capacity for a job.
+func (coordinator *Coordinator) releaseCapacity(from identifier.HostID, release *messenger.RoomRelease) {
+	coordinator.notifyInquirer(&inquirer.RoomReleased{From: from, Job: release.Job, Cell: release.Cell})
+	coordinator.notifyAllocator(release.Cell, &allocator.RoomReleased{From: from, Job: release.Job})
 }
 
-// takeInquiry tells the lead of another cell whether this host knows a job.
-func (coordinator *Coordinator) takeInquiry(from identifier.HostID, inquiry *messenger.JobInquiry) {
-	asking := messenger.CellRef{FailureDomain: coordinator.domainOf(from), Cell: inquiry.Cell}
+// handleInquiry replies to the lead of another cell whether this host knows a job.
+func (coordinator *Coordinator) handleInquiry(from identifier.HostID, inquiry *messenger.JobInquiry) {
+	inquiringCell := messenger.CellRef{FailureDomain: coordinator.domainOf(from), Cell: inquiry.Cell}
 	reply := messenger.JobInquiryReply{
-		Job: inquiry.Job, Cell: inquiry.Cell, Host: inquiry.Host, Known: coordinator.knowsJob(inquiry, asking),
+		Job: inquiry.Job, Cell: inquiry.Cell, Host: inquiry.Host, Known: coordinator.knowsJob(inquiry, inquiringCell),
 	}
 	coordinator.send(from, PeerMessage{JobInquiryReply: &reply})
 }
 
-// noteElsewhere has this host remember where a job of its failure domain goes, should it lead the
-// home's cell.
-func (coordinator *Coordinator) noteElsewhere(from identifier.HostID, notice *messenger.JobElsewhere) {
-	coordinator.tellAllocator(coordinator.homeCellOf(notice.Job), &allocator.JobGoesElsewhere{
+// recordJobElsewhere notifies the allocator of the home cell where a job of its failure domain is
+// placed. The allocator records it if this host leads that cell.
+func (coordinator *Coordinator) recordJobElsewhere(from identifier.HostID, notice *messenger.JobElsewhere) {
+	coordinator.notifyAllocator(coordinator.homeCellOf(notice.Job), &allocator.JobGoesElsewhere{
 		Job: notice.Job, Tasks: notice.Tasks, Cell: messenger.CellRef{FailureDomain: coordinator.domainOf(from), Cell: notice.Cell},
 	})
 }
 
-// knowsJob tells whether a run of a job may be at work, or may still be granted, for another host
-// than the one that asks for room and by another cell than the one that is asked.
-func (coordinator *Coordinator) knowsJob(inquiry *messenger.JobInquiry, asking messenger.CellRef) bool {
-	if inquiry.Host != coordinator.Self.Host && coordinator.supervisor.MayRun(inquiry.Job, asking) {
+// knowsJob reports whether a run of a job may be active or may still be granted, for a host other
+// than the one that requests capacity and by a cell other than the one that sent the inquiry.
+func (coordinator *Coordinator) knowsJob(inquiry *messenger.JobInquiry, inquiringCell messenger.CellRef) bool {
+	if inquiry.Host != coordinator.Self.Host && coordinator.supervisor.MayRun(inquiry.Job, inquiringCell) {
 		return true
 	}
-	return slices.ContainsFunc(coordinator.rooms, func(room *room) bool {
-		return room.allocator.Knows(inquiry.Job, inquiry.Host, asking)
+	return slices.ContainsFunc(coordinator.allocators, func(cellAllocator *cellAllocator) bool {
+		return cellAllocator.allocator.Knows(inquiry.Job, inquiry.Host, inquiringCell)
 	})
 }
 
-func (coordinator *Coordinator) tellInquirer(input inquirer.Input) {
+func (coordinator *Coordinator) notifyInquirer(input inquirer.Input) {
 	coordinator.toInquirer = append(coordinator.toInquirer, input)
 }
 
@@ -89,17 +90,17 @@
 	case *inquirer.SendNotice:
 		coordinator.send(output.To, PeerMessage{JobElsewhere: &output.Notice})
 	case *inquirer.RequestCleared:
-		coordinator.tellAllocator(output.Request.Cell, &allocator.RoomRequested{From: output.From, Request: output.Request})
+		coordinator.notifyAllocator(output.Request.Cell, &allocator.RoomRequested{From: output.From, Request: output.Request})
 	case *inquirer.RequestDenied:
-		coordinator.answerRoom(output.From, &output.Request, messenger.RoomAnswerKnownElsewhere)
+		coordinator.answerCapacityRequest(output.From, &output.Request, messenger.RoomAnswerKnownElsewhere)
 	case *inquirer.RequestHeld:
-		coordinator.answerRoom(output.From, &output.Request, messenger.RoomAnswerWaiting)
+		coordinator.answerCapacityRequest(output.From, &output.Request, messenger.RoomAnswerWaiting)
 	case *inquirer.Decided:
 		coordinator.outputs.add(&Decided{Decision: output.Decision})
 	}
 }
 
-func (coordinator *Coordinator) answerRoom(to identifier.HostID, request *messenger.RoomRequest, kind messenger.RoomAnswerKind) {
+func (coordinator *Coordinator) answerCapacityRequest(to identifier.HostID, request *messenger.RoomRequest, kind messenger.RoomAnswerKind) {
 	answer := messenger.RoomAnswer{Job: request.Job, Kind: kind, Cell: request.Cell, Ask: request.Ask}
 	coordinator.send(to, PeerMessage{RoomAnswer: &answer})
 }
--- a/pkg/coordinator/intents.go
+++ b/pkg/coordinator/intents.go
@@ -9,32 +9,33 @@
 	"github.com/stoathitch/stoathitch/pkg/planner"
 )
 
-// IntentSettings says how this host plans and drives intents.
+// IntentSettings configures how this host plans and drives intents.
 type IntentSettings struct {
-	// Lease is how long a worker may run a task without being heard.
+	// Lease is how long a worker may run a task without contact.
 	Lease time.Duration
-	// SyncInterval is the time between two messages of a driving host to the keeper
-	// that leads; they carry the picture of its workers.
+	// SyncInterval is the time between two syncs of a driving host with the leading keeper. A sync
+	// carries the picture of its workers.
 	SyncInterval time.Duration
-	// PictureAge is the age beyond which a picture counts as none: its failure domain
-	// can't be reached.
+	// PictureAge is the age beyond which a picture is ignored, because its failure domain can't be
+	// reached.
 	PictureAge time.Duration
-	// LookInterval is the time between two looks at intents that wait for a plan.
+	// LookInterval is the time between two reviews of the intents that wait for a plan.
 	LookInterval time.Duration
 	// RenewPlans is the time between two checks of unconfirmed plans.
 	RenewPlans time.Duration
-	// ConfirmWithin is how long a plan may be confirmed.
+	// ConfirmWithin is how long a plan can be confirmed before it expires.
 	ConfirmWithin time.Duration
-	// Resend is the time after which an unanswered command goes to the next keeper.
+	// Resend is the time after which an unanswered command is sent to the next keeper.
 	Resend time.Duration
-	// RetryLead is the time that a host waits which lost its epoch but still leads.
+	// RetryLead is how long a host that lost its epoch but still leads the cell waits before it
+	// requests a new epoch.
 	RetryLead time.Duration
 	Driver    planner.DriverSettings
 	// Quotas are in force until there is a configuration.
 	Quotas []planner.TeamQuota
 }
 
-// DefaultIntentSettings returns the settings that the daemon starts from.
+// DefaultIntentSettings returns the daemon's default intent settings.
 func DefaultIntentSettings() IntentSettings {
 	return IntentSettings{
 		Lease:         10 * time.Second,
@@ -49,8 +50,8 @@
 	}
 }
 
-// IntentSync is what the host that drives a failure domain's workers tells the
-// keeper that leads. The answer is the news since the version that it has.
+// IntentSync is sent to the leading keeper by the host that drives a failure domain's workers. The
+// reply is the news after version Since.
 type IntentSync struct {
 	FailureDomain identifier.FailureDomain `cbor:"1,keyasint,omitempty"`
 	Epoch         identifier.Epoch         `cbor:"2,keyasint,omitempty"`
@@ -59,7 +60,7 @@
 	Picture *planner.Picture `cbor:"4,keyasint,omitempty"`
 }
 
-// WorkerEvent brings a message or event of a worker.
+// WorkerEvent carries messages or events of a worker.
 type WorkerEvent struct {
 	Worker identifier.WorkerID
 	Events []planner.Input
@@ -68,7 +69,7 @@
 // ToWorker is the batch of one tick for a worker.
 type ToWorker struct {
 	Worker identifier.WorkerID
-	// Epoch is that of the driver; the worker obeys none below it afterwards.
+	// Epoch is the epoch of the driver. The worker obeys no lower epoch afterwards.
 	Epoch identifier.Epoch
 	// Orders holds StartTask, RenewLeases, ThrottleTask, CheckpointTask and StopTask.
 	Orders []planner.Output
@@ -86,19 +87,19 @@
 func (*WorkerEvent) isCoordinatorInput() {}
 func (*ToWorker) isCoordinatorOutput()   {}
 
-// knownWorker is a worker whose connection to this host stands.
+// knownWorker is a worker that is connected to this host.
 type knownWorker struct {
 	worker  placer.Worker
 	reading leaser.HolderMoment
 }
 
-// wall returns the wall clock's reading, for display.
-func (coordinator *Coordinator) wall() planner.WallTime {
+// wallTime returns the wall clock's reading, for display only.
+func (coordinator *Coordinator) wallTime() planner.WallTime {
 	return coordinator.WallStart.Add(time.Duration(coordinator.now))
 }
 
-// enforceQuotas takes the quotas of a configuration in the tick in which it comes
-// into force. What runs beyond a lowered quota runs on.
+// enforceQuotas applies the quotas of a configuration in the tick in which it comes into force.
+// Tasks beyond a lowered quota continue to run.
 func (coordinator *Coordinator) enforceQuotas(document []byte) {
 	if coordinator.QuotasOf == nil {
 		return
--- a/pkg/coordinator/intentstatus.go
+++ b/pkg/coordinator/intentstatus.go
@@ -2,29 +2,29 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// IntentStatus is what operators see of a host's part in intents.
+// IntentStatus is the part of a host's status that concerns intents.
 type IntentStatus struct {
-	// Drives tells whether this host drives the workers of its failure domain, Epoch
-	// under which epoch of the log.
+	// Drives reports whether this host drives the workers of its failure domain. Epoch is the epoch
+	// of the log under which it does.
 	Drives bool             `json:"drives"`
 	Epoch  identifier.Epoch `json:"epoch"`
-	// Workers counts those connected to this host, Intents those under way here.
+	// Workers counts those connected to this host. Intents counts those that this host is driving.
 	Workers int `json:"workers"`
 	Intents int `json:"intents"`
-	// Proposals counts the commands that wait for the keepers. Many for long tell that
-	// no quorum can be reached.
+	// Proposals counts the commands that wait for the keepers. A high number over a long time means
+	// that no quorum can be reached.
 	Proposals int `json:"proposals"`
 }
 
-func (driving *driving) status() IntentStatus {
+func (intentDriver *intentDriver) status() IntentStatus {
 	status := IntentStatus{
-		Drives:    driving.driver != nil,
-		Epoch:     driving.epoch,
-		Workers:   driving.workers.Len(),
-		Proposals: driving.proposals.inFlight.Len() + len(driving.proposals.queue),
+		Drives:    intentDriver.driver != nil,
+		Epoch:     intentDriver.epoch,
+		Workers:   intentDriver.workers.Len(),
+		Proposals: intentDriver.proposals.inFlight.Len() + len(intentDriver.proposals.queue),
 	}
-	if driving.driver != nil {
-		status.Intents = driving.assigned.Len()
+	if intentDriver.driver != nil {
+		status.Intents = intentDriver.assigned.Len()
 	}
 	return status
 }
--- a/pkg/coordinator/isolation.go
+++ b/pkg/coordinator/isolation.go
@@ -7,67 +7,68 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// A lead that a silent partition cut off goes on holding its cells until it is told that
-// others have taken them. What waited for it on its connections comes before that: jobs, and
-// receipts for copies. If it acted on them as a lead, it would hand jobs to another failure
-// domain which its successor has run, or tell a caller that a job has not run which has. The
-// trace would show such an act in the very tick in which a host that counted as dead is heard
-// again, and the loss of the lead milliseconds later.
+// A lead cut off by a silent partition keeps its cells until it receives the announcement that
+// others have taken them. Messages that queued up on its connections arrive first: jobs, and
+// receipts for copies. If it processed them as a lead, it would hand jobs that its successor has
+// run to another failure domain, or answer a caller that a job has not run although it has. The
+// trace would show this in the tick in which a host that was declared dead responds again, and the
+// loss of the lead milliseconds later.
 
-// noteSilentLoss follows which hosts of the own failure domain were counted as dead although
-// their connection stands: nothing of theirs was lost, it is only held up. The kernel closes
-// the connection of a process that ends.
-func (coordinator *Coordinator) noteSilentLoss(state gossiper.State) {
+// recordSilentLoss records which hosts of the own failure domain were declared dead while their
+// connection is open: their messages are delayed, not lost. The connection of a process that ends
+// is closed by the kernel.
+func (coordinator *Coordinator) recordSilentLoss(state gossiper.State) {
 	host := state.Member.Host
 	if state.Member.FailureDomain != coordinator.Self.FailureDomain {
 		return
 	}
 	if state.Status == gossiper.StatusDead && coordinator.connected[host] {
-		coordinator.silentlyLost[host] = true
+		coordinator.deadButConnected[host] = true
 		return
 	}
-	delete(coordinator.silentlyLost, host)
+	delete(coordinator.deadButConnected, host)
 }
 
-// endIsolation gives up the cells of this host before it acts on what a silently lost host has
-// sent, and listens as if it had just started. A host that sees more than half of its failure
-// domain keeps its cells: those that come back could not have taken them.
+// handleIsolationEnd gives up the cells of this host before it acts on messages of a host in
+// deadButConnected, and then waits for other leads like a host that has just started. A host that
+// sees more than half of its failure domain keeps its cells: the hosts that return can't have taken
+// them.
 //
-// Whether the lost host is heard again or its connection ends, this host may have missed what
-// the others learned meanwhile, as one that has lost its memory.
-func (coordinator *Coordinator) endIsolation(inputs []Input) {
-	if len(coordinator.silentlyLost) == 0 {
+// Whether such a host responds again or its connection closes, this host may have missed what the
+// others learned meanwhile, like a host that restarted without state.
+func (coordinator *Coordinator) handleIsolationEnd(inputs []Input) {
+	if len(coordinator.deadButConnected) == 0 {
 		return
 	}
-	heard, closed := coordinator.heardAgain(inputs)
+	responded, closed := coordinator.respondedAgain(inputs)
 	own := coordinator.Self.FailureDomain
-	if !heard && !closed || len(coordinator.livingIn(own)) > coordinator.missingIn(own) {
+	if !responded && !closed || len(coordinator.livingIn(own)) > coordinator.countMissing(own) {
 		return
 	}
-	coordinator.tellDispatcher(&dispatcher.IsolationEnded{})
-	if heard {
-		clear(coordinator.silentlyLost)
-		coordinator.tellElector(elector.StoodStill{})
+	coordinator.notifyDispatcher(&dispatcher.IsolationEnded{})
+	if responded {
+		clear(coordinator.deadButConnected)
+		coordinator.notifyElector(elector.StoodStill{})
 		coordinator.settleMembership()
 	}
 }
 
-// heardAgain tells whether inputs bring a message of a silently lost host, and whether they end
-// the connection to one.
-func (coordinator *Coordinator) heardAgain(inputs []Input) (heard, closed bool) {
+// respondedAgain reports whether inputs contain a message of a host in deadButConnected, and
+// whether they close the connection to one.
+func (coordinator *Coordinator) respondedAgain(inputs []Input) (responded, closed bool) {
 	for _, input := range inputs {
 		switch input := input.(type) {
 		case *PeerBatchArrived:
-			heard = heard || coordinator.silentlyLost[input.From]
+			responded = responded || coordinator.deadButConnected[input.From]
 		case *PeerDisconnected:
-			closed = closed || coordinator.silentlyLost[input.Host]
+			closed = closed || coordinator.deadButConnected[input.Host]
 		}
 	}
-	return heard, closed
+	return responded, closed
 }
 
-// lives tells whether a host counts as living by the membership.
-func (coordinator *Coordinator) lives(host identifier.HostID) bool {
+// isLiving reports whether the membership counts a host as living.
+func (coordinator *Coordinator) isLiving(host identifier.HostID) bool {
 	state, known := coordinator.gossiper.State(host)
 	return known && state.Living()
 }
--- a/pkg/coordinator/keeping.go
+++ b/pkg/coordinator/keeping.go
@@ -13,7 +13,7 @@
 	"github.com/stoathitch/stoathitch/pkg/replicator"
 )
 
-// newKeeper returns the keeper part of a host with a disk, and nil elsewhere.
+// newKeeper returns the keeper of a host with the keeper role, and nil on other hosts.
 func (coordinator *Coordinator) newKeeper() *keeper.Keeper {
 	if !slices.Contains(coordinator.Self.Roles, gossiper.RoleKeeper) {
 		return nil
@@ -33,9 +33,9 @@
 	return created
 }
 
-// keeperHosts lists the keepers that the settings name and those that the membership
-// knows, in order of their ids. The settings of a process may be older than the
-// keepers: one that was replaced is only known by the membership.
+// keeperHosts lists the keepers in the settings and those known to the membership, sorted by id.
+// The settings of a process may be older than the set of keepers: a replacement is known only to
+// the membership.
 func (coordinator *Coordinator) keeperHosts() []identifier.HostID {
 	hosts := coordinator.settingsKeepers()
 	for _, state := range coordinator.gossiper.Members() {
@@ -48,7 +48,7 @@
 	return hosts
 }
 
-// settingsKeepers lists the keepers that the settings name, in order of their ids.
+// settingsKeepers lists the keepers that the settings name, sorted by id.
 func (coordinator *Coordinator) settingsKeepers() []identifier.HostID {
 	var hosts []identifier.HostID
 	for _, member := range append([]gossiper.Member{coordinator.Self}, coordinator.Seeds...) {
@@ -60,7 +60,7 @@
 	return hosts
 }
 
-func (coordinator *Coordinator) tellKeeper(input keeper.Input) {
+func (coordinator *Coordinator) notifyKeeper(input keeper.Input) {
 	if coordinator.keeper != nil {
 		coordinator.toKeeper = append(coordinator.toKeeper, input)
 	}
@@ -80,9 +80,9 @@
 	case *keeper.SaveSnapshot:
 		coordinator.outputs.add(&SaveSnapshot{Snapshot: output.Snapshot})
 	case *keeper.VersionAccepted:
-		coordinator.tellFollower(&configurer.VersionFetched{Version: output.Version})
+		coordinator.notifyFollower(&configurer.VersionFetched{Version: output.Version})
 	case *keeper.LeaderChanged:
-		coordinator.changeKeeperLeader(output)
+		coordinator.handleKeeperLeaderChange(output)
 	case *keeper.History:
 		coordinator.outputs.add(&ConfigHistory{Waiter: output.Waiter, Versions: output.Versions})
 	case *keeper.Joined:
@@ -97,7 +97,7 @@
 	}
 }
 
-func (coordinator *Coordinator) changeKeeperLeader(change *keeper.LeaderChanged) {
+func (coordinator *Coordinator) handleKeeperLeaderChange(change *keeper.LeaderChanged) {
 	coordinator.outputs.add(&KeeperLeaderChanged{Leader: change.Leader, Term: change.Term})
 	coordinator.preferKeeper(change.Leader)
 	if change.Leader == coordinator.Self.Host {
@@ -109,7 +109,7 @@
 
 func (coordinator *Coordinator) sendRequest(to identifier.HostID, request keeper.Request) {
 	if to == coordinator.Self.Host {
-		coordinator.tellKeeper(&keeper.Requested{Request: request})
+		coordinator.notifyKeeper(&keeper.Requested{Request: request})
 		return
 	}
 	coordinator.outputs.toPeer(to, PeerMessage{KeeperRequest: &request})
@@ -117,38 +117,38 @@
 
 func (coordinator *Coordinator) sendReply(to identifier.HostID, reply keeper.Reply) {
 	if to == coordinator.Self.Host {
-		coordinator.takeReply(&reply)
+		coordinator.handleKeeperReply(&reply)
 		return
 	}
 	coordinator.outputs.toPeer(to, PeerMessage{KeeperReply: &reply})
 }
 
-// takeReply hands a keeper's reply to the part that asked.
-func (coordinator *Coordinator) takeReply(reply *keeper.Reply) {
+// handleKeeperReply passes a keeper's reply to the component that sent the request.
+func (coordinator *Coordinator) handleKeeperReply(reply *keeper.Reply) {
 	if reply.Leader != "" {
 		coordinator.preferKeeper(reply.Leader)
 	}
 	if reply.Kind == keeper.ReplyApplied && reply.Result.Decisions != nil {
-		coordinator.tellRequester(&claimer.Decided{Decisions: reply.Result.Decisions})
+		coordinator.notifyRequester(&claimer.Decided{Decisions: reply.Result.Decisions})
 		return
 	}
-	if coordinator.driving.takeReply(reply) || coordinator.intentKeeping.takeReply(reply) {
+	if coordinator.intentDriver.handleReply(reply) || coordinator.intentPlanner.handleReply(reply) {
 		return
 	}
-	coordinator.petitions.takeReply(reply)
+	coordinator.operatorRequests.handleReply(reply)
 }
 
-// preferKeeper asks the keeper that leads before the others.
+// preferKeeper makes later requests go to the leading keeper first.
 func (coordinator *Coordinator) preferKeeper(leader identifier.HostID) {
 	if leader == coordinator.keeperLeader || leader == "" {
 		return
 	}
 	coordinator.keeperLeader = leader
-	coordinator.tellRequester(&claimer.KeepersChanged{Keepers: coordinator.keepersInOrder()})
-	coordinator.petitions.askLeader()
+	coordinator.notifyRequester(&claimer.KeepersChanged{Keepers: coordinator.keepersInOrder()})
+	coordinator.operatorRequests.resendToLeader()
 }
 
-// keepersInOrder lists the keepers, the one believed to lead first.
+// keepersInOrder lists the keepers, the one last known to lead first.
 func (coordinator *Coordinator) keepersInOrder() []identifier.HostID {
 	hosts := coordinator.keeperHosts()
 	position := slices.Index(hosts, coordinator.keeperLeader)
@@ -158,17 +158,18 @@
 	return hosts
 }
 
-func (coordinator *Coordinator) changeKeeperReachability(state gossiper.State) {
+func (coordinator *Coordinator) updateKeeperReachability(state gossiper.State) {
 	var hint replicator.Input = replicator.PeerUnreachable{Host: state.Member.Host}
 	if state.Living() {
 		hint = replicator.PeerReachable{Host: state.Member.Host}
 	}
-	coordinator.tellKeeper(&keeper.ToLog{Input: hint})
+	coordinator.notifyKeeper(&keeper.ToLog{Input: hint})
 }
 
-// claim asks the keepers whether a submission may run a not-repeatable job.
-func (coordinator *Coordinator) claim(wanted *dispatcher.ClaimWanted) {
-	coordinator.tellRequester(&claimer.Wanted{Claim: claimer.Claim{
+// requestClaim requests a claim from the keepers, without which a submission may not run a
+// not-repeatable job.
+func (coordinator *Coordinator) requestClaim(wanted *dispatcher.ClaimWanted) {
+	coordinator.notifyRequester(&claimer.Wanted{Claim: claimer.Claim{
 		Caller:     wanted.Caller,
 		Job:        wanted.Job,
 		Submission: wanted.Submission,
@@ -176,16 +177,16 @@
 	}})
 }
 
-// releaseClaim gives a claim back under which nothing ran.
+// releaseClaim releases a claim under which nothing ran.
 func (coordinator *Coordinator) releaseClaim(released *dispatcher.ClaimReleased) {
-	coordinator.tellRequester(&claimer.Released{Release: claimer.Release{
+	coordinator.notifyRequester(&claimer.Released{Release: claimer.Release{
 		Caller:     released.Caller,
 		Job:        released.Job,
 		Submission: released.Submission,
 	}})
 }
 
-func (coordinator *Coordinator) tellRequester(input claimer.Input) {
+func (coordinator *Coordinator) notifyRequester(input claimer.Input) {
 	coordinator.toRequester = append(coordinator.toRequester, input)
 }
 
@@ -200,10 +201,10 @@
 			Command: keeper.Command{Claims: &command},
 		})
 	case *claimer.LateGrants:
-		coordinator.tellDispatcher(&dispatcher.ClaimsGrantedLate{Submissions: output.Submissions})
+		coordinator.notifyDispatcher(&dispatcher.ClaimsGrantedLate{Submissions: output.Submissions})
 	case *claimer.Verdicts:
 		for _, decision := range output.Decisions {
-			coordinator.tellDispatcher(claimDecided(decision))
+			coordinator.notifyDispatcher(claimDecided(decision))
 		}
 	}
 }
@@ -221,7 +222,7 @@
 	return decided
 }
 
-func (coordinator *Coordinator) tellFollower(input configurer.Input) {
+func (coordinator *Coordinator) notifyFollower(input configurer.Input) {
 	coordinator.toFollower = append(coordinator.toFollower, input)
 }
 
@@ -242,22 +243,22 @@
 	}
 }
 
-// enforceLimits hands the limits of a configuration to the dispatcher in the tick
-// in which it comes into force. A document that can't be read changes nothing.
+// enforceLimits passes the limits of a configuration to the dispatcher in the tick in which it
+// comes into force. A document that can't be read changes nothing.
 func (coordinator *Coordinator) enforceLimits(document []byte) {
 	if coordinator.LimitsOf == nil {
 		return
 	}
 	if limits, readable := coordinator.LimitsOf(document); readable {
-		coordinator.tellDispatcher(&limits)
+		coordinator.notifyDispatcher(&limits)
 	}
 }
 
-// answerHistory asks the own keeper for the kept versions. A host without one has
-// only the version in force.
+// answerHistory requests the stored versions from the own keeper. A host without a keeper has only
+// the version in force.
 func (coordinator *Coordinator) answerHistory(wanted *ConfigHistoryWanted) {
 	if coordinator.keeper != nil {
-		coordinator.tellKeeper(&keeper.HistoryWanted{Waiter: wanted.Waiter})
+		coordinator.notifyKeeper(&keeper.HistoryWanted{Waiter: wanted.Waiter})
 		return
 	}
 	history := &ConfigHistory{Waiter: wanted.Waiter}
--- a/pkg/coordinator/membership.go
+++ b/pkg/coordinator/membership.go
@@ -61,11 +61,11 @@
 	return count
 }
 
-func (coordinator *Coordinator) tellGossiper(input gossiper.Input) {
+func (coordinator *Coordinator) notifyGossiper(input gossiper.Input) {
 	coordinator.toGossiper = append(coordinator.toGossiper, input)
 }
 
-func (coordinator *Coordinator) tellElector(input elector.Input) {
+func (coordinator *Coordinator) notifyElector(input elector.Input) {
 	coordinator.toElector = append(coordinator.toElector, input)
 }
 
@@ -75,68 +75,67 @@
 		message := output.Message
 		coordinator.outputs.toPeer(output.To, PeerMessage{Gossip: &message})
 	case gossiper.MemberChanged:
-		coordinator.changeMember(output)
+		coordinator.handleMemberChange(output)
 	case gossiper.RecordChanged:
-		coordinator.changeRecord(output)
+		coordinator.handleRecordChange(output)
 	case gossiper.Joined:
-		coordinator.tellElector(elector.Joined{})
+		coordinator.notifyElector(elector.Joined{})
 	}
 }
 
-// changeMember follows a host's state. What depends on who lives is brought up to
-// date: the leads, the holders of copies and the keepers to ask.
-func (coordinator *Coordinator) changeMember(change gossiper.MemberChanged) {
+// handleMemberChange processes a changed state of a host: it updates everything that depends on
+// which hosts live, such as the leads, the holders of copies and the order of the keepers.
+func (coordinator *Coordinator) handleMemberChange(change gossiper.MemberChanged) {
 	member := change.New.Member
 	coordinator.outputs.add(&MemberChanged{State: change.New})
-	coordinator.noteSilentLoss(change.New)
+	coordinator.recordSilentLoss(change.New)
 	restarted := change.Old != nil && change.Old.Member.Incarnation != member.Incarnation
 	if restarted {
-		coordinator.tellElector(elector.HostRestarted{FailureDomain: member.FailureDomain, Host: member.Host})
+		coordinator.notifyElector(elector.HostRestarted{FailureDomain: member.FailureDomain, Host: member.Host})
 	}
 	living := coordinator.livingIn(member.FailureDomain)
-	coordinator.tellStarter(&starter.HostsChanged{FailureDomain: member.FailureDomain, Living: coordinator.entryHosts(living)})
-	coordinator.tellElector(elector.HostsChanged{
-		FailureDomain: member.FailureDomain, Living: coordinator.entryHosts(living), Missing: coordinator.missingIn(member.FailureDomain),
+	coordinator.notifyStarter(&starter.HostsChanged{FailureDomain: member.FailureDomain, Living: coordinator.entryHosts(living)})
+	coordinator.notifyElector(elector.HostsChanged{
+		FailureDomain: member.FailureDomain, Living: coordinator.entryHosts(living), Missing: coordinator.countMissing(member.FailureDomain),
 	})
-	coordinator.tellForwarder(&forwarder.DomainChanged{FailureDomain: member.FailureDomain, Living: len(living) > 0})
+	coordinator.notifyForwarder(&forwarder.DomainChanged{FailureDomain: member.FailureDomain, Living: len(living) > 0})
 	if member.FailureDomain == coordinator.Self.FailureDomain {
-		coordinator.hostsChanged()
+		coordinator.updateLivingHosts()
 		if restarted {
-			coordinator.tellForwarder(&forwarder.HostRestarted{Host: member.Host})
+			coordinator.notifyForwarder(&forwarder.HostRestarted{Host: member.Host})
 		}
-		coordinator.tellHostChanged(change, restarted)
+		coordinator.notifyDispatcherOfHost(change, restarted)
 	}
-	coordinator.changeRoomHost(change.New, restarted)
+	coordinator.handleAllocatorHostChange(change.New, restarted)
 	if change.Old != nil && change.Old.Living() && (restarted || change.New.Status == gossiper.StatusDead) {
-		coordinator.tellInquirer(&inquirer.HostLost{Host: member.Host, FailureDomain: member.FailureDomain})
+		coordinator.notifyInquirer(&inquirer.HostLost{Host: member.Host, FailureDomain: member.FailureDomain})
 	}
-	coordinator.following.changed = true
+	coordinator.followerTracker.changed = true
 	if slices.Contains(member.Roles, gossiper.RoleKeeper) {
-		coordinator.changeKeeperReachability(change.New)
+		coordinator.updateKeeperReachability(change.New)
 	}
 }
 
-// tellHostChanged has the dispatcher ask a host that has come, and no longer wait
-// for one that is gone.
-func (coordinator *Coordinator) tellHostChanged(change gossiper.MemberChanged, restarted bool) {
-	lived := change.Old != nil && change.Old.Living() && !restarted
+// notifyDispatcherOfHost makes the dispatcher query a host that has joined or returned, and stop
+// waiting for one that is gone.
+func (coordinator *Coordinator) notifyDispatcherOfHost(change gossiper.MemberChanged, restarted bool) {
+	wasLiving := change.Old != nil && change.Old.Living() && !restarted
 	switch host := change.New.Member.Host; {
-	case change.New.Living() && !lived:
-		emptied := restarted && change.Old.Status != gossiper.StatusLeft
-		coordinator.tellDispatcher(&dispatcher.HostReturned{Host: host, Emptied: emptied})
-	case !change.New.Living() && lived && !coordinator.leaver(change.New):
+	case change.New.Living() && !wasLiving:
+		lostState := restarted && change.Old.Status != gossiper.StatusLeft
+		coordinator.notifyDispatcher(&dispatcher.HostReturned{Host: host, Emptied: lostState})
+	case !change.New.Living() && wasLiving && !coordinator.isLeaving(change.New):
 		left := change.New.Status == gossiper.StatusLeft
-		coordinator.tellDispatcher(&dispatcher.HostGone{Host: host, Left: left})
+		coordinator.notifyDispatcher(&dispatcher.HostGone{Host: host, Left: left})
 	}
 }
 
-// leavers lists the hosts of the own failure domain that are leaving and can still
-// be asked what they know. A host that gave up the cell has not handed over
-// everything at that moment.
-func (coordinator *Coordinator) leavers() []identifier.HostID {
+// leavingHosts lists the hosts of the own failure domain that are leaving and can still be queried.
+// A host that gave up its cell has not handed over all its records at that moment.
+func (coordinator *Coordinator) leavingHosts() []identifier.HostID {
 	var leavers []identifier.HostID
 	for _, state := range coordinator.gossiper.Members() {
-		if coordinator.leaver(state) {
+		if coordinator.isLeaving(state) {
 			leavers = append(leavers, state.Member.Host)
 		}
 	}
@@ -144,29 +143,29 @@
 	return leavers
 }
 
-func (coordinator *Coordinator) leaver(state gossiper.State) bool {
+func (coordinator *Coordinator) isLeaving(state gossiper.State) bool {
 	return state.Member.FailureDomain == coordinator.Self.FailureDomain && state.Status == gossiper.StatusLeft &&
 		state.Member.Host != coordinator.Self.Host && coordinator.connected[state.Member.Host]
 }
 
-// loseLeaver waits no longer for a host that has left.
-func (coordinator *Coordinator) loseLeaver(host identifier.HostID) {
+// handleLeaverGone stops waiting for a host that has left.
+func (coordinator *Coordinator) handleLeaverGone(host identifier.HostID) {
 	if state, known := coordinator.gossiper.State(host); known && state.Status == gossiper.StatusLeft {
-		coordinator.tellAllocators(&allocator.HostGone{Host: host})
-		coordinator.tellDispatcher(&dispatcher.HostGone{Host: host, Left: true})
+		coordinator.notifyAllocators(&allocator.HostGone{Host: host})
+		coordinator.notifyDispatcher(&dispatcher.HostGone{Host: host, Left: true})
 	}
 }
 
-// reachable tells whether a message to a host may arrive.
+// reachable reports whether a message to a host may arrive.
 func (coordinator *Coordinator) reachable(host identifier.HostID) bool {
 	state, known := coordinator.gossiper.State(host)
 	return known && (state.Living() || coordinator.connected[host])
 }
 
-// missing lists the hosts of the own failure domain that are known and don't live, and those
-// that the settings name and that were never heard of: a host that starts while all others are
-// lost or cut off knows none of them, and may miss all that they knew.
-func (coordinator *Coordinator) missing() []identifier.HostID {
+// missingHosts lists the known hosts of the own failure domain that don't live, and those named in
+// the settings that have never been seen: a host that starts while all others are lost or cut off
+// knows none of them and may lack all their records.
+func (coordinator *Coordinator) missingHosts() []identifier.HostID {
 	var missing []identifier.HostID
 	for _, seed := range coordinator.Seeds {
 		_, known := coordinator.gossiper.State(seed.Host)
@@ -182,14 +181,13 @@
 	return missing
 }
 
-// ownDomain tells whether a host belongs to the own failure domain.
-func (coordinator *Coordinator) ownDomain(host identifier.HostID) bool {
+// inOwnDomain reports whether a host belongs to the own failure domain.
+func (coordinator *Coordinator) inOwnDomain(host identifier.HostID) bool {
 	state, known := coordinator.gossiper.State(host)
 	return host == coordinator.Self.Host || (known && state.Member.FailureDomain == coordinator.Self.FailureDomain)
 }
 
-// livingIn lists the hosts of a failure domain that are counted on, in order of
-// their ids, this host included.
+// livingIn lists the living hosts of a failure domain, sorted by id, including this host.
 func (coordinator *Coordinator) livingIn(failureDomain identifier.FailureDomain) []identifier.HostID {
 	var living []identifier.HostID
 	if failureDomain == coordinator.Self.FailureDomain {
@@ -205,8 +203,8 @@
 	return living
 }
 
-// entryHosts returns those of hosts that serve callers. A host that only keeps the
-// replicated log must not lead a cell: it has no part of the data path.
+// entryHosts returns those of hosts that serve callers. A host that only keeps the replicated log
+// must not lead a cell, since it has no part in the data path.
 func (coordinator *Coordinator) entryHosts(hosts []identifier.HostID) []identifier.HostID {
 	var serving []identifier.HostID
 	for _, host := range hosts {
@@ -221,9 +219,9 @@
 	return serving
 }
 
-// missingIn counts the hosts of a failure domain that are known and may live
-// somewhere out of reach.
-func (coordinator *Coordinator) missingIn(failureDomain identifier.FailureDomain) int {
+// countMissing counts the known hosts of a failure domain that were declared dead but may live out
+// of reach.
+func (coordinator *Coordinator) countMissing(failureDomain identifier.FailureDomain) int {
 	missing := 0
 	for _, state := range coordinator.gossiper.Members() {
 		if state.Member.FailureDomain == failureDomain && state.Status == gossiper.StatusDead {
@@ -233,30 +231,30 @@
 	return missing
 }
 
-// hostsChanged tells the forwarder who lives. A host that sees no other one live
-// may be cut off itself, so it goes on asking the others for copies, and holds back
-// what it could not keep true, until a backend server proves that it is not.
-func (coordinator *Coordinator) hostsChanged() {
+// updateLivingHosts notifies the forwarder which hosts live. A host that sees no other living host
+// may be cut off itself. Until a backend server proves that it isn't, it goes on requesting copies
+// from the others and delays commitments that it might not be able to keep.
+func (coordinator *Coordinator) updateLivingHosts() {
 	own := coordinator.Self.FailureDomain
 	living := coordinator.livingIn(own)
-	coordinator.aloneUnproven = len(living) == 1 && coordinator.missingIn(own) > 0
-	if !coordinator.aloneUnproven {
-		coordinator.tellForwarder(&forwarder.HostsChanged{Living: living})
+	coordinator.possiblyIsolated = len(living) == 1 && coordinator.countMissing(own) > 0
+	if !coordinator.possiblyIsolated {
+		coordinator.notifyForwarder(&forwarder.HostsChanged{Living: living})
 	}
 }
 
-// proveContact notes that a backend server was heard.
-func (coordinator *Coordinator) proveContact() {
-	coordinator.tellElector(elector.ServerHeard{})
-	if !coordinator.aloneUnproven {
+// recordServerContact records that a backend server has responded.
+func (coordinator *Coordinator) recordServerContact() {
+	coordinator.notifyElector(elector.ServerHeard{})
+	if !coordinator.possiblyIsolated {
 		return
 	}
-	coordinator.aloneUnproven = false
-	coordinator.tellForwarder(&forwarder.HostsChanged{Living: []identifier.HostID{coordinator.Self.Host}})
+	coordinator.possiblyIsolated = false
+	coordinator.notifyForwarder(&forwarder.HostsChanged{Living: []identifier.HostID{coordinator.Self.Host}})
 }
 
-// changeRecord reads what another host spreads about itself.
-func (coordinator *Coordinator) changeRecord(change gossiper.RecordChanged) {
+// handleRecordChange processes a record that another host published about itself.
+func (coordinator *Coordinator) handleRecordChange(change gossiper.RecordChanged) {
 	state, known := coordinator.gossiper.State(change.Host)
 	if !known {
 		return
@@ -264,20 +262,20 @@
 	key, value := change.Record.Key, string(change.Record.Value)
 	switch {
 	case strings.HasPrefix(key, leadRecordPrefix):
-		coordinator.changeLeadRecord(state.Member, strings.TrimPrefix(key, leadRecordPrefix), value)
+		coordinator.handleLeadRecord(state.Member, strings.TrimPrefix(key, leadRecordPrefix), value)
 	case key == configRecordKey:
 		version, err := strconv.ParseUint(value, recordNumberBase, recordNumberWidth)
 		if err == nil {
-			coordinator.tellFollower(&configurer.VersionSeen{Host: change.Host, Version: identifier.ConfigVersion(version)})
+			coordinator.notifyFollower(&configurer.VersionSeen{Host: change.Host, Version: identifier.ConfigVersion(version)})
 		}
 	case key == joiningRecordKey:
-		coordinator.tending.learnJoining(change.Host, value)
+		coordinator.keeperMembership.recordJoining(change.Host, value)
 	case key == keeperLeaderKey:
 		coordinator.preferKeeper(identifier.HostID(value))
 	}
 }
 
-func (coordinator *Coordinator) changeLeadRecord(member gossiper.Member, cellText, value string) {
+func (coordinator *Coordinator) handleLeadRecord(member gossiper.Member, cellText, value string) {
 	number, err := strconv.ParseUint(cellText, recordNumberBase, 32)
 	if err != nil {
 		return
@@ -285,22 +283,22 @@
 	cell := messenger.CellNumber(number)
 	epoch, err := strconv.ParseUint(value, recordNumberBase, recordNumberWidth)
 	if err != nil {
-		coordinator.tellElector(elector.LeadWithdrawn{FailureDomain: member.FailureDomain, Host: member.Host, Cell: cell})
+		coordinator.notifyElector(elector.LeadWithdrawn{FailureDomain: member.FailureDomain, Host: member.Host, Cell: cell})
 		return
 	}
-	coordinator.tellElector(elector.LeadSeen{
+	coordinator.notifyElector(elector.LeadSeen{
 		FailureDomain: member.FailureDomain, Host: member.Host, Cell: cell, Epoch: identifier.Epoch(epoch),
 	})
 }
 
-// noticeLead takes a notice that came directly; the record that says the same
+// handleLeadNotice processes a notice that a host sent directly; the record with the same content
 // spreads more slowly. An empty host withdraws what the sender announced.
-func (coordinator *Coordinator) noticeLead(from identifier.HostID, notice messenger.LeadNotice) {
+func (coordinator *Coordinator) handleLeadNotice(from identifier.HostID, notice messenger.LeadNotice) {
 	if notice.Host == "" {
-		coordinator.tellElector(elector.LeadWithdrawn{FailureDomain: notice.FailureDomain, Host: from, Cell: notice.Cell})
+		coordinator.notifyElector(elector.LeadWithdrawn{FailureDomain: notice.FailureDomain, Host: from, Cell: notice.Cell})
 		return
 	}
-	coordinator.tellElector(elector.LeadSeen{
+	coordinator.notifyElector(elector.LeadSeen{
 		FailureDomain: notice.FailureDomain, Host: notice.Host, Cell: notice.Cell, Epoch: notice.Epoch,
 	})
 }
@@ -308,28 +306,28 @@
 func (coordinator *Coordinator) routeElectorOutput(output elector.Output) {
 	switch output := output.(type) {
 	case elector.LeadTaken:
-		coordinator.takeLead(output)
+		coordinator.handleLeadTaken(output)
 	case elector.LeadLost:
-		coordinator.loseLead(output)
+		coordinator.handleLeadLost(output)
 	case elector.LeadIs:
 		notice := messenger.LeadNotice{
 			FailureDomain: output.FailureDomain, Cell: output.Cell, Host: output.Host, Epoch: output.Epoch,
 		}
-		coordinator.tellForwarder(&forwarder.LeadKnown{Notice: notice})
-		coordinator.learnLead(notice)
+		coordinator.notifyForwarder(&forwarder.LeadKnown{Notice: notice})
+		coordinator.handleLeadKnown(notice)
 		if output.FailureDomain != coordinator.Self.FailureDomain {
-			coordinator.tellDispatcher(&dispatcher.RemoteLeadKnown{Notice: notice})
+			coordinator.notifyDispatcher(&dispatcher.RemoteLeadKnown{Notice: notice})
 		}
 	}
 }
 
-func (coordinator *Coordinator) takeLead(taken elector.LeadTaken) {
-	hosts := append(coordinator.livingIn(coordinator.Self.FailureDomain), coordinator.leavers()...)
-	coordinator.tellDispatcher(&dispatcher.LeadTaken{
-		Cell: taken.Cell, Epoch: taken.Epoch, Hosts: hosts, Missing: coordinator.missing(),
+func (coordinator *Coordinator) handleLeadTaken(taken elector.LeadTaken) {
+	hosts := append(coordinator.livingIn(coordinator.Self.FailureDomain), coordinator.leavingHosts()...)
+	coordinator.notifyDispatcher(&dispatcher.LeadTaken{
+		Cell: taken.Cell, Epoch: taken.Epoch, Hosts: hosts, Missing: coordinator.missingHosts(),
 	})
-	coordinator.driving.leadTaken(taken.Cell)
-	coordinator.takeRoomLead(taken)
+	coordinator.intentDriver.handleLeadTaken(taken.Cell)
+	coordinator.handleAllocatorLeadTaken(taken)
 	notice := messenger.LeadNotice{
 		FailureDomain: coordinator.Self.FailureDomain,
 		Cell:          taken.Cell,
@@ -338,23 +336,23 @@
 	}
 	coordinator.publish(leadRecordKey(taken.Cell), strconv.FormatUint(uint64(taken.Epoch), recordNumberBase))
 	coordinator.outputs.add(&LeadChanged{Notice: notice})
-	coordinator.tellNeighbours(notice)
+	coordinator.notifyOwnDomain(notice)
 }
 
-func (coordinator *Coordinator) loseLead(lost elector.LeadLost) {
-	coordinator.tellDispatcher(&dispatcher.LeadLost{Cell: lost.Cell})
-	coordinator.driving.leadLost(lost.Cell)
-	coordinator.loseRoomLead(lost)
+func (coordinator *Coordinator) handleLeadLost(lost elector.LeadLost) {
+	coordinator.notifyDispatcher(&dispatcher.LeadLost{Cell: lost.Cell})
+	coordinator.intentDriver.handleLeadLost(lost.Cell)
+	coordinator.handleAllocatorLeadLost(lost)
 	coordinator.publish(leadRecordKey(lost.Cell), "")
 	notice := messenger.LeadNotice{FailureDomain: coordinator.Self.FailureDomain, Cell: lost.Cell, Epoch: lost.Epoch}
 	coordinator.outputs.add(&LeadChanged{Notice: notice})
-	coordinator.tellNeighbours(notice)
+	coordinator.notifyOwnDomain(notice)
 }
 
-// tellNeighbours sends a notice to the hosts of the failure domain, which forward
-// their jobs to the new lead. A leaving host still has jobs to be answered.
-func (coordinator *Coordinator) tellNeighbours(notice messenger.LeadNotice) {
-	for _, host := range append(coordinator.livingIn(coordinator.Self.FailureDomain), coordinator.leavers()...) {
+// notifyOwnDomain sends a notice to the hosts of the failure domain, which forward their jobs to
+// the new lead. Leaving hosts are included, since they still have unanswered jobs.
+func (coordinator *Coordinator) notifyOwnDomain(notice messenger.LeadNotice) {
+	for _, host := range append(coordinator.livingIn(coordinator.Self.FailureDomain), coordinator.leavingHosts()...) {
 		if host != coordinator.Self.Host {
 			coordinator.outputs.toPeer(host, PeerMessage{LeadNotice: &notice})
 		}
@@ -365,7 +363,7 @@
 	return leadRecordPrefix + strconv.FormatUint(uint64(cell), recordNumberBase)
 }
 
-// publish spreads a record of this host; an empty value withdraws it.
+// publish spreads a record of this host with the membership. An empty value withdraws it.
 func (coordinator *Coordinator) publish(key, value string) {
-	coordinator.tellGossiper(gossiper.RecordSet{Key: key, Value: []byte(value)})
+	coordinator.notifyGossiper(gossiper.RecordSet{Key: key, Value: []byte(value)})
 }
--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -19,85 +19,82 @@
 // Input is a message or event that Tick applies.
 type Input interface{ isCoordinatorInput() }
 
-// PeerBatchArrived brings the messages that another host sent in one tick.
+// PeerBatchArrived carries the messages that another host sent in one tick.
 type PeerBatchArrived struct {
 	From  identifier.HostID
 	Batch PeerBatch
 }
 
-// PeerConnected tells that a connection to another host stands.
+// PeerConnected reports that a connection to another host is open.
 type PeerConnected struct{ Host identifier.HostID }
 
-// PeerDisconnected tells that the connection to another host has ended. Its
-// process may be gone; the membership finds out.
+// PeerDisconnected reports that the connection to another host has closed. Whether its process is
+// gone is for the membership to find out.
 type PeerDisconnected struct{ Host identifier.HostID }
 
-// ServerEvent brings a message or event of a backend server.
+// ServerEvent carries a message or event of a backend server.
 type ServerEvent struct{ Event dispatcher.Input }
 
-// CallerEvent brings a request of a caller.
+// CallerEvent carries a request of a caller.
 type CallerEvent struct{ Event forwarder.Input }
 
-// ShutdownRequested asks for a graceful shutdown: the host gives its cells away
-// and answers what it has accepted.
+// ShutdownRequested starts a graceful shutdown: the host gives up its cells and answers the work
+// that it has accepted.
 type ShutdownRequested struct{}
 
-// Restored hands over what the journal of a keeper held at the start. It must
-// come before any other input.
+// Restored carries the contents of a keeper's journal at startup. It must come before any other
+// input.
 type Restored struct{ Restored replicator.Restored }
 
-// Persisted tells that every Persist up to a sequence is durable.
+// Persisted reports that every Persist up to a sequence is durable.
 type Persisted struct{ Sequence replicator.PersistSequence }
 
-// SnapshotSaved tells that a snapshot is durable.
+// SnapshotSaved reports that a snapshot is durable.
 type SnapshotSaved struct{ Index identifier.LogIndex }
 
-// ConfigRemembered hands over the configuration that was in force on this host
-// before it started again.
+// ConfigRemembered carries the configuration that was in force on this host before it restarted.
 type ConfigRemembered struct{ Version configurer.Version }
 
-// CellsRemembered hands over what this keeper remembered of the cells before it started
-// again.
+// CellsRemembered carries the cell memories that this keeper had stored before it restarted.
 type CellsRemembered struct{ Cells []messenger.CellMemory }
 
-// OperatorRequest brings a command that an operator wants the keepers to carry
-// out.
+// OperatorRequest carries an operator's command for the keepers.
 type OperatorRequest struct {
 	Waiter  uint64
 	Command keeper.Command
-	// Read asks to read intents in place of a command.
+	// Read requests a read of intents in place of a command.
 	Read *keeper.IntentRead
-	// ReadConfig asks for the newest accepted configuration in place of a command. It
-	// is answered only while a quorum of the keepers confirms it.
+	// ReadConfig requests the newest accepted configuration in place of a command. It is answered
+	// only while a quorum of the keepers confirms it.
 	ReadConfig bool
 }
 
-// ConfigHistoryWanted asks for the configurations that the own keeper has.
+// ConfigHistoryWanted requests the configurations that the own keeper has.
 type ConfigHistoryWanted struct{ Waiter uint64 }
 
-// ConfigWanted asks for the configuration in force on this host.
+// ConfigWanted requests the configuration in force on this host.
 type ConfigWanted struct{ Waiter uint64 }
 
-// ExplainWanted asks what this host decided about a submission.
+// ExplainWanted requests the decisions of this host about a submission.
 type ExplainWanted struct {
 	Waiter     uint64
 	Submission identifier.SubmissionID
 }
 
-// StatusWanted asks for what operators see of this host.
+// StatusWanted requests the status of this host for operators.
 type StatusWanted struct{ Waiter uint64 }
 
-// SupervisorEvent brings an event of a job that need not be remembered.
+// SupervisorEvent carries an event of a job that need not be remembered.
 type SupervisorEvent struct{ Event supervisor.Input }
 
-// StartEvent brings the answer of a backend server that was called to start a run, or what bounds
-// such calls.
+// StartEvent carries the response of a backend server that was called to start a run, or a change
+// of the limits of such calls.
 type StartEvent struct{ Event starter.Input }
 
-// AllocatorEvent brings the answer of a backend server that was called.
+// AllocatorEvent carries the response of a backend server that was polled or called to stop a run.
 type AllocatorEvent struct{ Event allocator.Input }
 
-// CardAnnounced brings what a backend server that is called says about itself.
+// CardAnnounced carries the report of a backend server that is called.
 type CardAnnounced struct{ Card messenger.ServerCard }
 
 func (*SupervisorEvent) isCoordinatorInput()     {}
@@ -121,7 +118,7 @@
 func (*ExplainWanted) isCoordinatorInput()       {}
 func (*StatusWanted) isCoordinatorInput()        {}
 
-// Output is what the owner of the coordinator carries out.
+// Output is something for the owner of the coordinator to carry out.
 type Output interface{ isCoordinatorOutput() }
 
 // ToPeer is the batch of one tick for another host.
@@ -136,44 +133,43 @@
 // ToCaller carries an answer to a waiting request.
 type ToCaller struct{ Answer *forwarder.AnswerCaller }
 
-// Drained tells that a graceful shutdown has answered all accepted work.
+// Drained reports that a graceful shutdown has answered all accepted work.
 type Drained struct{}
 
-// LeadChanged tells, for the log, that this host took a cell, or gave it up when
-// the notice has no host.
+// LeadChanged reports, for the log, that this host took a cell, or gave it up if the notice has no
+// host.
 type LeadChanged struct{ Notice messenger.LeadNotice }
 
-// MemberChanged tells of another host's new state, for the log and for the
-// connections.
+// MemberChanged reports the new state of another host, for the log and for the connections.
 type MemberChanged struct{ State gossiper.State }
 
-// Persist asks the journal to write and sync.
+// Persist makes the journal write and sync.
 type Persist struct{ Persist replicator.Persist }
 
-// SaveSnapshot asks the journal to write a snapshot.
+// SaveSnapshot makes the journal write a snapshot.
 type SaveSnapshot struct{ Snapshot replicator.Snapshot }
 
-// KeeperLeaderChanged tells, for the log, who leads the keepers.
+// KeeperLeaderChanged reports, for the log, who leads the keepers.
 type KeeperLeaderChanged struct {
 	Leader identifier.HostID
 	Term   identifier.Term
 }
 
-// KeeperJoined tells that the keeper of this host, which had nothing on its disk, has
-// been taken in by the others.
+// KeeperJoined reports that the keeper of this host, which started with an empty disk, has been
+// added by the others.
 type KeeperJoined struct {
-	// Members are those of the log, this host included.
+	// Members are the members of the keepers' log, including this host.
 	Members []identifier.HostID
 }
 
-// KeeperHalted tells that the keeper of this host can't go on.
+// KeeperHalted reports that the keeper of this host can't continue.
 type KeeperHalted struct{ Reason string }
 
-// ConfigInForce tells that a configuration is in force on this host from now on.
+// ConfigInForce reports that a configuration is in force on this host from now on.
 type ConfigInForce struct{ Version configurer.Version }
 
-// RememberCells asks for all that is known of the cells to be remembered on the disk,
-// aside and without a promise.
+// RememberCells requests that everything known of the cells be stored on disk. The write is best
+// effort: it is not in the journal and nothing waits for it.
 type RememberCells struct{ Cells []messenger.CellMemory }
 
 // ConfigHistory answers a ConfigHistoryWanted.
@@ -182,28 +178,28 @@
 	Versions []configurer.Version
 }
 
-// ConfigAnswer answers a ConfigWanted. Without Known, this host has just started
-// and has not heard yet what is in force.
+// ConfigAnswer answers a ConfigWanted. If Known is false, this host has just started and has not
+// received the configuration in force yet.
 type ConfigAnswer struct {
 	Waiter  uint64
 	Known   bool
 	Version configurer.Version
 }
 
-// OperatorAnswer answers an OperatorRequest. Without Applied nobody knows whether
-// the command was carried out; the same request id finds out.
+// OperatorAnswer answers an OperatorRequest. If Applied is false, it is unknown whether the command
+// was carried out; resending it with the same request id finds out.
 type OperatorAnswer struct {
 	Waiter  uint64
 	Applied bool
 	Result  keeper.Result
-	// Overloaded tells that too many requests wait; nothing was done.
+	// Overloaded reports that too many requests are waiting and that nothing was done.
 	Overloaded bool
 }
 
 // ExplainAnswer answers an ExplainWanted.
 type ExplainAnswer struct {
 	Waiter uint64
-	// At is the moment of the answer on the clock of the steps.
+	// At is the moment of the answer, on the same clock as the steps.
 	At    identifier.Moment
 	Steps []explainer.Step
 }
@@ -214,17 +210,17 @@
 	Status Status
 }
 
-// CallHold calls a backend server for what runs and what has ended there.
+// CallHold polls a backend server for its running and ended runs.
 type CallHold struct{ Call *allocator.HoldServer }
 
 // CallStop calls a backend server to stop a run.
 type CallStop struct{ Call *allocator.StopRun }
 
-// CallStart calls a backend server to start a run, for a host that may be another one.
+// CallStart calls a backend server to start a run, for this host or for another one.
 type CallStart struct {
 	Call *supervisor.StartRun
 	For  identifier.HostID
-	// Connections is how many connections to the server this host may have at once.
+	// Connections limits the concurrent connections from this host to the server.
 	Connections int
 }
 
@@ -234,7 +230,7 @@
 // Decided reports a decision for the log.
 type Decided struct{ Decision messenger.Decision }
 
-// LeadKnown tells who leads a failure domain; an empty host that nobody does.
+// LeadKnown reports who leads a cell of a failure domain. An empty host means that nobody does.
 type LeadKnown struct{ Notice messenger.LeadNotice }
 
 func (*CallHold) isCoordinatorOutput()            {}
@@ -262,12 +258,12 @@
 func (*ExplainAnswer) isCoordinatorOutput()       {}
 func (*StatusAnswer) isCoordinatorOutput()        {}
 
-// PeerBatch is what one host sends another in one tick.
+// PeerBatch is what one host sends to another in one tick.
 type PeerBatch struct {
 	Messages []PeerMessage `cbor:"1,keyasint"`
 }
 
-// PeerMessage is one message between hosts; exactly one field is set.
+// PeerMessage is one message between hosts. Exactly one field is set.
 type PeerMessage struct {
 	Forward           *messenger.Forward        `cbor:"1,keyasint,omitempty"`
 	Answer            *messenger.JobAnswer      `cbor:"2,keyasint,omitempty"`
@@ -311,7 +307,7 @@
 	RoomNotice  *messenger.RoomNotice  `cbor:"56,keyasint,omitempty"`
 	ServerCards []messenger.ServerCard `cbor:"57,keyasint,omitempty"`
 	CellMemory  *messenger.CellMemory  `cbor:"58,keyasint,omitempty"`
-	// LeadFollowed comes after the RoomRequests that name runs.
+	// LeadFollowed is sent after the capacity requests that name runs.
 	LeadFollowed    *messenger.LeadFollowed    `cbor:"59,keyasint,omitempty"`
 	StartOrder      *messenger.StartOrder      `cbor:"60,keyasint,omitempty"`
 	StartResult     *messenger.StartResult     `cbor:"61,keyasint,omitempty"`
@@ -320,7 +316,7 @@
 	JobElsewhere    *messenger.JobElsewhere    `cbor:"64,keyasint,omitempty"`
 }
 
-// outbox gathers the outputs of one tick, with one batch for each peer.
+// outbox collects the outputs of one tick, with one batch for each peer.
 type outbox struct {
 	outputs []Output
 	byPeer  map[identifier.HostID]*ToPeer
--- a/pkg/coordinator/proposals.go
+++ b/pkg/coordinator/proposals.go
@@ -7,13 +7,12 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// proposalsInFlight bounds the commands that wait for the keepers at once.
-const proposalsInFlight = 256
+// maxProposalsInFlight limits the commands that wait for the keepers at once.
+const maxProposalsInFlight = 256
 
-// proposals sends the system's own commands about intents to the keepers, again and
-// again until they are applied. All of them are idempotent. While no keeper answers,
-// those that wait grow by what they tell and not by their number: reports of one
-// intent are joined into one.
+// proposals sends the system's own commands about intents to the keepers and resends them until
+// they are applied. All of them are idempotent. Reports of the same intent are merged in the queue,
+// so that it doesn't grow with their number while no keeper answers.
 type proposals struct {
 	coordinator *Coordinator
 	inFlight    *tabulator.Table[keeper.Nonce, proposal]
@@ -36,16 +35,17 @@
 
 // add queues a command.
 func (proposals *proposals) add(command planner.Command) {
-	command.Wall = proposals.coordinator.wall()
-	if command.Kind == planner.CommandProgress && proposals.join(command) {
+	command.Wall = proposals.coordinator.wallTime()
+	if command.Kind == planner.CommandProgress && proposals.mergeReport(command) {
 		return
 	}
 	proposals.queue = append(proposals.queue, command)
 	proposals.fill()
 }
 
-// join adds a report to one of the same intent that still waits in the queue.
-func (proposals *proposals) join(command planner.Command) bool {
+// mergeReport merges a report into a queued one of the same intent, and reports whether there was
+// one.
+func (proposals *proposals) mergeReport(command planner.Command) bool {
 	for position := range proposals.queue {
 		waiting := &proposals.queue[position]
 		if waiting.Kind == planner.CommandProgress && waiting.Name == command.Name {
@@ -57,26 +57,26 @@
 	return false
 }
 
-// reports tells whether a report of an intent waits for the log.
-func (proposals *proposals) reports(name identifier.IntentName) bool {
-	about := func(command *planner.Command) bool {
+// hasReport reports whether a progress report of an intent waits for the log.
+func (proposals *proposals) hasReport(name identifier.IntentName) bool {
+	isReport := func(command *planner.Command) bool {
 		return command.Kind == planner.CommandProgress && command.Name == name
 	}
 	for position := range proposals.queue {
-		if about(&proposals.queue[position]) {
+		if isReport(&proposals.queue[position]) {
 			return true
 		}
 	}
 	found := false
 	proposals.inFlight.Each(func(_ keeper.Nonce, sent *proposal) bool {
-		found = about(&sent.command)
+		found = isReport(&sent.command)
 		return !found
 	})
 	return found
 }
 
 func (proposals *proposals) fill() {
-	for len(proposals.queue) > 0 && proposals.inFlight.Len() < proposalsInFlight {
+	for len(proposals.queue) > 0 && proposals.inFlight.Len() < maxProposalsInFlight {
 		command := proposals.queue[0]
 		proposals.queue = proposals.queue[1:]
 		proposals.coordinator.nextNonce++
@@ -99,9 +99,9 @@
 	proposals.timers.Set(nonce, proposals.coordinator.now.Add(proposals.coordinator.Settings.Intents.Resend))
 }
 
-// take returns the command that a reply answers; nil when it answers none of these
-// or says nothing final.
-func (proposals *proposals) take(reply *keeper.Reply) *planner.Command {
+// handleReply returns the command that a reply answers, or nil if it belongs to none of these or
+// isn't final.
+func (proposals *proposals) handleReply(reply *keeper.Reply) *planner.Command {
 	sent := proposals.inFlight.Get(reply.Nonce)
 	if sent == nil || reply.Kind != keeper.ReplyApplied || reply.Result.Intent == nil {
 		return nil
@@ -112,7 +112,7 @@
 	return &sent.command
 }
 
-// expire sends again what was not answered.
+// expire resends unanswered commands.
 func (proposals *proposals) expire() {
 	for {
 		nonce, due := proposals.timers.PopDue(proposals.coordinator.now)
@@ -123,7 +123,7 @@
 	}
 }
 
-// drop gives all commands up, when this host no longer may send them.
+// drop discards all commands, when this host may no longer send them.
 func (proposals *proposals) drop() {
 	for _, nonce := range proposals.inFlight.Keys() {
 		proposals.timers.Clear(nonce)
--- a/pkg/coordinator/quotas.go
+++ b/pkg/coordinator/quotas.go
@@ -8,16 +8,16 @@
 	"github.com/stoathitch/stoathitch/pkg/planner"
 )
 
-// quotas holds what the teams' intents may hold over all failure domains, and hands
-// the driver the part of its own one.
+// quotas holds the limits on the teams' intents over all failure domains, and divides them for the
+// driver of one domain.
 type quotas struct {
 	teams []planner.TeamQuota
-	// capacities are those of all failure domains as the keeper that leads knows them.
+	// capacities are those of all failure domains, as the leading keeper knows them.
 	capacities []planner.DomainCapacity
-	// changed tells that the driver has not got its part yet.
+	// changed reports that the driver has not received its current quotas yet.
 	changed bool
-	// given lists the teams that the driver has a quota of.
-	given []identifier.TeamID
+	// teamsWithQuota lists the teams for which the driver has a quota.
+	teamsWithQuota []identifier.TeamID
 }
 
 // set replaces the quotas of all teams.
@@ -26,8 +26,8 @@
 	quotas.changed = true
 }
 
-// learn takes the capacities by which quotas are divided.
-func (quotas *quotas) learn(capacities []planner.DomainCapacity) {
+// updateCapacities records the capacities by which quotas are divided.
+func (quotas *quotas) updateCapacities(capacities []planner.DomainCapacity) {
 	if len(capacities) > 0 && !slices.Equal(capacities, quotas.capacities) {
 		quotas.capacities = capacities
 		quotas.changed = true
@@ -44,10 +44,10 @@
 	return placer.Quota{}
 }
 
-// part returns what the driver of a failure domain has to be told, and false when
-// nothing has changed. While the capacities aren't known the parts are equal. A team
-// that is gone from the configuration is free of its quota.
-func (quotas *quotas) part(own identifier.FailureDomain, all []identifier.FailureDomain) (planner.QuotasChanged, bool) {
+// domainQuotas returns the quotas for the driver of a failure domain, and false if nothing has
+// changed. While the capacities are unknown, all failure domains get equal shares. A team that is
+// no longer in the configuration gets an empty quota, which lifts its limit.
+func (quotas *quotas) domainQuotas(own identifier.FailureDomain, all []identifier.FailureDomain) (planner.QuotasChanged, bool) {
 	if !quotas.changed {
 		return planner.QuotasChanged{}, false
 	}
@@ -57,19 +57,19 @@
 	for _, team := range quotas.teams {
 		changed.Quotas = append(changed.Quotas, planner.TeamQuota{Team: team.Team, Quota: planner.DivideQuota(team.Quota, weights)[position]})
 	}
-	for _, gone := range quotas.given {
+	for _, gone := range quotas.teamsWithQuota {
 		if !slices.ContainsFunc(quotas.teams, func(team planner.TeamQuota) bool { return team.Team == gone }) {
 			changed.Quotas = append(changed.Quotas, planner.TeamQuota{Team: gone})
 		}
 	}
-	quotas.given = nil
+	quotas.teamsWithQuota = nil
 	for _, team := range quotas.teams {
-		quotas.given = append(quotas.given, team.Team)
+		quotas.teamsWithQuota = append(quotas.teamsWithQuota, team.Team)
 	}
 	return changed, len(changed.Quotas) > 0
 }
 
-// weights returns the capacities to divide by, and which of them is the own one.
+// weights returns the capacities to divide by, and the index of the own failure domain among them.
 func (quotas *quotas) weights(own identifier.FailureDomain, all []identifier.FailureDomain) ([]identifier.Resources, int) {
 	position := slices.IndexFunc(quotas.capacities, func(capacity planner.DomainCapacity) bool { return capacity.FailureDomain == own })
 	if position < 0 {
--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -23,32 +23,32 @@
 		}
 	case *PeerConnected:
 		coordinator.connected[input.Host] = true
-		coordinator.tellGossiper(gossiper.PeerConnected{Host: input.Host})
-		coordinator.tellForwarder(&forwarder.LeadReconnected{Host: input.Host})
-		coordinator.tellDispatcher(&dispatcher.RemoteReconnected{Host: input.Host})
-		coordinator.tellStarter(&starter.PeerChanged{Host: input.Host, Connected: true})
-		coordinator.shareCardsWith(input.Host)
-		coordinator.remembering.meet(input.Host)
-		coordinator.following.tellAgain(input.Host)
+		coordinator.notifyGossiper(gossiper.PeerConnected{Host: input.Host})
+		coordinator.notifyForwarder(&forwarder.LeadReconnected{Host: input.Host})
+		coordinator.notifyDispatcher(&dispatcher.RemoteReconnected{Host: input.Host})
+		coordinator.notifyStarter(&starter.PeerChanged{Host: input.Host, Connected: true})
+		coordinator.sendReportsTo(input.Host)
+		coordinator.cellPersister.exchangeWith(input.Host)
+		coordinator.followerTracker.renotify(input.Host)
 	case *PeerDisconnected:
 		delete(coordinator.connected, input.Host)
-		delete(coordinator.silentlyLost, input.Host)
-		coordinator.tellStarter(&starter.PeerChanged{Host: input.Host})
-		coordinator.loseLeaver(input.Host)
-		coordinator.following.changed = true
-		coordinator.tellGossiper(gossiper.PeerConnectionClosed{Host: input.Host})
+		delete(coordinator.deadButConnected, input.Host)
+		coordinator.notifyStarter(&starter.PeerChanged{Host: input.Host})
+		coordinator.handleLeaverGone(input.Host)
+		coordinator.followerTracker.changed = true
+		coordinator.notifyGossiper(gossiper.PeerConnectionClosed{Host: input.Host})
 	case *ServerEvent:
-		coordinator.hearServer(input.Event)
+		coordinator.handleServerEvent(input.Event)
 	case *CallerEvent:
 		coordinator.toForwarder = append(coordinator.toForwarder, input.Event)
 	case *StartEvent:
-		coordinator.tellStarter(input.Event)
+		coordinator.notifyStarter(input.Event)
 	case *SupervisorEvent:
-		coordinator.tellSupervisor(input.Event)
+		coordinator.notifySupervisor(input.Event)
 	case *AllocatorEvent:
-		coordinator.hearCalledServer(input.Event)
+		coordinator.handleCallResult(input.Event)
 	case *CardAnnounced:
-		coordinator.announceCard(&input.Card)
+		coordinator.handleAnnouncedReport(&input.Card)
 	case *ShutdownRequested:
 		coordinator.shutDown()
 	default:
@@ -56,38 +56,38 @@
 	}
 }
 
-func (coordinator *Coordinator) hearServer(event dispatcher.Input) {
-	coordinator.tellDispatcher(event)
+func (coordinator *Coordinator) handleServerEvent(event dispatcher.Input) {
+	coordinator.notifyDispatcher(event)
 	if _, lost := event.(*dispatcher.ServerLost); !lost {
-		coordinator.proveContact()
+		coordinator.recordServerContact()
 	}
 }
 
-// shutDown begins a graceful shutdown: the cells go to other hosts, which take no
-// longer than after a loss, and nothing is lost with them.
+// shutDown begins a graceful shutdown: other hosts take the cells as fast as after a crash, and
+// nothing is lost with them.
 func (coordinator *Coordinator) shutDown() {
 	coordinator.draining = true
-	coordinator.tellElector(elector.Resign{})
-	coordinator.tellForwarder(&forwarder.LeaveRequested{})
-	coordinator.tellGossiper(gossiper.LeaveRequested{})
-	coordinator.tellKeeper(&keeper.ToLog{Input: replicator.TransferRequested{}})
+	coordinator.notifyElector(elector.Resign{})
+	coordinator.notifyForwarder(&forwarder.LeaveRequested{})
+	coordinator.notifyGossiper(gossiper.LeaveRequested{})
+	coordinator.notifyKeeper(&keeper.ToLog{Input: replicator.TransferRequested{}})
 }
 
-// applyOperation applies the inputs of the journal and of operators.
+// applyOperation applies the inputs of the journal, of operators and of workers.
 func (coordinator *Coordinator) applyOperation(input Input) {
 	switch input := input.(type) {
 	case *Restored:
-		coordinator.tellKeeper(&keeper.ToLog{Input: input.Restored})
+		coordinator.notifyKeeper(&keeper.ToLog{Input: input.Restored})
 	case *Persisted:
-		coordinator.tellKeeper(&keeper.ToLog{Input: replicator.Persisted{Sequence: input.Sequence}})
+		coordinator.notifyKeeper(&keeper.ToLog{Input: replicator.Persisted{Sequence: input.Sequence}})
 	case *SnapshotSaved:
-		coordinator.tellKeeper(&keeper.ToLog{Input: replicator.SnapshotSaved{Index: input.Index}})
+		coordinator.notifyKeeper(&keeper.ToLog{Input: replicator.SnapshotSaved{Index: input.Index}})
 	case *ConfigRemembered:
-		coordinator.tellFollower(&configurer.VersionFetched{Version: input.Version})
+		coordinator.notifyFollower(&configurer.VersionFetched{Version: input.Version})
 	case *CellsRemembered:
-		coordinator.remembering.recall(input.Cells)
+		coordinator.cellPersister.restore(input.Cells)
 	case *OperatorRequest:
-		coordinator.petitions.begin(input)
+		coordinator.operatorRequests.begin(input)
 	case *ConfigHistoryWanted:
 		coordinator.answerHistory(input)
 	case *ConfigWanted:
@@ -100,104 +100,103 @@
 	case *StatusWanted:
 		coordinator.outputs.add(&StatusAnswer{Waiter: input.Waiter, Status: coordinator.status()})
 	case *WorkerEvent:
-		coordinator.driving.takeWorkerEvent(input)
+		coordinator.intentDriver.handleWorkerEvent(input)
 	}
 }
 
 func (coordinator *Coordinator) applyPeerMessage(from identifier.HostID, message *PeerMessage) {
-	if coordinator.applyRoomMessage(from, message) {
+	if coordinator.applyAllocationMessage(from, message) {
 		return
 	}
 	switch {
 	case message.Forward != nil:
 		coordinator.receiveForward(from, message.Forward)
 	case message.Answer != nil:
-		coordinator.tellForwarder(&forwarder.AnswerArrived{From: from, Answer: message.Answer})
+		coordinator.notifyForwarder(&forwarder.AnswerArrived{From: from, Answer: message.Answer})
 	case message.AnswerReceipt != "":
 		coordinator.receiveAnswerReceipt(from, message.AnswerReceipt)
 	case message.SpillReceipt != "":
-		coordinator.tellDispatcher(&dispatcher.AnswerHeld{Submission: message.SpillReceipt})
+		coordinator.notifyDispatcher(&dispatcher.AnswerHeld{Submission: message.SpillReceipt})
 	case message.CopyRequest != nil:
-		coordinator.tellForwarder(&forwarder.CopiesWanted{From: from, Records: message.CopyRequest})
+		coordinator.notifyForwarder(&forwarder.CopiesWanted{From: from, Records: message.CopyRequest})
 	case message.CopyReceipt != nil:
-		coordinator.tellForwarder(&forwarder.CopiesHeld{From: from, Submissions: message.CopyReceipt})
-		coordinator.tellDispatcher(&dispatcher.SpillRecorded{Submissions: message.CopyReceipt})
+		coordinator.notifyForwarder(&forwarder.CopiesHeld{From: from, Submissions: message.CopyReceipt})
+		coordinator.notifyDispatcher(&dispatcher.SpillRecorded{Submissions: message.CopyReceipt})
 	case message.Load != nil:
-		coordinator.tellDispatcher(&dispatcher.LoadNoticed{From: from, Notice: *message.Load})
+		coordinator.notifyDispatcher(&dispatcher.LoadNoticed{From: from, Notice: *message.Load})
 	case message.Spill != nil:
 		deadline := identifier.DeadlineFrom(coordinator.now, message.Spill.Remaining)
-		coordinator.tellDispatcher(&dispatcher.SpillArrived{
-			From: from, Request: *message.Spill, Deadline: deadline, FromLost: !coordinator.lives(from),
+		coordinator.notifyDispatcher(&dispatcher.SpillArrived{
+			From: from, Request: *message.Spill, Deadline: deadline, FromLost: !coordinator.isLiving(from),
 		})
 	case message.SpillAnswer != nil:
-		coordinator.tellDispatcher(&dispatcher.SpillAnswered{From: from, Answer: message.SpillAnswer})
+		coordinator.notifyDispatcher(&dispatcher.SpillAnswered{From: from, Answer: message.SpillAnswer})
 	case message.GuestQuery != nil:
-		coordinator.tellDispatcher(&dispatcher.GuestsQueried{From: from, Query: *message.GuestQuery})
+		coordinator.notifyDispatcher(&dispatcher.GuestsQueried{From: from, Query: *message.GuestQuery})
 	case message.GuestReply != nil:
 		coordinator.receiveGuests(from, message.GuestReply)
 	case message.AnswerCopy != nil:
-		coordinator.tellForwarder(&forwarder.AnswerCopyArrived{From: from, Copy: *message.AnswerCopy})
+		coordinator.notifyForwarder(&forwarder.AnswerCopyArrived{From: from, Copy: *message.AnswerCopy})
 	case message.AnswerCopyReceipt != "":
-		coordinator.tellForwarder(&forwarder.AnswerCopyHeld{From: from, Submission: message.AnswerCopyReceipt})
+		coordinator.notifyForwarder(&forwarder.AnswerCopyHeld{From: from, Submission: message.AnswerCopyReceipt})
 	case message.AnswerRequest != nil:
-		coordinator.tellForwarder(&forwarder.AnswerRequested{Request: *message.AnswerRequest})
+		coordinator.notifyForwarder(&forwarder.AnswerRequested{Request: *message.AnswerRequest})
 	case message.TakeoverQuery != nil:
-		coordinator.tellForwarder(&forwarder.TakeoverQueried{From: from, Query: *message.TakeoverQuery})
+		coordinator.notifyForwarder(&forwarder.TakeoverQueried{From: from, Query: *message.TakeoverQuery})
 	case message.TakeoverReply != nil:
-		coordinator.tellDispatcher(&dispatcher.TakeoverReplied{From: from, Reply: *message.TakeoverReply})
-		coordinator.tellForwarder(&forwarder.RecordsLearned{From: from, Partner: from, Records: message.TakeoverReply.Records})
+		coordinator.notifyDispatcher(&dispatcher.TakeoverReplied{From: from, Reply: *message.TakeoverReply})
+		coordinator.notifyForwarder(&forwarder.RecordsLearned{From: from, Partner: from, Records: message.TakeoverReply.Records})
 	case message.LookupReply != nil:
-		coordinator.tellForwarder(&forwarder.QuestionAnswered{From: from, Reply: *message.LookupReply})
+		coordinator.notifyForwarder(&forwarder.QuestionAnswered{From: from, Reply: *message.LookupReply})
 	case message.Replicas != nil:
-		coordinator.tellForwarder(&forwarder.ReplicasArrived{From: from, Replicas: message.Replicas})
-		coordinator.tellDispatcher(&dispatcher.RecordsReplicated{Replicas: message.Replicas})
+		coordinator.notifyForwarder(&forwarder.ReplicasArrived{From: from, Replicas: message.Replicas})
+		coordinator.notifyDispatcher(&dispatcher.RecordsReplicated{Replicas: message.Replicas})
 	case message.ReplicaReceipt != nil:
-		coordinator.tellForwarder(&forwarder.ReplicasHeld{From: from, Receipt: *message.ReplicaReceipt})
+		coordinator.notifyForwarder(&forwarder.ReplicasHeld{From: from, Receipt: *message.ReplicaReceipt})
 	case message.LeadNotice != nil:
-		coordinator.noticeLead(from, *message.LeadNotice)
+		coordinator.handleLeadNotice(from, *message.LeadNotice)
 	case message.Lookup != nil:
-		coordinator.tellDispatcher(&dispatcher.LookupArrived{From: from, Lookup: *message.Lookup})
+		coordinator.notifyDispatcher(&dispatcher.LookupArrived{From: from, Lookup: *message.Lookup})
 	case message.Cancel != nil:
-		coordinator.tellDispatcher(&dispatcher.CancelArrived{From: from, Cancel: *message.Cancel})
+		coordinator.notifyDispatcher(&dispatcher.CancelArrived{From: from, Cancel: *message.Cancel})
 	default:
 		coordinator.applyControlMessage(from, message)
 	}
 }
 
-// applyControlMessage applies the messages of membership, keepers and
-// configuration.
+// applyControlMessage applies the messages of membership, keepers, intents and configuration.
 func (coordinator *Coordinator) applyControlMessage(from identifier.HostID, message *PeerMessage) {
 	switch {
 	case message.Gossip != nil:
-		coordinator.tellGossiper(gossiper.MessageReceived{Message: *message.Gossip})
+		coordinator.notifyGossiper(gossiper.MessageReceived{Message: *message.Gossip})
 	case message.Log != nil:
-		coordinator.tellKeeper(&keeper.ToLog{Input: replicator.MessageArrived{From: from, Message: *message.Log}})
+		coordinator.notifyKeeper(&keeper.ToLog{Input: replicator.MessageArrived{From: from, Message: *message.Log}})
 	case message.KeeperRequest != nil:
-		coordinator.tellKeeper(&keeper.Requested{Request: *message.KeeperRequest})
+		coordinator.notifyKeeper(&keeper.Requested{Request: *message.KeeperRequest})
 	case message.KeeperReply != nil:
-		coordinator.takeReply(message.KeeperReply)
+		coordinator.handleKeeperReply(message.KeeperReply)
 	case message.IntentSync != nil:
-		coordinator.intentKeeping.takeSync(from, message.IntentSync)
+		coordinator.intentPlanner.handleSync(from, message.IntentSync)
 	case message.IntentNews != nil:
-		coordinator.driving.takeNews(message.IntentNews)
+		coordinator.intentDriver.handleNews(message.IntentNews)
 	case message.ConfigWanted:
-		coordinator.tellFollower(&configurer.VersionRequested{From: from})
+		coordinator.notifyFollower(&configurer.VersionRequested{From: from})
 	case message.Config != nil:
-		coordinator.tellFollower(&configurer.VersionFetched{Version: *message.Config})
+		coordinator.notifyFollower(&configurer.VersionFetched{Version: *message.Config})
 	}
 }
 
-func (coordinator *Coordinator) tellForwarder(input forwarder.Input) {
+func (coordinator *Coordinator) notifyForwarder(input forwarder.Input) {
 	coordinator.toForwarder = append(coordinator.toForwarder, input)
 }
 
-func (coordinator *Coordinator) tellDispatcher(input dispatcher.Input) {
+func (coordinator *Coordinator) notifyDispatcher(input dispatcher.Input) {
 	coordinator.toDispatcher = append(coordinator.toDispatcher, input)
 }
 
 func (coordinator *Coordinator) acceptForward(from identifier.HostID, forward *messenger.Forward) {
 	coordinator.keepRecord(from, from, forward)
-	coordinator.tellDispatcher(&dispatcher.JobForwarded{
+	coordinator.notifyDispatcher(&dispatcher.JobForwarded{
 		From:     from,
 		Job:      forward.Job,
 		Deadline: identifier.DeadlineFrom(coordinator.now, forward.Remaining),
@@ -206,39 +205,38 @@
 	})
 }
 
-// receiveGuests learns which jobs of this host's home another failure domain has had.
-// The forwarder keeps the records, as those of a takeover: the next lead may ask here
-// when it has none of its own.
+// receiveGuests records which jobs of this host's home another failure domain has had. The
+// forwarder keeps the records like those of a takeover: the next lead may query this host when it
+// has none of its own.
 func (coordinator *Coordinator) receiveGuests(from identifier.HostID, reply *messenger.GuestReply) {
-	coordinator.tellDispatcher(&dispatcher.GuestsListed{From: from, Reply: *reply})
-	coordinator.tellForwarder(&forwarder.RecordsLearned{From: from, Partner: from, Records: reply.Records})
+	coordinator.notifyDispatcher(&dispatcher.GuestsListed{From: from, Reply: *reply})
+	coordinator.notifyForwarder(&forwarder.RecordsLearned{From: from, Partner: from, Records: reply.Records})
 }
 
-// receiveForward has a job from another failure domain remembered by a neighbour
-// before it may start.
+// receiveForward has a job from another failure domain recorded by a second host of this one before
+// it may start.
 func (coordinator *Coordinator) receiveForward(from identifier.HostID, forward *messenger.Forward) {
-	if coordinator.ownDomain(from) {
+	if coordinator.inOwnDomain(from) {
 		coordinator.acceptForward(from, forward)
 		return
 	}
 	deadline := identifier.DeadlineFrom(coordinator.now, forward.Remaining)
-	coordinator.tellForwarder(&forwarder.JobRelayed{From: from, Forward: forward, Deadline: deadline})
+	coordinator.notifyForwarder(&forwarder.JobRelayed{From: from, Forward: forward, Deadline: deadline})
 }
 
-// receiveAnswerReceipt notes that the caller's host holds an answer. Where that
-// host belongs to another failure domain, only a neighbour's copy counts.
+// receiveAnswerReceipt records that the caller's host holds an answer. If that host belongs to
+// another failure domain, only a copy at a host of this one counts.
 func (coordinator *Coordinator) receiveAnswerReceipt(from identifier.HostID, submission identifier.SubmissionID) {
-	if coordinator.ownDomain(from) || len(coordinator.livingIn(coordinator.Self.FailureDomain)) == 1 {
-		coordinator.tellDispatcher(&dispatcher.AnswerHeld{Submission: submission})
+	if coordinator.inOwnDomain(from) || len(coordinator.livingIn(coordinator.Self.FailureDomain)) == 1 {
+		coordinator.notifyDispatcher(&dispatcher.AnswerHeld{Submission: submission})
 	}
 }
 
-// keepRecord makes this host one of the two that know a submission for as long as
-// it lives, whether it goes on leading the cell or not.
+// keepRecord makes this host one of the two that know a submission for as long as it lives, whether
+// or not it still leads the cell.
 //
-// The dispatcher forgets its jobs with the lead. If nothing else here knew them, a
-// lead that was deposed for a moment and takes the cell again would start a resend
-// anew.
+// The dispatcher drops its jobs when the lead is lost. Without the record, a lead that was deposed
+// for a moment and takes the cell again would run a resubmitted job a second time.
 func (coordinator *Coordinator) keepRecord(from, partner identifier.HostID, forward *messenger.Forward) {
 	number := messenger.CellOf(forward.Job.Submission, coordinator.Settings.Dispatcher.Cells)
 	lead, _ := coordinator.elector.Lead(coordinator.Self.FailureDomain, number)
@@ -253,7 +251,7 @@
 		Age:        forward.Age,
 		Remaining:  forward.Remaining,
 	}
-	coordinator.tellForwarder(&forwarder.RecordsLearned{
+	coordinator.notifyForwarder(&forwarder.RecordsLearned{
 		From: coordinator.Self.Host, Partner: partner, Records: []messenger.CopyRecord{record},
 	})
 }
@@ -271,7 +269,7 @@
 		coordinator.outputs.toPeer(output.To, PeerMessage{Forward: &output.Forward})
 	case *forwarder.ConfirmAnswer:
 		if output.To == self {
-			coordinator.tellDispatcher(&dispatcher.AnswerHeld{Submission: output.Submission})
+			coordinator.notifyDispatcher(&dispatcher.AnswerHeld{Submission: output.Submission})
 			return
 		}
 		coordinator.outputs.toPeer(output.To, PeerMessage{AnswerReceipt: output.Submission})
@@ -279,31 +277,31 @@
 		coordinator.send(output.To, PeerMessage{Answer: output.Answer})
 	case *forwarder.ForwardCancel:
 		if output.To == self {
-			coordinator.tellDispatcher(&dispatcher.CancelArrived{From: self, Cancel: output.Cancel})
+			coordinator.notifyDispatcher(&dispatcher.CancelArrived{From: self, Cancel: output.Cancel})
 			return
 		}
 		coordinator.outputs.toPeer(output.To, PeerMessage{Cancel: &output.Cancel})
 	case *forwarder.ForwardLookup:
 		if output.To == self {
-			coordinator.tellDispatcher(&dispatcher.LookupArrived{From: self, Lookup: output.Lookup})
+			coordinator.notifyDispatcher(&dispatcher.LookupArrived{From: self, Lookup: output.Lookup})
 			return
 		}
 		coordinator.outputs.toPeer(output.To, PeerMessage{Lookup: &output.Lookup})
 	case *forwarder.PassJob:
 		coordinator.keepRecord(output.From, output.Partner, &output.Forward)
-		coordinator.tellDispatcher(&dispatcher.JobForwarded{
+		coordinator.notifyDispatcher(&dispatcher.JobForwarded{
 			From: output.From, Job: output.Forward.Job, Deadline: output.Deadline,
 			Again: output.Forward.Again, Age: output.Forward.Age,
 		})
 	case *forwarder.AnswerQuestion:
 		coordinator.send(output.To, PeerMessage{LookupReply: &output.Reply})
 	case *forwarder.HolderAnswered:
-		coordinator.tellDispatcher(&dispatcher.HolderAnswered{Claimant: output.Claimant, Answer: output.Answer})
+		coordinator.notifyDispatcher(&dispatcher.HolderAnswered{Claimant: output.Claimant, Answer: output.Answer})
 	case *forwarder.ReplyTakeover:
 		output.Reply.Emptied = coordinator.dispatcher.Emptied(coordinator.now)
 		coordinator.dispatcher.Vouch(&output.Reply)
 		if output.To == self {
-			coordinator.tellDispatcher(&dispatcher.TakeoverReplied{From: self, Reply: output.Reply})
+			coordinator.notifyDispatcher(&dispatcher.TakeoverReplied{From: self, Reply: output.Reply})
 			return
 		}
 		coordinator.outputs.toPeer(output.To, PeerMessage{TakeoverReply: &output.Reply})
@@ -312,7 +310,7 @@
 	}
 }
 
-// sendForwarderOutput sends on what is never for this host itself.
+// sendForwarderOutput sends outputs that are always for other hosts.
 func (coordinator *Coordinator) sendForwarderOutput(output forwarder.Output) {
 	switch output := output.(type) {
 	case *forwarder.HoldCopies:
@@ -332,11 +330,11 @@
 	}
 }
 
-// recordSpill has this host and a second one of the failure domain remember where a
-// job goes: the caller's, which knows the job already, or else another. A host that is
-// alone goes on without the second.
+// recordSpill has this host and a second one of the failure domain record where a job goes: the
+// caller's host, which knows the job already, or else another. A host that is alone proceeds
+// without the second.
 func (coordinator *Coordinator) recordSpill(output *dispatcher.RecordSpill) {
-	coordinator.tellForwarder(&forwarder.JobHandedOver{
+	coordinator.notifyForwarder(&forwarder.JobHandedOver{
 		Submission: output.Record.Submission, To: output.Record.SpilledTo,
 	})
 	living := coordinator.livingIn(coordinator.Self.FailureDomain)
@@ -349,12 +347,12 @@
 		holders = living
 		index = slices.IndexFunc(holders, others)
 	}
-	if index < 0 && coordinator.aloneUnproven {
+	if index < 0 && coordinator.possiblyIsolated {
 		// This host may be the one that is cut off; the job stays at home.
 		return
 	}
 	if index < 0 {
-		coordinator.tellDispatcher(&dispatcher.SpillRecorded{Submissions: []identifier.SubmissionID{output.Record.Submission}})
+		coordinator.notifyDispatcher(&dispatcher.SpillRecorded{Submissions: []identifier.SubmissionID{output.Record.Submission}})
 		return
 	}
 	coordinator.outputs.toPeer(holders[index], PeerMessage{CopyRequest: []messenger.CopyRecord{output.Record}})
@@ -375,30 +373,30 @@
 	case *dispatcher.ToServer:
 		coordinator.outputs.add(&ToServer{Batch: output})
 	case *dispatcher.JobAnswered:
-		coordinator.tellForwarder(&forwarder.AnswerGiven{Answer: output.Answer})
+		coordinator.notifyForwarder(&forwarder.AnswerGiven{Answer: output.Answer})
 		coordinator.send(output.To, PeerMessage{Answer: output.Answer})
 	case *dispatcher.LookupAnswered:
 		coordinator.send(output.To, PeerMessage{LookupReply: &output.Reply})
 	case *dispatcher.HolderWanted:
-		coordinator.tellForwarder(&forwarder.HolderAsked{
+		coordinator.notifyForwarder(&forwarder.HolderAsked{
 			Claimant: output.Claimant, Caller: output.Caller, Holder: output.Holder, Home: output.Home,
 		})
 	case *dispatcher.ClaimReleased:
 		coordinator.releaseClaim(output)
 	case *dispatcher.SecondHolderWanted:
-		coordinator.tellForwarder(&forwarder.SecondHolderWanted{Submission: output.Submission})
+		coordinator.notifyForwarder(&forwarder.SecondHolderWanted{Submission: output.Submission})
 	case *dispatcher.AnswerWanted:
 		if output.Holder == self || !coordinator.reachable(output.Holder) {
-			// What a lost host kept has been copied; the lead is the first to get it.
-			coordinator.tellForwarder(&forwarder.AnswerRequested{Request: output.Request})
+			// What a lost host held has been copied, and the lead gets the copies first.
+			coordinator.notifyForwarder(&forwarder.AnswerRequested{Request: output.Request})
 			return
 		}
 		coordinator.outputs.toPeer(output.Holder, PeerMessage{AnswerRequest: &output.Request})
 	case *dispatcher.ClaimWanted:
-		coordinator.claim(output)
+		coordinator.requestClaim(output)
 	case *dispatcher.TakeoverWanted:
 		if output.To == self {
-			coordinator.tellForwarder(&forwarder.TakeoverQueried{From: self, Query: output.Query})
+			coordinator.notifyForwarder(&forwarder.TakeoverQueried{From: self, Query: output.Query})
 			return
 		}
 		coordinator.outputs.toPeer(output.To, PeerMessage{TakeoverQuery: &output.Query})
@@ -419,6 +417,6 @@
 	case *dispatcher.GuestsTold:
 		coordinator.outputs.toPeer(output.To, PeerMessage{GuestReply: &output.Reply})
 	case *dispatcher.EpochSeen:
-		coordinator.tellElector(elector.EpochSeen{Cell: output.Cell, Epoch: output.Epoch})
+		coordinator.notifyElector(elector.EpochSeen{Cell: output.Cell, Epoch: output.Epoch})
 	}
 }
--- a/pkg/coordinator/settings.go
+++ b/pkg/coordinator/settings.go
@@ -16,7 +16,7 @@
 	"github.com/stoathitch/stoathitch/pkg/supervisor"
 )
 
-// Settings joins the settings of the parts.
+// Settings combines the settings of the components.
 type Settings struct {
 	Dispatcher    dispatcher.Settings
 	Forwarder     forwarder.Settings
@@ -29,25 +29,24 @@
 	Starter       starter.Settings
 	Inquirer      inquirer.Settings
 	Allocator     allocator.Settings
-	// LeadSettle is how long a starting host waits to hear of a living lead
-	// before it takes a cell, so that it does not duel with that lead.
+	// LeadSettle is how long a starting host waits for an announcement of a living lead before it
+	// takes a cell, so that it doesn't compete with that lead.
 	LeadSettle time.Duration
-	// LeadOvertaken is how long a lead whose epoch was refused waits for the lead with
-	// the higher one; zero means LeadSettle.
+	// LeadOvertaken is how long a lead whose epoch was rejected waits for the lead with the higher
+	// one. Zero means LeadSettle.
 	LeadOvertaken time.Duration
-	// LeadJoined is how long a starting host still waits once another host has told it all
-	// that it knows; zero makes no difference to LeadSettle.
+	// LeadJoined is how long a starting host still waits once another host has sent it all that it
+	// knows. Zero keeps LeadSettle.
 	LeadJoined time.Duration
-	// JoinKeepers makes a keeper without a log wait until the others take it in, in
-	// place of founding a log with the keepers that the settings name. A keeper that
-	// lost its disk would else vote as if it had never accepted anything.
+	// JoinKeepers makes a keeper without a log wait until the others add it, instead of founding a
+	// log with the keepers that the settings name. Otherwise a keeper that lost its disk would vote
+	// as if it had never accepted anything.
 	JoinKeepers bool
-	// Voters is how many voters the keepers' log should have; 0 leaves its members as
-	// they are.
+	// Voters is how many voters the keepers' log should have. 0 leaves the members unchanged.
 	Voters int
 }
 
-// DefaultSettings returns the settings that the daemon starts from.
+// DefaultSettings returns the daemon's default settings.
 func DefaultSettings() Settings {
 	return Settings{
 		Dispatcher:    dispatcher.DefaultSettings(),
--- a/pkg/coordinator/status.go
+++ b/pkg/coordinator/status.go
@@ -18,7 +18,8 @@
 	Draining      bool                     `json:"draining"`
 	Unanswered    int                      `json:"unanswered"`
 	ConfigVersion identifier.ConfigVersion `json:"config-version"`
-	// Evacuated are the failure domains where nothing is started, as far as known here.
+	// Evacuated are the failure domains where nothing is started, by the configuration last known
+	// here.
 	Evacuated messenger.Evacuated `json:"evacuated,omitempty"`
 	Hosts     []HostStatus        `json:"hosts"`
 	Cells     []CellStatus        `json:"cells"`
@@ -26,14 +27,14 @@
 	Servers []dispatcher.ServerStatus `json:"backend-servers"`
 	// Work counts the work of the cells that this host leads.
 	Work dispatcher.WorkStatus `json:"work"`
-	// Intents tells of the workers and of what is driven here.
+	// Intents describes the workers and the intents that this host drives.
 	Intents IntentStatus `json:"intents"`
-	// Teams counts the same by team.
+	// Teams has the counts of Work for each team.
 	Teams  []dispatcher.TeamStatus `json:"teams"`
 	Keeper *keeper.Status          `json:"keeper,omitempty"`
 }
 
-// HostStatus is another host as this one sees it.
+// HostStatus is another host as seen from this one.
 type HostStatus struct {
 	Host          identifier.HostID        `json:"host"`
 	FailureDomain identifier.FailureDomain `json:"failure-domain"`
@@ -43,14 +44,15 @@
 	ConfigVersion string                   `json:"config-version,omitempty"`
 }
 
-// CellStatus is a cell of the own failure domain.
+// CellStatus is the lead of a cell of the own failure domain.
 type CellStatus struct {
 	Cell  messenger.CellNumber `json:"cell"`
 	Lead  identifier.HostID    `json:"lead"`
 	Epoch identifier.Epoch     `json:"epoch"`
 }
 
-// Explain returns what this host still knows of its decisions on a submission.
+// Explain returns the decisions on a submission that this host still has. It returns nil before the
+// first Tick.
 func (coordinator *Coordinator) Explain(submission identifier.SubmissionID) []explainer.Step {
 	if coordinator.dispatcher == nil {
 		return nil
@@ -70,7 +72,7 @@
 		Callers:       coordinator.Self.Addresses.Callers,
 		Servers:       coordinator.dispatcher.Servers(),
 		Work:          coordinator.dispatcher.Work(),
-		Intents:       coordinator.driving.status(),
+		Intents:       coordinator.intentDriver.status(),
 		Teams:         coordinator.dispatcher.Teams(),
 	}
 	for _, state := range coordinator.gossiper.Members() {
