--- a/pkg/allocator/admission.go
+++ b/pkg/allocator/admission.go
@@ -8,25 +8,25 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// admit decides what becomes of a job that has just come: it gets room, waits, goes
-// to another lead, or is turned away. It answers bursts beyond the room and the loss
-// of a third of it: what can't be in time is told so before anything has started.
+// admit decides what happens to a new job: it gets capacity, waits, goes to another lead or is
+// rejected. This handles bursts beyond the capacity and the loss of a third of it: a job that
+// cannot be in time is rejected before anything of it has started.
 func (allocator *Allocator) admit(job *job) {
 	if allocator.adoptHeld(job) {
 		return
 	}
-	allocator.giveAgain(job)
+	allocator.repeatHandoffs(job)
 	if allocator.evacuated() {
 		allocator.admitEvacuated(job)
 		return
 	}
 	if reason, never := allocator.neverFits(job); never {
-		allocator.turnAway(job, messenger.ReasonNeverRunnable, reason, 0)
+		allocator.reject(job, messenger.ReasonNeverRunnable, reason, 0)
 		return
 	}
 	if job.request.Part {
 		job.granted = true
-		allocator.takeIn(job, 0)
+		allocator.placeOrQueue(job, 0)
 		return
 	}
 	tasks := make([]*task, 0, len(job.tasks))
@@ -35,25 +35,25 @@
 	}
 	plan := allocator.plan(job, tasks, false)
 	if !plan.inTime {
-		allocator.turnAway(job, messenger.ReasonDeadlineUnreachable, "the room is taken for longer than the job can wait", plan.wait)
+		allocator.reject(job, messenger.ReasonDeadlineUnreachable, "the room is taken for longer than the job can wait", plan.wait)
 		return
 	}
-	allocator.takeIn(job, plan.wait)
+	allocator.placeOrQueue(job, plan.wait)
 }
 
-// takeIn gives the tasks of a job room, or lets them wait.
-func (allocator *Allocator) takeIn(job *job, wait time.Duration) {
+// placeOrQueue grants the tasks of a job capacity or queues them.
+func (allocator *Allocator) placeOrQueue(job *job, wait time.Duration) {
 	for index := range job.tasks {
 		allocator.queueTask(job, &job.tasks[index])
 	}
 	allocator.placeJob(job)
-	allocator.shareOut(job)
+	allocator.handOffTasks(job)
 	switch {
 	case job.queued > 0:
-		allocator.wait(job, wait)
-	case job.held():
-		// Without a word its host would take this lead for silent and ask another cell, which knows
-		// nothing of the task.
+		allocator.notifyWaiting(job, wait)
+	case job.hasBlockedTask():
+		// Without an answer its host would assume that this lead is down and request from another
+		// cell, which knows nothing of the task.
 		allocator.answerJob(job, messenger.RoomAnswer{Job: job.request.Job, Kind: messenger.RoomAnswerWaiting})
 	case len(job.tasks) == 0:
 		job.closed = true
@@ -61,12 +61,12 @@
 	}
 }
 
-// wait tells the host that the job waits, and turns the job away when it can't be in
+// notifyWaiting notifies the host that the job waits, and has the job rejected when it cannot be in
 // time any more and nothing of it has started.
-func (allocator *Allocator) wait(job *job, predicted time.Duration) {
+func (allocator *Allocator) notifyWaiting(job *job, predicted time.Duration) {
 	allocator.answerJob(job, messenger.RoomAnswer{Job: job.request.Job, Kind: messenger.RoomAnswerWaiting})
-	allocator.decided(messenger.Decision{
-		Kind: messenger.DecisionWaits, Job: job.request.Job, Tasks: job.queued, Predicted: predicted, Spots: allocator.spots(),
+	allocator.logDecision(messenger.Decision{
+		Kind: messenger.DecisionWaits, Job: job.request.Job, Tasks: job.queued, Predicted: predicted, Spots: allocator.freeSlots(),
 	})
 	if !job.granted {
 		allocator.timers.Set(timerKey{kind: timerJobStart, job: job.request.Job}, job.startBy)
@@ -75,32 +75,31 @@
 
 func (allocator *Allocator) startOverdue(id identifier.JobID) {
 	if job := allocator.jobs.Get(id); job != nil && !job.granted && !job.closed {
-		allocator.turnAway(job, messenger.ReasonDeadlineUnreachable, "no room came free in time", allocator.usualWait())
+		allocator.reject(job, messenger.ReasonDeadlineUnreachable, "no room came free in time", allocator.usualWait())
 	}
 }
 
-// turnAway tells a host that its job gets no room; none of its runs was granted here.
-func (allocator *Allocator) turnAway(job *job, reason messenger.Reason, detail string, wait time.Duration) {
+// reject notifies a host that its job gets no capacity; none of its runs was granted here.
+func (allocator *Allocator) reject(job *job, reason messenger.Reason, detail string, wait time.Duration) {
 	allocator.answerJob(job, messenger.RoomAnswer{
 		Job: job.request.Job, Kind: messenger.RoomAnswerTurnedAway, Reason: reason, Detail: detail, RetryAfter: wait,
 	})
-	allocator.decided(messenger.Decision{
+	allocator.logDecision(messenger.Decision{
 		Kind: messenger.DecisionTurnedAway, Job: job.request.Job, Reason: detail, Tasks: len(job.tasks),
-		Elapsed: allocator.now.Sub(job.arrivedAt), Predicted: wait, Spots: allocator.spots(),
+		Elapsed: allocator.now.Sub(job.arrivedAt), Predicted: wait, Spots: allocator.freeSlots(),
 	})
 	allocator.unqueue(job)
 	job.closed = true
 	allocator.dropIfOver(job)
 }
 
-// announceTime is how long after the start of this process every living backend server
-// has announced itself here or to another host: two heartbeats of 1.5 s.
+// announceTime is how long after the start of this process every living backend server has reported
+// here or to another host: two heartbeats of 1.5 s.
 const announceTime = 3 * time.Second
 
-// neverFits tells whether some task of a job is larger than every server here. While
-// no server is known nothing is concluded, nor shortly after the start: with the first
-// few servers that were heard of, a caller would be told that its job can never run
-// which runs a second later.
+// neverFits reports whether some task of a job is larger than every server here, and why. It
+// concludes nothing while no server is known, nor shortly after the start: with only the first few
+// servers known, a caller would be told that its job can never run although it runs a second later.
 func (allocator *Allocator) neverFits(job *job) (string, bool) {
 	if !allocator.startedAt.Add(announceTime).Due(allocator.now) {
 		return "", false
@@ -109,11 +108,11 @@
 	for index := range job.tasks {
 		fits := false
 		allocator.servers.Each(func(_ identifier.ServerIncarnation, server *server) bool {
-			if server.retired || !server.announced() || server.card.Service != job.request.Service {
+			if server.retired || !server.hasReported() || server.report.Service != job.request.Service {
 				return true
 			}
 			known = true
-			fits = job.tasks[index].room.Needs.Fits(server.card.Capacity) && server.hasLabel(job.request.Label)
+			fits = job.tasks[index].requested.Needs.Fits(server.report.Capacity) && server.hasLabel(job.request.Label)
 			return !fits
 		})
 		if !fits && known {
@@ -123,8 +122,8 @@
 	return "", false
 }
 
-// adoptHeld takes over the runs that an earlier lead granted, and tells whether the
-// request named any. What is not there any more is placed again.
+// adoptHeld takes over the runs that an earlier lead granted, and reports whether the request named
+// any. Tasks whose run is not there any more are placed again.
 func (allocator *Allocator) adoptHeld(job *job) bool {
 	if len(job.request.Held) == 0 {
 		return false
@@ -142,18 +141,18 @@
 	return true
 }
 
-// adopt takes over a run that another lead granted. Whether it is over the server has to
-// tell, in answer to a call that is sent from now on under this lead's epoch, or the end of
-// every lease that another lead may have given up to now.
+// adopt takes over a run that another lead granted. Only two things prove that it is over: the
+// server's answer to a call that is sent from now on under this lead's epoch, or the end of every
+// lease that another lead may have granted up to now.
 //
-// What this host knew of the server before is no proof: another lead with a higher epoch may
-// have started the run there since. The task would run twice, and the log would show a run
-// adopted as "not listed" that ends well.
+// What this host knew of the server before is no proof: another lead with a higher epoch may have
+// started the run there since. The task would run twice, and the log would show a run that was
+// adopted as "not listed" and ends well.
 func (allocator *Allocator) adopt(job *job, held messenger.HeldRun) {
 	key := messenger.RunKey{Job: job.request.Job, Task: held.RoomTask.Task, Run: held.Run}
 	task := job.task(held.RoomTask.Task)
-	if end := allocator.strayEnds.Get(strayEnd{server: held.Server, run: key}); end != nil {
-		allocator.noteAdopted(key, held.Server, "ended: "+end.String())
+	if end := allocator.unmatchedEnds.Get(unmatchedEnd{server: held.Server, run: key}); end != nil {
+		allocator.logAdopted(key, held.Server, "ended: "+end.String())
 		if *end == EndDone {
 			task.done = true
 			allocator.emit(&TellDone{To: job.from, Done: messenger.TaskDone{RunKey: key}})
@@ -166,59 +165,59 @@
 	}
 	known := server.runs[key]
 	if known != nil {
-		allocator.noteAdopted(key, held.Server, "listed")
+		allocator.logAdopted(key, held.Server, "listed")
 		server.used = server.used.Sub(known.needs)
 	} else {
-		allocator.noteAdopted(key, held.Server, server.standing())
+		allocator.logAdopted(key, held.Server, server.knownState())
 		known = &run{key: key, server: held.Server, job: job, grantedAt: allocator.now, absentAfter: allocator.now}
 		server.runs[key] = known
-		allocator.coverOtherLeases(server)
+		allocator.assumeOtherLeases(server)
 	}
 	known.needs = held.RoomTask.Needs
-	allocator.claim(known, job)
-	known.expectIn(allocator.now, allocator.estimates.runTime(job.request.Queue, held.RoomTask.Declared))
+	allocator.assignRun(known, job)
+	known.setExpectedTime(allocator.now, allocator.estimates.expectedRunTime(job.request.Queue, held.RoomTask.Declared))
 	allocator.timers.Set(overdueTimer(known), allocator.now.Add(known.overdueAfter(slowAfter)))
 	server.used = server.used.Add(known.needs)
-	if task.account.Suspect() {
+	if task.account.IsSuspect() {
 		server.markSuspect(known)
 	}
 	task.run = known
-	allocator.hold(server)
+	allocator.poll(server)
 }
 
-// noteAdopted reports what was known of a run that another lead granted.
-func (allocator *Allocator) noteAdopted(key messenger.RunKey, server identifier.ServerIncarnation, knowledge string) {
-	allocator.decided(messenger.Decision{
+// logAdopted logs what was known of a run that another lead granted.
+func (allocator *Allocator) logAdopted(key messenger.RunKey, server identifier.ServerIncarnation, knowledge string) {
+	allocator.logDecision(messenger.Decision{
 		Kind: messenger.DecisionAdopted, Job: key.Job, Task: key.Task, Run: key.Run, Server: server, Reason: knowledge, Epoch: allocator.epoch,
 	})
 }
 
-// spots is how many tasks of the usual size could start now. Before the first task nobody knows
-// their size, and each server counts as room for one.
-func (allocator *Allocator) spots() int {
-	spots := 0
+// freeSlots is how many tasks of the usual size could start now. Before the first task their size
+// is unknown, and each server counts as one slot.
+func (allocator *Allocator) freeSlots() int {
+	freeSlots := 0
 	allocator.servers.Each(func(_ identifier.ServerIncarnation, server *server) bool {
 		if allocator.usable(server) {
-			spots += allocator.estimates.spotsIn(server.free())
+			freeSlots += allocator.estimates.slotsIn(server.free())
 		}
 		return true
 	})
-	return spots
+	return freeSlots
 }
 
-// expectedEnds lists when room is expected to come free, the earliest first. A run
-// that should have ended is expected to end after another tenth of its time: how much
-// longer it takes nobody knows.
+// expectedEnds lists when runs are expected to end and free their capacity, the earliest first. A
+// run that should have ended is expected to go on for another tenth of its expected time, as
+// nothing is known about how much longer it takes.
 func (allocator *Allocator) expectedEnds() []identifier.Moment {
 	var ends []identifier.Moment
 	allocator.servers.Each(func(_ identifier.ServerIncarnation, server *server) bool {
-		if server.retired || server.silent || server.card.Draining {
+		if server.retired || server.silent || server.report.Draining {
 			return true
 		}
 		for _, run := range server.runs {
 			end := run.expectedEnd
 			if end.Due(allocator.now) {
-				end = allocator.now.Add(run.expectedTime / overdueShare)
+				end = allocator.now.Add(run.expectedTime / overdueFraction)
 			}
 			ends = append(ends, end)
 		}
@@ -228,11 +227,12 @@
 	return ends
 }
 
-// overdueShare is the part of its time that an overdue run is thought to go on.
-const overdueShare = 10
+// overdueFraction divides the expected time of an overdue run into the part, a tenth, that it is
+// estimated to go on.
+const overdueFraction = 10
 
-// usualWait is when a job that was turned away is worth another try: half of what
-// runs should have ended by then.
+// usualWait is after how long a rejected job is worth a retry: half of the current runs should have
+// ended by then.
 func (allocator *Allocator) usualWait() time.Duration {
 	ends := allocator.expectedEnds()
 	if len(ends) == 0 {
@@ -241,6 +241,5 @@
 	return max(ends[len(ends)/2].Sub(allocator.now), minRetryAfter)
 }
 
-// minRetryAfter keeps callers from coming back within the burst that turned them
-// away.
+// minRetryAfter keeps callers from retrying within the burst in which they were rejected.
 const minRetryAfter = 250 * time.Millisecond
--- a/pkg/allocator/allocator.go
+++ b/pkg/allocator/allocator.go
@@ -1,10 +1,11 @@
-// Package allocator decides, on the host that leads a cell of a failure domain, which
-// backend server has room for which task of jobs that need not be remembered. It keeps the
-// ledger of granted room, lets jobs wait, turns them away, renews the leases of what
-// runs, and finds out which runs are surely over. The hosts that ask start the runs
-// themselves; the fence of each lead keeps two leads apart.
+// Package allocator decides, on the host that leads a cell of a failure domain, which backend
+// server has capacity for which task of the jobs that need not be remembered. It tracks the granted
+// capacity, queues jobs and rejects them, renews the leases of what runs, and determines which runs
+// have provably ended. The requesting hosts start the runs themselves; the fence of each lead keeps
+// two leads apart.
 //
-// It is pure: time and events come in through Tick, calls and messages go out.
+// The package is pure: time and events come in through Tick, calls and messages go out as its
+// outputs.
 package allocator
 
 import (
@@ -15,11 +16,11 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// Allocator is the lead's side of one cell of a failure domain. Set the exported fields
+// Allocator is the state of one cell of a failure domain on its lead. Set the exported fields
 // before the first Tick.
 type Allocator struct {
 	FailureDomain identifier.FailureDomain
-	// Cell is the part of the failure domain whose backend servers these are.
+	// Cell is the part of the failure domain that these backend servers belong to.
 	Cell     messenger.CellNumber
 	Settings Settings
 
@@ -28,54 +29,56 @@
 	startedAt identifier.Moment
 	// epoch is the fence of this lead; zero while another host leads.
 	epoch identifier.Epoch
-	// lives counts the fences above the epoch that lives of servers were given.
-	lives identifier.Epoch
-	// overtaken tells that a server has refused the epoch: another lead is or was at work. Until
-	// the next epoch nothing is granted and no lease renewed, as that lead waits for the leases of
-	// this one where it is not heard, and doesn't know of later ones.
-	overtaken bool
-	// othersFollow tells that no other host gives leases under an earlier epoch any more.
+	// fencesIssued counts the fences above the epoch that were issued to incarnations of servers.
+	fencesIssued identifier.Epoch
+	// superseded is set once a server has refused the epoch: another lead is or was at work. Until
+	// the next epoch nothing is granted and no lease is renewed: at servers that do not respond to
+	// it, that lead waits for the leases of this one to lapse, and it does not know of later
+	// leases.
+	superseded bool
+	// othersFollow is set while no other host grants leases under an earlier epoch.
 	othersFollow bool
-	// runsNamed tells that every living host has named its runs: nobody wants an orphan.
-	runsNamed bool
+	// runsReported is set once every living host has reported its runs: no host will request a run
+	// that is still unclaimed.
+	runsReported bool
 	// evacuations are the failure domains where nothing is started.
 	evacuations messenger.Evacuated
 	servers     *tabulator.Table[identifier.ServerIncarnation, server]
 	jobs        *tabulator.Table[identifier.JobID, job]
-	// waiting holds the jobs with tasks that have no room, in the order of placing.
+	// waiting holds the jobs with tasks that wait for capacity, in the order of placement.
 	waiting []*job
-	// waitingTasks counts their tasks without room.
+	// waitingTasks counts the queued tasks of these jobs.
 	waitingTasks int
 	// lastRuns remembers the highest run number of jobs that have ended.
 	lastRuns *tabulator.Table[identifier.JobID, identifier.RunNumber]
-	// shares remembers, for the same jobs, which other cells were asked for their tasks.
-	shares *tabulator.Table[identifier.JobID, []share]
+	// handoffs remembers, for the same jobs, which other cells their tasks were handed to.
+	handoffs *tabulator.Table[identifier.JobID, []handoff]
 	// accounts remembers, for the same jobs, the tasks under which servers have crashed.
 	accounts *tabulator.Table[identifier.JobID, map[messenger.TaskIndex]budgeter.Account]
 	crashes  budgeter.Crashes
-	// strayEnds are ends of runs that no job here asked for, kept for a job that is
-	// asked for again after a change of the lead.
-	strayEnds *tabulator.Table[strayEnd, EndKind]
-	// orphans counts the runs that no job here asked for.
-	orphans   int
-	estimates estimates
-	assessor  *assessor.Assessor
-	judged    []assessor.Input
-	remotes   *tabulator.Table[messenger.CellRef, remote]
-	told      messenger.RoomNotice
-	toldAt    identifier.Moment
-	timers    *tabulator.Timers[timerKey]
-	outputs   []Output
-	// changed tells that room may have come free since the waiting jobs were last
-	// tried, so that a full ledger is not searched for them at each tick.
-	changed bool
+	// unmatchedEnds are ends of runs that no job here has requested, kept for a job that is
+	// requested again after a change of the lead.
+	unmatchedEnds *tabulator.Table[unmatchedEnd, EndKind]
+	// unclaimedRuns counts the runs that no job here has requested.
+	unclaimedRuns int
+	estimates     estimates
+	assessor      *assessor.Assessor
+	healthInputs  []assessor.Input
+	remotes       *tabulator.Table[messenger.CellRef, remote]
+	lastNotice    messenger.RoomNotice
+	noticeSentAt  identifier.Moment
+	timers        *tabulator.Timers[timerKey]
+	outputs       []Output
+	// retryPlacement is set when capacity may have come free since the waiting jobs were last
+	// tried, so that a full cell is not searched for them at each tick.
+	retryPlacement bool
 }
 
-// timerKind tells what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind int
 
 const (
-	timerHold timerKind = iota
+	timerPoll timerKind = iota
 	timerServerLapse
 	timerServerForget
 	timerRunStop
@@ -83,12 +86,12 @@
 	timerJobDeadline
 	timerJobStart
 	timerJobForget
-	timerStrayForget
+	timerUnmatchedEndForget
 	timerNotice
 	timerReopen
 )
 
-// timerKey names one deadline.
+// timerKey identifies one timer.
 type timerKey struct {
 	kind   timerKind
 	server identifier.ServerIncarnation
@@ -96,24 +99,25 @@
 	run    messenger.RunKey
 }
 
-// Tick applies the inputs, lets deadlines fall due and returns what to do.
+// Tick applies the inputs, handles the timers that are due and returns the outputs to carry out.
 func (allocator *Allocator) Tick(now identifier.Moment, inputs []Input) []Output {
 	allocator.prepare(now)
 	for _, input := range inputs {
 		allocator.apply(input)
 	}
 	allocator.timers.EachDue(now, allocator.expire)
-	allocator.judge()
+	allocator.assessServers()
 	if allocator.epoch != 0 {
 		allocator.place()
-		allocator.tellNotice()
+		allocator.sendNotice()
 	}
 	outputs := allocator.outputs
 	allocator.outputs = nil
 	return outputs
 }
 
-// NextDeadline returns when Tick must run even without inputs.
+// NextDeadline returns when Tick must run even without inputs; identifier.Never before the first
+// Tick.
 func (allocator *Allocator) NextDeadline() identifier.Moment {
 	if allocator.timers == nil {
 		return identifier.Never
@@ -121,7 +125,7 @@
 	return identifier.Earlier(allocator.timers.Next(), allocator.assessor.NextDeadline())
 }
 
-// Leads tells whether this host leads its failure domain.
+// Leads reports whether this host leads the cell.
 func (allocator *Allocator) Leads() bool { return allocator.epoch != 0 }
 
 func (allocator *Allocator) prepare(now identifier.Moment) {
@@ -134,9 +138,9 @@
 	allocator.servers = tabulator.New[identifier.ServerIncarnation, server]()
 	allocator.jobs = tabulator.New[identifier.JobID, job]()
 	allocator.lastRuns = tabulator.New[identifier.JobID, identifier.RunNumber]()
-	allocator.shares = tabulator.New[identifier.JobID, []share]()
+	allocator.handoffs = tabulator.New[identifier.JobID, []handoff]()
 	allocator.accounts = tabulator.New[identifier.JobID, map[messenger.TaskIndex]budgeter.Account]()
-	allocator.strayEnds = tabulator.New[strayEnd, EndKind]()
+	allocator.unmatchedEnds = tabulator.New[unmatchedEnd, EndKind]()
 	allocator.remotes = tabulator.New[messenger.CellRef, remote]()
 	allocator.estimates = newEstimates()
 	allocator.assessor = &assessor.Assessor{Settings: allocator.Settings.Health}
@@ -145,46 +149,46 @@
 func (allocator *Allocator) apply(input Input) {
 	switch input := input.(type) {
 	case *LeadTaken:
-		allocator.takeLead(input.Epoch)
+		allocator.handleLeadTaken(input.Epoch)
 	case *LeadLost:
-		allocator.loseLead()
+		allocator.handleLeadLost()
 	case *OthersFollow:
-		allocator.takeFollowing(input.Following)
+		allocator.handleOthersFollow(input.Following)
 	case *RunsNamed:
-		allocator.stopOrphans()
+		allocator.handleRunsReported()
 	case *EvacuationsKnown:
-		allocator.takeEvacuations(input)
+		allocator.handleEvacuations(input)
 	case *CardArrived:
-		allocator.takeCard(&input.Card)
+		allocator.handleReport(&input.Card)
 	case *CardRecalled:
-		allocator.recallCard(&input.Card)
+		allocator.recallReport(&input.Card)
 	case *RoomRequested:
-		allocator.request(input)
+		allocator.handleRequest(input)
 	case *JobGoesElsewhere:
-		allocator.noteShare(input)
+		allocator.recordHandoff(input)
 	case *RoomReleased:
-		allocator.release(input.From, input.Job)
+		allocator.handleRelease(input.From, input.Job)
 	case *StartReported:
-		allocator.takeStartReport(input)
+		allocator.handleStartReport(input)
 	case *HoldReturned:
-		allocator.takeHold(input)
+		allocator.handlePoll(input)
 	case *StopReturned:
-		allocator.takeStop(input)
+		allocator.handleStopAnswer(input)
 	case *HostGone:
-		allocator.loseHost(input.Host)
+		allocator.handleHostGone(input.Host)
 	case *RemoteLeadKnown:
-		allocator.learnRemoteLead(input)
+		allocator.handleRemoteLead(input)
 	case *NoticeArrived:
-		allocator.takeNotice(&input.Notice)
+		allocator.handleNotice(&input.Notice)
 	}
 }
 
 func (allocator *Allocator) expire(key timerKey) {
 	switch key.kind {
-	case timerHold:
-		allocator.holdDue(key.server)
+	case timerPoll:
+		allocator.pollDue(key.server)
 	case timerServerLapse:
-		allocator.lapse(key.server)
+		allocator.endLapsedRuns(key.server)
 	case timerServerForget:
 		allocator.forgetServer(key.server)
 	case timerRunStop:
@@ -197,48 +201,48 @@
 		allocator.startOverdue(key.job)
 	case timerJobForget:
 		allocator.lastRuns.Remove(key.job)
-		allocator.shares.Remove(key.job)
+		allocator.handoffs.Remove(key.job)
 		allocator.accounts.Remove(key.job)
-	case timerStrayForget:
-		allocator.strayEnds.Remove(strayEnd{server: key.server, run: key.run})
+	case timerUnmatchedEndForget:
+		allocator.unmatchedEnds.Remove(unmatchedEnd{server: key.server, run: key.run})
 	case timerNotice, timerReopen:
-		allocator.changed = true
+		allocator.retryPlacement = true
 	}
 }
 
-// takeLead begins under a new epoch: every known backend server is asked what runs
-// there before it gets anything.
-func (allocator *Allocator) takeLead(epoch identifier.Epoch) {
-	allocator.dropLedger()
+// handleLeadTaken begins under a new epoch: every known backend server is asked what runs there
+// before it gets a start.
+func (allocator *Allocator) handleLeadTaken(epoch identifier.Epoch) {
+	allocator.dropState()
 	allocator.epoch = epoch
-	allocator.lives = 0
+	allocator.fencesIssued = 0
 	allocator.servers.Each(func(_ identifier.ServerIncarnation, server *server) bool {
 		allocator.raiseFence(server)
 		server.oldLeasesEnd = allocator.oldLeasesEnd(server)
 		if !server.retired {
-			allocator.awaitForget(server)
+			allocator.scheduleForget(server)
 		}
-		allocator.hold(server)
+		allocator.poll(server)
 		return true
 	})
 }
 
-// loseLead forgets what only a lead may decide on. The hosts that asked turn to the
-// next lead.
-func (allocator *Allocator) loseLead() {
-	allocator.dropLedger()
+// handleLeadLost drops the state that only a lead may act on. The requesting hosts turn to the next
+// lead.
+func (allocator *Allocator) handleLeadLost() {
+	allocator.dropState()
 	allocator.epoch = 0
 }
 
-func (allocator *Allocator) dropLedger() {
+func (allocator *Allocator) dropState() {
 	allocator.waiting = nil
 	allocator.waitingTasks = 0
 	for _, id := range allocator.jobs.Keys() {
 		allocator.clearJobTimers(id)
 		allocator.jobs.Remove(id)
 	}
-	for _, key := range allocator.strayEnds.Keys() {
-		allocator.strayEnds.Remove(key)
+	for _, key := range allocator.unmatchedEnds.Keys() {
+		allocator.unmatchedEnds.Remove(key)
 	}
 	allocator.servers.Each(func(_ identifier.ServerIncarnation, server *server) bool {
 		for _, run := range server.runs {
@@ -246,20 +250,20 @@
 			allocator.timers.Clear(overdueTimer(run))
 		}
 		server.reset()
-		allocator.stopCalling(server.card.Server)
+		allocator.stopCalling(server.report.Server)
 		return true
 	})
-	allocator.orphans = 0
-	allocator.overtaken = false
+	allocator.unclaimedRuns = 0
+	allocator.superseded = false
 	allocator.othersFollow = false
-	allocator.runsNamed = false
+	allocator.runsReported = false
 }
 
 func (allocator *Allocator) emit(output Output) {
 	allocator.outputs = append(allocator.outputs, output)
 }
 
-// decided reports a decision for the log.
-func (allocator *Allocator) decided(decision messenger.Decision) {
+// logDecision emits a decision for the log.
+func (allocator *Allocator) logDecision(decision messenger.Decision) {
 	allocator.emit(&Decided{Decision: decision})
 }
--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -14,13 +14,14 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// TestScenarios plays the files of testdata/scenarios. Each command is one tick at the time
-// of its argument at; what comes out is printed, a line each.
-func TestScenarios(t *testing.T) { playScenarios(t, "testdata/scenarios") }
+// TestScenarios runs the files of testdata/scenarios. Each command is one tick at the time of its
+// argument at; the outputs are printed, one per line.
+func TestScenarios(t *testing.T) { runScenarios(t, "testdata/scenarios") }
 
-// A task ran twice at the same time, both runs started by the host of its caller. Its lead had
-// taken the first run for over while it was at work: a host that had stood still told of a
-// backend server whose life had ended, and that life counted as the newer one at the address:
+// TestRunIsOverOnlyOnProof guards against runs that are taken for over while they go on, so that
+// their task runs twice at the same time. Both runs were started by the host of the caller. A host
+// that had been frozen reported a backend server whose incarnation had ended, and that incarnation
+// counted as the newer one at the address:
 //
 //	10.5139 server-gone server=i-66fa90cc38 reason=replaced tasks=1
 //	10.5139 run-over task=1 run=2 server=i-66fa90cc38 reason="server gone" elapsed=65.851454ms
@@ -28,12 +29,12 @@
 //	10.5179 server-gone server=i-f5abbe04a8 reason="another incarnation answers"
 //	10.756  run 2 ended well
 //
-// The files tell this and the other ways in which a run was taken for over by something that is
-// no proof of it: a list from before another lead's time, leases that ended before the run began,
-// an announced leave, the end of another run with the same number.
-func TestRunIsOverOnlyOnProof(t *testing.T) { playScenarios(t, "testdata/over") }
+// The files cover this and the other events that are no proof of an end: a list from before another
+// lead's time, leases that ended before the run began, an announced leave, the end of another run
+// with the same number.
+func TestRunIsOverOnlyOnProof(t *testing.T) { runScenarios(t, "testdata/over") }
 
-func playScenarios(t *testing.T, folder string) {
+func runScenarios(t *testing.T, folder string) {
 	datadriven.Walk(t, folder, func(t *testing.T, path string) {
 		scenario := &scenario{allocator: &allocator.Allocator{
 			FailureDomain: "leuven", Settings: allocator.DefaultSettings(),
@@ -45,15 +46,15 @@
 // geel is the cell of the other failure domain.
 var geel = messenger.CellRef{FailureDomain: "geel"}
 
-// scenario is one allocator whose surroundings a test file plays.
+// scenario is one allocator whose environment is simulated by a test file.
 type scenario struct {
 	allocator *allocator.Allocator
 	now       identifier.Moment
-	// epoch is that under which the allocator leads, and calls were made.
+	// epoch is the one under which the allocator leads and makes its calls.
 	epoch identifier.Epoch
-	// fences are those of the runs that were granted.
+	// fences holds the fence of each granted run.
 	fences map[messenger.RunKey]identifier.Epoch
-	// lastSequence is that of the last call to each server.
+	// lastSequence holds the number of the last call to each server.
 	lastSequence map[identifier.ServerIncarnation]uint64
 }
 
@@ -80,26 +81,26 @@
 	case "lead-lost":
 		inputs = append(inputs, &allocator.LeadLost{})
 	case "card":
-		inputs = append(inputs, &allocator.CardArrived{Card: scanCard(t, data)})
+		inputs = append(inputs, &allocator.CardArrived{Card: scanReport(t, data)})
 	case "recall":
-		inputs = append(inputs, &allocator.CardRecalled{Card: scanCard(t, data)})
+		inputs = append(inputs, &allocator.CardRecalled{Card: scanReport(t, data)})
 	case "request":
 		inputs = append(inputs, &allocator.RoomRequested{From: "host-b", Request: scanRequest(t, data)})
 	case "release":
 		inputs = append(inputs, &allocator.RoomReleased{From: "host-b", Job: identifier.JobID(scanString(t, data, "job"))})
 	case "report":
-		inputs = append(inputs, scenario.scanReport(t, data))
+		inputs = append(inputs, scenario.scanStartReport(t, data))
 	case "hold":
-		inputs = append(inputs, scenario.scanHold(t, data))
+		inputs = append(inputs, scenario.scanPoll(t, data))
 	case "stopped":
 		inputs = append(inputs, scenario.scanStopped(t, data))
 	case "host-gone":
 		inputs = append(inputs, &allocator.HostGone{Host: "host-b"})
 	case "remote":
 		inputs = append(inputs, &allocator.RemoteLeadKnown{Cell: geel, Host: "host-g"})
-		var spots int
-		data.ScanArgs(t, "spots", &spots)
-		inputs = append(inputs, &allocator.NoticeArrived{Notice: messenger.RoomNotice{From: geel, Spots: spots}})
+		var freeSlots int
+		data.ScanArgs(t, "spots", &freeSlots)
+		inputs = append(inputs, &allocator.NoticeArrived{Notice: messenger.RoomNotice{From: geel, Spots: freeSlots}})
 	case "evacuate":
 		inputs = append(inputs, &allocator.EvacuationsKnown{Evacuated: domainsNamed(scanStrings(t, data, "domains"))})
 	case "wait":
@@ -110,7 +111,7 @@
 	return scenario.show(scenario.allocator.Tick(scenario.now, inputs))
 }
 
-// wait lets deadlines fall due up to the present moment, each at its time.
+// wait fires all deadlines up to the present time, each at its own time.
 func (scenario *scenario) wait() string {
 	var lines strings.Builder
 	until := scenario.now
@@ -177,28 +178,28 @@
 	return duration, true
 }
 
-func scanCard(t *testing.T, data *datadriven.TestData) messenger.ServerCard {
-	card := messenger.ServerCard{
+func scanReport(t *testing.T, data *datadriven.TestData) messenger.ServerCard {
+	report := messenger.ServerCard{
 		Server: scanServer(t, data, "server"), Service: "desk", FailureDomain: "leuven", Sequence: 1,
 	}
-	card.Address = scanString(t, data, "address")
-	if card.Address == "" {
-		card.Address = "address of " + string(card.Server.Server())
+	report.Address = scanString(t, data, "address")
+	if report.Address == "" {
+		report.Address = "address of " + string(report.Server.Server())
 	}
 	cpu := 32000
 	data.MaybeScanArgs(t, "cpu", &cpu)
-	data.MaybeScanArgs(t, "sequence", &card.Sequence)
-	card.Capacity = identifier.Resources{MilliCPU: identifier.MilliCPU(cpu), Memory: 64 << 30}
+	data.MaybeScanArgs(t, "sequence", &report.Sequence)
+	report.Capacity = identifier.Resources{MilliCPU: identifier.MilliCPU(cpu), Memory: 64 << 30}
 	if rack := scanString(t, data, "rack"); rack != "" {
-		card.Labels = []string{rack}
+		report.Labels = []string{rack}
 	}
-	card.Draining = data.HasArg("draining")
-	card.Gone = data.HasArg("gone")
-	return card
+	report.Draining = data.HasArg("draining")
+	report.Gone = data.HasArg("gone")
+	return report
 }
 
-// scanRequest reads a request for tasks=N of 14 cores and ms=N each, with the runs that
-// the job still has as held=TASK/RUN@SERVER, at held-address or an address of their own.
+// scanRequest reads a request for tasks=N of 14 cores and ms=N each, with the runs that the job
+// still has as held=TASK/RUN@SERVER, at held-address or an address of their own.
 func scanRequest(t *testing.T, data *datadriven.TestData) messenger.RoomRequest {
 	request := messenger.RoomRequest{
 		Job: identifier.JobID(scanString(t, data, "job")), Service: "desk", Queue: "quick", Attempts: 2, Stretch: 1.6,
@@ -209,19 +210,19 @@
 	data.MaybeScanArgs(t, "tasks", &tasks)
 	data.MaybeScanArgs(t, "ms", &milliseconds)
 	data.MaybeScanArgs(t, "cpu", &cpu)
-	room := messenger.RoomTask{
+	task := messenger.RoomTask{
 		Needs:    identifier.Resources{MilliCPU: identifier.MilliCPU(cpu), Memory: 64 << 20},
 		Declared: time.Duration(milliseconds) * time.Millisecond,
 	}
 	for index := range tasks {
-		room.Task = messenger.TaskIndex(index)
-		request.Tasks = append(request.Tasks, room)
+		task.Task = messenger.TaskIndex(index)
+		request.Tasks = append(request.Tasks, task)
 	}
 	for _, text := range scanStrings(t, data, "held") {
 		key, server := scanRun(t, string(request.Job)+"/"+text)
-		room.Task = key.Task
+		task.Task = key.Task
 		address := cmp.Or(scanString(t, data, "held-address"), "address of "+string(server.Server()))
-		request.Held = append(request.Held, messenger.HeldRun{RoomTask: room, Run: key.Run, Server: server, Address: address})
+		request.Held = append(request.Held, messenger.HeldRun{RoomTask: task, Run: key.Run, Server: server, Address: address})
 	}
 	return request
 }
@@ -256,7 +257,7 @@
 	return incarnationOf(t, scanString(t, data, key))
 }
 
-// incarnationOf reads SERVER, or SERVER:BORN where the server tells when its life began.
+// incarnationOf reads SERVER, or SERVER:BORN for a server that reports when its incarnation began.
 func incarnationOf(t *testing.T, text string) identifier.ServerIncarnation {
 	server, text, dated := strings.Cut(text, ":")
 	if !dated {
@@ -269,7 +270,7 @@
 	return identifier.NewServerIncarnation(identifier.BackendServerID(server), born)
 }
 
-func (scenario *scenario) scanReport(t *testing.T, data *datadriven.TestData) *allocator.StartReported {
+func (scenario *scenario) scanStartReport(t *testing.T, data *datadriven.TestData) *allocator.StartReported {
 	key, server := scanRun(t, scanString(t, data, "run"))
 	outcome, err := messenger.StartOutcomeString(scanString(t, data, "outcome"))
 	if err != nil {
@@ -283,9 +284,9 @@
 	}}
 }
 
-// scanHold reads the answer to a call: running=(RUN,...), ended=(NUMBER:KIND:RUN,...), and
-// partial where some rows could not be read.
-func (scenario *scenario) scanHold(t *testing.T, data *datadriven.TestData) *allocator.HoldReturned {
+// scanPoll reads the answer to a poll: running=(RUN,...), ended=(NUMBER:KIND:RUN,...), and partial
+// if some rows could not be read.
+func (scenario *scenario) scanPoll(t *testing.T, data *datadriven.TestData) *allocator.HoldReturned {
 	returned := &allocator.HoldReturned{
 		Server: scanServer(t, data, "server"), SentAt: scenario.now - identifier.Moment(time.Millisecond),
 		Clock: identifier.ServerTime(time.Duration(scenario.now).Milliseconds()),
--- a/pkg/allocator/closing.go
+++ b/pkg/allocator/closing.go
@@ -7,8 +7,8 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// release ends a job that its host no longer wants.
-func (allocator *Allocator) release(from identifier.HostID, id identifier.JobID) {
+// handleRelease ends a job that its host no longer wants.
+func (allocator *Allocator) handleRelease(from identifier.HostID, id identifier.JobID) {
 	job := allocator.jobs.Get(id)
 	if job == nil {
 		return
@@ -19,17 +19,17 @@
 	}
 }
 
-// dropSuccessor forgets a request that waits for the end of an earlier sending, once its host
-// wants nothing more. Granted all the same, its runs would be started by nobody and granted anew
-// each time that their leases have lapsed.
+// dropSuccessor drops a request that waits for the end of an earlier submission, once its host
+// releases the job. If it were still granted, nobody would start its runs, and they would be
+// granted anew each time their leases have lapsed.
 func (job *job) dropSuccessor(from identifier.HostID) {
 	if job.successor != nil && job.successor.From == from {
 		job.successor = nil
 	}
 }
 
-// loseHost ends the jobs of a host that is gone: nobody waits for them.
-func (allocator *Allocator) loseHost(host identifier.HostID) {
+// handleHostGone ends the jobs of a host that is gone: nobody waits for them.
+func (allocator *Allocator) handleHostGone(host identifier.HostID) {
 	for _, id := range allocator.jobs.Keys() {
 		job := allocator.jobs.Get(id)
 		if job == nil {
@@ -42,7 +42,7 @@
 	}
 }
 
-// failJob ends a job that can't be completed.
+// failJob notifies the host that its job cannot be completed, and closes the job.
 func (allocator *Allocator) failJob(job *job, reason messenger.Reason, detail string) {
 	allocator.answerJob(job, messenger.RoomAnswer{
 		Job: job.request.Job, Kind: messenger.RoomAnswerFailed, Reason: reason, Detail: detail,
@@ -56,7 +56,7 @@
 	}
 }
 
-// close wants no more room for a job and has stopped what runs.
+// close requests no more capacity for a job and stops its runs.
 func (allocator *Allocator) close(job *job, reason string) {
 	allocator.unqueue(job)
 	if !job.closed {
@@ -70,7 +70,7 @@
 	allocator.dropIfOver(job)
 }
 
-// closeIfDone drops a job whose tasks are all done.
+// closeIfDone closes a job whose tasks are all done.
 func (allocator *Allocator) closeIfDone(job *job) {
 	if job.allDone() {
 		job.closed = true
@@ -82,7 +82,7 @@
 	return !slices.ContainsFunc(job.tasks, func(task task) bool { return !task.done })
 }
 
-// dropIfOver forgets a closed job without runs, and goes on with its resend.
+// dropIfOver forgets a closed job that has no runs left, and continues with its resubmission.
 func (allocator *Allocator) dropIfOver(job *job) {
 	if !job.closed || job.liveRuns() > 0 || allocator.jobs.Get(job.request.Job) != job {
 		return
@@ -93,13 +93,13 @@
 	last := job.lastRun
 	allocator.lastRuns.Put(id, &last)
 	allocator.keepAccounts(job)
-	if len(job.given) > 0 {
-		allocator.shares.Put(id, &job.given)
+	if len(job.handoffs) > 0 {
+		allocator.handoffs.Put(id, &job.handoffs)
 	}
 	allocator.timers.Set(timerKey{kind: timerJobForget, job: id}, allocator.now.Add(allocator.Settings.ForgetJob))
 	if next := job.successor; next != nil {
 		job.successor = nil
-		allocator.request(next)
+		allocator.handleRequest(next)
 	}
 }
 
--- a/pkg/allocator/crashes_test.go
+++ b/pkg/allocator/crashes_test.go
@@ -9,17 +9,17 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// crashing is what tasks do that crash their servers.
+// crashing configures and counts crashes of servers, by tasks that crash them or by themselves.
 type crashing struct {
-	// share of the jobs have such a task.
+	// share is the fraction of the jobs that have such a task.
 	share float64
-	// alone has servers crash by themselves, so many a second.
-	alone float64
+	// crashesPerSecond is how many servers crash by themselves each second.
+	crashesPerSecond float64
 	// starts counts the starts of each such task.
 	starts map[identifier.JobID]int
-	// down counts the servers that are down, most the most at once.
-	down, most int
-	// guilty and innocent count the jobs that ended as failed.
+	// down counts the servers that are down, mostDown the most at once.
+	down, mostDown int
+	// guilty and innocent count the jobs that failed, with and without such a task.
 	guilty, innocent int
 }
 
@@ -31,7 +31,7 @@
 	}
 }
 
-// mostStarts is how often the task was started that was started most.
+// mostStarts returns the highest number of starts of a single task.
 func (crashing *crashing) mostStarts() int {
 	most := 0
 	for _, starts := range crashing.starts {
@@ -43,14 +43,14 @@
 const (
 	// crashDelay is how long after its start a task crashes its server.
 	crashDelay = 5 * time.Millisecond
-	// crashingServers is of how many one crashes by itself.
+	// crashingServers is the number of servers among which single ones crash by themselves.
 	crashingServers = 48
 	// downTime is how long a server is down.
 	downTime = 3 * time.Second
 )
 
-// startCrashing starts a task that crashes its server.
-func (load *load) startCrashing(server *loadServer, key messenger.RunKey) {
+// startCrashingTask starts a task that crashes its server.
+func (load *load) startCrashingTask(server *loadServer, key messenger.RunKey) {
 	if load.crashing.starts == nil {
 		load.crashing.starts = make(map[identifier.JobID]int)
 	}
@@ -58,7 +58,7 @@
 	load.at(server.lead, crashDelay, func() []allocator.Input { return load.crash(server) })
 }
 
-// crash ends a life of a server with all that runs there. Another one follows at its address.
+// crash ends an incarnation of a server with all its runs. Another one follows at its address.
 func (load *load) crash(server *loadServer) []allocator.Input {
 	if server.down {
 		return nil
@@ -66,30 +66,30 @@
 	server.down = true
 	clear(server.running)
 	load.crashing.down++
-	load.crashing.most = max(load.crashing.most, load.crashing.down)
+	load.crashing.mostDown = max(load.crashing.mostDown, load.crashing.down)
 	load.at(server.lead, downTime, func() []allocator.Input {
 		load.crashing.down--
-		reborn := &loadServer{lead: server.lead, index: server.index, running: make(map[messenger.RunKey]bool), card: server.card}
+		reborn := &loadServer{lead: server.lead, index: server.index, running: make(map[messenger.RunKey]bool), report: server.report}
 		reborn.id = server.id + "+"
-		reborn.card.Server = reborn.id
+		reborn.report.Server = reborn.id
 		load.servers[reborn.id] = reborn
-		return []allocator.Input{&allocator.CardArrived{Card: reborn.card}}
+		return []allocator.Input{&allocator.CardArrived{Card: reborn.report}}
 	})
-	if server.waiting == nil {
+	if server.pendingPoll == nil {
 		return nil
 	}
-	waiting := server.waiting
-	server.waiting = nil
-	return []allocator.Input{unansweredHold(waiting)}
+	waiting := server.pendingPoll
+	server.pendingPoll = nil
+	return []allocator.Input{unansweredPoll(waiting)}
 }
 
-func unansweredHold(call *allocator.HoldServer) *allocator.HoldReturned {
+func unansweredPoll(call *allocator.HoldServer) *allocator.HoldReturned {
 	return &allocator.HoldReturned{Server: call.Server, Sequence: call.Sequence, Outcome: allocator.CallUnanswered}
 }
 
-// crashAlone has servers crash by themselves.
-func (load *load) crashAlone(length time.Duration) {
-	for at := time.Duration(0); at < length; at += time.Duration(float64(time.Second) / load.crashing.alone) {
+// crashAtRandom has random servers crash by themselves.
+func (load *load) crashAtRandom(length time.Duration) {
+	for at := time.Duration(0); at < length; at += time.Duration(float64(time.Second) / load.crashing.crashesPerSecond) {
 		load.at(0, at, func() []allocator.Input {
 			chosen := load.random.IntN(crashingServers)
 			for _, server := range load.servers {
@@ -102,10 +102,11 @@
 	}
 }
 
-// TestTaskThatCrashesItsServersAmongOthers. Symptom: one job in a hundred takes a failure domain down
-// within seconds, and its neighbours with it. Sequence: a task crashes the server that starts it; the
-// server is back after 3 s; the task is started on the next one, as often as its caller's time allows.
-// Cause: only runs that ended badly counted against a task, not the servers that crashed under it.
+// TestTaskThatCrashesItsServersAmongOthers guards against one job in a hundred that takes a failure
+// domain down within seconds, and the other jobs with it: a task crashes the server that starts it,
+// the server is back after 3 s, and the task is started on the next server, as often as its
+// caller's time allows. This happens if only unsuccessful runs count against a task, and not the
+// servers that crashed under it.
 func TestTaskThatCrashesItsServersAmongOthers(t *testing.T) {
 	const perJob = 0.244*8*0.06 + 0.044*4*0.9 + 0.712*2*0.2
 	for _, want := range []struct {
@@ -116,10 +117,10 @@
 	} {
 		load := newLoad(want.servers)
 		load.crashing.share = want.share
-		load.play(0.6*float64(want.servers)*2.25/perJob, 30*time.Second)
+		load.simulate(0.6*float64(want.servers)*2.25/perJob, 30*time.Second)
 		crashing := &load.crashing
-		t.Logf("%d servers, %.3f of the jobs: worth of the others %.3f, most servers down %d, most starts %d, failed %d and %d of the others",
-			want.servers, want.share, load.worth(), crashing.most, crashing.mostStarts(), crashing.guilty, crashing.innocent)
+		t.Logf("%d servers, %.3f of the jobs: value of the others %.3f, most servers down %d, most starts %d, failed %d and %d of the others",
+			want.servers, want.share, load.value(), crashing.mostDown, crashing.mostStarts(), crashing.guilty, crashing.innocent)
 		if starts := crashing.mostStarts(); starts > 3 {
 			t.Errorf("%.3f of the jobs: a task was started %d times, although it crashed each server", want.share, starts)
 		}
@@ -130,16 +131,15 @@
 	}
 }
 
-// TestServersThatCrashByThemselves. Symptom guarded against: jobs end as failed because servers crash
-// that they happened to run on. Sequence: of 48 servers one a second crashes by itself, and is back
-// after 3 s.
+// TestServersThatCrashByThemselves guards against jobs that fail because the servers that they
+// happened to run on crashed: of 48 servers one a second crashes by itself, and is back after 3 s.
 func TestServersThatCrashByThemselves(t *testing.T) {
 	const perJob = 0.244*8*0.06 + 0.044*4*0.9 + 0.712*2*0.2
 	load := newLoad(crashingServers)
-	load.crashing.alone = 1
-	load.crashAlone(30 * time.Second)
-	load.play(0.6*crashingServers*2.25/perJob, 30*time.Second)
-	t.Logf("worth %.3f, most down %d, %d of %d jobs failed", load.worth(), load.crashing.most, load.crashing.innocent, load.jobs)
+	load.crashing.crashesPerSecond = 1
+	load.crashAtRandom(30 * time.Second)
+	load.simulate(0.6*crashingServers*2.25/perJob, 30*time.Second)
+	t.Logf("value %.3f, most down %d, %d of %d jobs failed", load.value(), load.crashing.mostDown, load.crashing.innocent, load.jobs)
 	if load.crashing.innocent > 0 {
 		t.Errorf("%d jobs failed", load.crashing.innocent)
 	}
--- a/pkg/allocator/estimates.go
+++ b/pkg/allocator/estimates.go
@@ -8,77 +8,77 @@
 )
 
 const (
-	// outcomeWeight weighs a new run time against those before: about the last two
+	// outcomeWeight is the weight of a new run time against the previous ones: about the last two
 	// hundred of a queue count.
 	outcomeWeight = 0.005
-	// outcomesTrusted is how many run times a queue must have shown before its line is
-	// used; before, declared times are taken as they are.
-	outcomesTrusted = 30
-	// needsWeight weighs the size of a new task: about the last hundred count.
+	// minOutcomes is how many run times a queue must have shown before its regression is used;
+	// before that, declared times are used as they are.
+	minOutcomes = 30
+	// needsWeight is the weight of the size of a new task: about the last hundred count.
 	needsWeight = 0.01
-	// unknownRunTime stands in before anything was declared or observed.
+	// unknownRunTime is the estimate for a task without a declared time.
 	unknownRunTime = 200 * time.Millisecond
 )
 
-// estimates learn how long tasks run and how large they are.
+// estimates predict the run times and the sizes of tasks from those seen before.
 type estimates struct {
-	queues map[identifier.QueueName]*line
-	// milliCPU and memory are the decayed means of what tasks need.
+	queues map[identifier.QueueName]*regression
+	// milliCPU and memory are the exponentially weighted means of the tasks' needs.
 	milliCPU, memory float64
 }
 
-// line is the straight line through the logarithms of declared and observed run times
-// of one queue, of decayed weight. Declared times are off by two fifths and the tasks of
-// a queue are alike, so that the best guess lies between what is declared and what is
-// usual; how far between, the data tell.
-type line struct {
-	outcomes           int
-	declared, observed float64
-	variance, shared   float64
+// regression is a linear regression of the logarithms of observed on declared run times of one
+// queue, with exponentially decaying weights. Declared times are off by two fifths and the tasks of
+// a queue are alike, so the best estimate lies between the declared time and the usual time; the
+// data determine how far between.
+type regression struct {
+	outcomes                   int
+	meanDeclared, meanObserved float64
+	variance, covariance       float64
 }
 
 func newEstimates() estimates {
-	return estimates{queues: make(map[identifier.QueueName]*line)}
+	return estimates{queues: make(map[identifier.QueueName]*regression)}
 }
 
-// learn takes the run time of one task.
-func (estimates *estimates) learn(queue identifier.QueueName, declared, observed time.Duration) {
+// recordRunTime adds the run time of one task to the regression of its queue.
+func (estimates *estimates) recordRunTime(queue identifier.QueueName, declared, observed time.Duration) {
 	if declared <= 0 || observed <= 0 {
 		return
 	}
 	known := estimates.queues[queue]
 	if known == nil {
-		known = &line{}
+		known = &regression{}
 		estimates.queues[queue] = known
 	}
 	known.add(math.Log(float64(declared)), math.Log(float64(observed)))
 }
 
-func (line *line) add(declared, observed float64) {
-	line.outcomes++
-	weight := max(outcomeWeight, 1/float64(line.outcomes))
-	offset := declared - line.declared
-	line.declared += weight * offset
-	line.observed += weight * (observed - line.observed)
-	line.variance = (1 - weight) * (line.variance + weight*offset*offset)
-	line.shared = (1 - weight) * (line.shared + weight*offset*(observed-line.observed))
+func (regression *regression) add(declared, observed float64) {
+	regression.outcomes++
+	weight := max(outcomeWeight, 1/float64(regression.outcomes))
+	offset := declared - regression.meanDeclared
+	regression.meanDeclared += weight * offset
+	regression.meanObserved += weight * (observed - regression.meanObserved)
+	regression.variance = (1 - weight) * (regression.variance + weight*offset*offset)
+	regression.covariance = (1 - weight) * (regression.covariance + weight*offset*(observed-regression.meanObserved))
 }
 
-// runTime is how long a task is thought to run.
-func (estimates *estimates) runTime(queue identifier.QueueName, declared time.Duration) time.Duration {
+// expectedRunTime is how long a task is estimated to run.
+func (estimates *estimates) expectedRunTime(queue identifier.QueueName, declared time.Duration) time.Duration {
 	if declared <= 0 {
 		return unknownRunTime
 	}
 	known := estimates.queues[queue]
-	if known == nil || known.outcomes < outcomesTrusted || known.variance == 0 {
+	if known == nil || known.outcomes < minOutcomes || known.variance == 0 {
 		return declared
 	}
-	slope := min(max(known.shared/known.variance, 0), 1)
-	return time.Duration(math.Exp(known.observed + slope*(math.Log(float64(declared))-known.declared)))
+	slope := min(max(known.covariance/known.variance, 0), 1)
+	return time.Duration(math.Exp(known.meanObserved + slope*(math.Log(float64(declared))-known.meanDeclared)))
 }
 
-// noteNeeds takes the size of a task.
-func (estimates *estimates) noteNeeds(needs identifier.Resources) {
+// recordNeeds adds the size of a task to the means.
+func (estimates *estimates) recordNeeds(needs identifier.Resources) {
 	if estimates.milliCPU == 0 {
 		estimates.milliCPU, estimates.memory = float64(needs.MilliCPU), float64(needs.Memory)
 		return
@@ -87,16 +87,17 @@
 	estimates.memory += (float64(needs.Memory) - estimates.memory) * needsWeight
 }
 
-// usualNeeds is the size of a usual task.
+// usualNeeds is the mean size of a task; zero before the first one.
 func (estimates *estimates) usualNeeds() identifier.Resources {
 	return identifier.Resources{MilliCPU: identifier.MilliCPU(estimates.milliCPU), Memory: identifier.Bytes(estimates.memory)}
 }
 
-// spotsIn is how many tasks of the usual size room is for.
-func (estimates *estimates) spotsIn(room identifier.Resources) int {
+// slotsIn is how many tasks of the usual size fit into some free capacity. While no size is known
+// it is one.
+func (estimates *estimates) slotsIn(free identifier.Resources) int {
 	usual := estimates.usualNeeds()
 	if usual == (identifier.Resources{}) {
 		return 1
 	}
-	return usual.CountIn(room)
+	return usual.CountIn(free)
 }
--- a/pkg/allocator/evacuating_test.go
+++ b/pkg/allocator/evacuating_test.go
@@ -12,7 +12,7 @@
 
 // TestEvacuation guards against starts in an evacuated failure domain, and against jobs that are
 // lost when they move to another one.
-func TestEvacuation(t *testing.T) { playScenarios(t, "testdata/evacuations") }
+func TestEvacuation(t *testing.T) { runScenarios(t, "testdata/evacuations") }
 
 func domainsNamed(names []string) messenger.Evacuated {
 	var domains messenger.Evacuated
@@ -25,11 +25,11 @@
 // evacuation is an evacuation of the first of three failure domains, and its end.
 type evacuation struct {
 	at, until time.Duration
-	// spread is how much later the other leads hear of it.
-	spread time.Duration
+	// propagationDelay is how much later the other leads learn of it.
+	propagationDelay time.Duration
 }
 
-func (load *load) plan(planned evacuation) {
+func (load *load) scheduleEvacuation(planned evacuation) {
 	for _, change := range []struct {
 		at        time.Duration
 		evacuated messenger.Evacuated
@@ -40,15 +40,15 @@
 		for lead := range load.leads {
 			delay := change.at
 			if lead > 0 {
-				delay += planned.spread
+				delay += planned.propagationDelay
 			}
-			load.tell(lead, delay, &allocator.EvacuationsKnown{Evacuated: change.evacuated})
+			load.deliver(lead, delay, &allocator.EvacuationsKnown{Evacuated: change.evacuated})
 		}
 	}
 }
 
-// TestEvacuationUnderLoad replays the users' mix while one of three failure domains is evacuated
-// for ten seconds: its callers are served by the others, and nothing starts in it.
+// TestEvacuationUnderLoad simulates the users' job mix while one of three failure domains is
+// evacuated for ten seconds: its callers are served by the others, and nothing starts in it.
 func TestEvacuationUnderLoad(t *testing.T) {
 	const perJob = 0.244*8*0.06 + 0.044*4*0.9 + 0.712*2*0.2
 	for _, want := range []struct {
@@ -59,7 +59,7 @@
 		{48, 0.6, 0.97}, {48, 0.8, 0.93}, {48, 0.95, 0.82}, {180, 0.8, 0.95},
 	} {
 		load := newLoadOf(3, want.servers/3)
-		load.plan(evacuation{at: 5 * time.Second, until: 15 * time.Second, spread: 10 * time.Millisecond})
+		load.scheduleEvacuation(evacuation{at: 5 * time.Second, until: 15 * time.Second, propagationDelay: 10 * time.Millisecond})
 		lastStart := identifier.Never
 		load.at(0, 14900*time.Millisecond, func() []allocator.Input {
 			lastStart = load.lastStarts[0]
@@ -67,18 +67,18 @@
 		})
 		inUse := -1.0
 		load.at(0, 16*time.Second, func() []allocator.Input {
-			inUse = load.roomInUseAt(0) / max(load.roomInUseAt(1), load.roomInUseAt(2))
+			inUse = load.capacityInUseAt(0) / max(load.capacityInUseAt(1), load.capacityInUseAt(2))
 			return nil
 		})
-		load.play(want.share*float64(want.servers)*2/3*2.25/perJob, 18*time.Second)
+		load.simulate(want.share*float64(want.servers)*2/3*2.25/perJob, 18*time.Second)
 		late := time.Duration(lastStart) - 5*time.Second
-		t.Logf("%d servers at %.2f: worth %.3f, %d of %d turned away, last start %v after the order, room in use beside the others 1 s after its end %.2f",
-			want.servers, want.share, load.worth(), load.turnedAway, load.jobs, late, inUse)
-		if late > 2*hop {
-			t.Errorf("%d servers at %.2f: a run starts %v after the order", want.servers, want.share, late)
+		t.Logf("%d servers at %.2f: value %.3f, %d of %d rejected, last start %v after the evacuation began, capacity in use relative to the others 1 s after its end %.2f",
+			want.servers, want.share, load.value(), load.rejected, load.jobs, late, inUse)
+		if late > 2*serverDelay {
+			t.Errorf("%d servers at %.2f: a run starts %v after the evacuation began", want.servers, want.share, late)
 		}
-		if load.worth() < want.worth {
-			t.Errorf("%d servers at %.2f earn %.3f, want at least %.3f", want.servers, want.share, load.worth(), want.worth)
+		if load.value() < want.worth {
+			t.Errorf("%d servers at %.2f: users get %.3f, want at least %.3f", want.servers, want.share, load.value(), want.worth)
 		}
 		if open := len(load.open); open > 0 {
 			t.Errorf("%d servers at %.2f: %d jobs have no end", want.servers, want.share, open)
@@ -86,8 +86,8 @@
 	}
 }
 
-// roomInUseAt is the share of the processors of one failure domain that runs have.
-func (load *load) roomInUseAt(lead int) float64 {
+// capacityInUseAt is the number of runs per server of one failure domain.
+func (load *load) capacityInUseAt(lead int) float64 {
 	runs, servers := 0, 0
 	for _, server := range load.servers {
 		if server.lead == lead {
@@ -98,8 +98,9 @@
 	return float64(runs) / float64(servers)
 }
 
-// TestEvacuationOfATaskThatIsHeldBack guards against a task under which servers crash and that other
-// failure domains are asked for, as nothing of its job waits for room.
+// TestEvacuationOfATaskThatIsHeldBack guards against a task that is blocked, as servers crash under
+// it, and that is nevertheless handed to other failure domains, since nothing of its job waits for
+// capacity.
 func TestEvacuationOfATaskThatIsHeldBack(t *testing.T) {
 	lead := &allocator.Allocator{FailureDomain: "leuven", Settings: allocator.DefaultSettings()}
 	lead.Tick(0, []allocator.Input{&allocator.LeadTaken{Epoch: 7}, &allocator.EvacuationsKnown{Evacuated: messenger.Evacuated{"leuven"}}})
@@ -115,24 +116,25 @@
 	}
 }
 
-// TestEvacuationTellsOfNoRoom guards against other leads that send jobs to an evacuated failure domain.
+// TestEvacuationTellsOfNoRoom guards against other leads that hand jobs to an evacuated failure
+// domain.
 func TestEvacuationTellsOfNoRoom(t *testing.T) {
 	load := newLoadOf(2, 4)
-	load.play(20, time.Second)
+	load.simulate(20, time.Second)
 	for _, want := range []struct {
 		evacuated messenger.Evacuated
 		room      bool
 	}{{nil, true}, {messenger.Evacuated{domainOf(0)}, false}, {nil, true}} {
 		load.now = load.now.Add(2 * time.Second)
 		load.leads[0].Tick(load.now, []allocator.Input{&allocator.EvacuationsKnown{Evacuated: want.evacuated}})
-		var told *messenger.RoomNotice
+		var lastNotice *messenger.RoomNotice
 		for _, output := range load.leads[0].Tick(load.now.Add(time.Second), nil) {
 			if notice, isNotice := output.(*allocator.TellNotice); isNotice {
-				told = &notice.Notice
+				lastNotice = &notice.Notice
 			}
 		}
-		if told == nil || (told.Spots > 0) != want.room || len(told.Openings) > 0 && !want.room {
-			t.Errorf("evacuated %v: told %+v", want.evacuated, told)
+		if lastNotice == nil || (lastNotice.Spots > 0) != want.room || len(lastNotice.Openings) > 0 && !want.room {
+			t.Errorf("evacuated %v: the last notice is %+v", want.evacuated, lastNotice)
 		}
 	}
 }
--- a/pkg/allocator/health.go
+++ b/pkg/allocator/health.go
@@ -6,15 +6,15 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// healthSlots is the scale on which servers are judged: a healthy one may have this
-// many runs at once, which its room bounds far below.
+// healthSlots is the number of runs that the assessor allows a healthy server at once. The server's
+// capacity sets a far lower bound.
 const healthSlots = 8
 
-// judge hands the outcomes of this tick to the judge of the servers and takes over
-// what each may run from now on.
-func (allocator *Allocator) judge() {
-	inputs := allocator.judged
-	allocator.judged = nil
+// assessServers passes the outcomes of this tick to the assessor and applies the run limits that it
+// returns.
+func (allocator *Allocator) assessServers() {
+	inputs := allocator.healthInputs
+	allocator.healthInputs = nil
 	if len(inputs) == 0 && !allocator.assessor.NextDeadline().Due(allocator.now) {
 		return
 	}
@@ -25,13 +25,13 @@
 		}
 		incarnation := identifier.ServerIncarnation(change.Server)
 		server := allocator.servers.Get(incarnation)
-		if server == nil || server.allowed == int(change.Slots) {
+		if server == nil || server.runLimit == int(change.Slots) {
 			continue
 		}
-		server.allowed = int(change.Slots)
-		allocator.changed = true
-		allocator.decided(messenger.Decision{
-			Kind: messenger.DecisionServerJudged, Server: incarnation, Reason: change.Cause.String(), Tasks: server.allowed,
+		server.runLimit = int(change.Slots)
+		allocator.retryPlacement = true
+		allocator.logDecision(messenger.Decision{
+			Kind: messenger.DecisionServerJudged, Server: incarnation, Reason: change.Cause.String(), Tasks: server.runLimit,
 		})
 	}
 }
--- a/pkg/allocator/incarnations.go
+++ b/pkg/allocator/incarnations.go
@@ -8,112 +8,116 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// judgedAs is the name under which the outcomes of a life are judged: a new one is judged anew.
-func judgedAs(server identifier.ServerIncarnation) identifier.BackendServerID {
+// assessedID is the id under which the outcomes of an incarnation are assessed: each incarnation is
+// assessed anew.
+func assessedID(server identifier.ServerIncarnation) identifier.BackendServerID {
 	return identifier.BackendServerID(server)
 }
 
-// isAnotherLife tells whether an answer came from another life than the one that was called. A life
-// without a date of its own can't be told from others.
-func (server *server) isAnotherLife(answering identifier.ServerIncarnation) bool {
-	return server.card.Server.Dated() && answering.Dated() && answering != server.card.Server
+// isOtherIncarnation reports whether an answer came from another incarnation than the called one.
+// An undated incarnation cannot be told apart from others.
+func (server *server) isOtherIncarnation(answering identifier.ServerIncarnation) bool {
+	return server.report.Server.Dated() && answering.Dated() && answering != server.report.Server
 }
 
-// isNamedBy tells whether an answer says that this life gave it.
-func (server *server) isNamedBy(answering identifier.ServerIncarnation) bool {
-	return answering == server.card.Server || !server.card.Server.Dated() && !answering.Dated()
+// matchesAnswering reports whether an answer names this incarnation as the one that gave it.
+func (server *server) matchesAnswering(answering identifier.ServerIncarnation) bool {
+	return answering == server.report.Server || !server.report.Server.Dated() && !answering.Dated()
 }
 
-// answersFor tells whether calls to the life of a card would reach this one, or be denied by it.
-func (server *server) answersFor(card *messenger.ServerCard) bool {
-	return server.card.Address == card.Address || server.isNamesake(card.Server)
+// sharesAddressOrID reports whether calls to the incarnation of a report would reach this one, or
+// be refused by it.
+func (server *server) sharesAddressOrID(report *messenger.ServerCard) bool {
+	return server.report.Address == report.Address || server.sharesID(report.Server)
 }
 
-// isNamesake tells whether a life has the same id.
-func (server *server) isNamesake(other identifier.ServerIncarnation) bool {
-	return server.card.Server.Server() == other.Server()
+// sharesID reports whether an incarnation has the same server id.
+func (server *server) sharesID(other identifier.ServerIncarnation) bool {
+	return server.report.Server.Server() == other.Server()
 }
 
-// contest notes that one of two lives is over, and nobody knows yet which.
-func (server *server) contest(other *server) {
+// markContested records that one of two incarnations is over, and that it is not known yet which.
+func (server *server) markContested(other *server) {
 	server.contested, other.contested = true, true
-	if server.isNamesake(other.card.Server) {
-		server.doubled, other.doubled = true, true
+	if server.sharesID(other.report.Server) {
+		server.idContested, other.idContested = true, true
 	}
 }
 
-// answeringLife returns the life that answered in place of another one. Where it has not announced
-// itself nothing is known of its room: it gets nothing before it has.
-func (allocator *Allocator) answeringLife(called *server, answering identifier.ServerIncarnation) *server {
+// answeringIncarnation returns the incarnation that answered in place of another one. If it has not
+// reported yet, its capacity is unknown, and it gets no start before it has.
+func (allocator *Allocator) answeringIncarnation(called *server, answering identifier.ServerIncarnation) *server {
 	if known := allocator.servers.Get(answering); known != nil {
 		return known
 	}
 	allocator.join(&messenger.ServerCard{
-		Server: answering, Service: called.card.Service, Address: called.card.Address, FailureDomain: called.card.FailureDomain,
+		Server: answering, Service: called.report.Service, Address: called.report.Address, FailureDomain: called.report.FailureDomain,
 	})
 	return allocator.servers.Get(answering)
 }
 
-// raiseFence gives the calls to a life a fence above all that were used under this epoch. A life that
-// doesn't tell when it began has an id of its own, and needs none.
+// raiseFence gives the calls to an incarnation a fence above all that were used under this epoch.
+// An undated incarnation has an id of its own and needs no such fence.
 func (allocator *Allocator) raiseFence(server *server) {
 	if !allocator.Leads() {
 		return
 	}
 	server.fence = allocator.epoch
-	if server.card.Server.Dated() {
-		allocator.lives++
-		server.fence += allocator.lives
+	if server.report.Server.Dated() {
+		allocator.fencesIssued++
+		server.fence += allocator.fencesIssued
 	}
 }
 
-// takeAnswerOfAnother takes an answer that another life gave than the one that was called.
-func (allocator *Allocator) takeAnswerOfAnother(server *server, answering identifier.ServerIncarnation) {
-	allocator.replaceLife(server, answering, allocator.now)
-	if successor := allocator.servers.Get(answering); successor.unsettled() {
-		allocator.hold(successor)
+// handleOtherIncarnation handles an answer that came from another incarnation than the called one.
+func (allocator *Allocator) handleOtherIncarnation(server *server, answering identifier.ServerIncarnation) {
+	allocator.replaceIncarnation(server, answering, allocator.now)
+	if successor := allocator.servers.Get(answering); successor.hasOpenReplacement() {
+		allocator.poll(successor)
 	}
 }
 
-// refusedForAnotherLife tells whether a call to a life was refused since one to another life under its
-// id had a higher fence, and gives it a higher one yet.
-func (allocator *Allocator) refusedForAnotherLife(server *server) bool {
-	if allocator.fencedByNamesake(server) {
+// refusedForOtherIncarnation reports whether a call to an incarnation was refused because one to
+// another incarnation under its id had a higher fence, and in this case raises the fence above
+// that.
+func (allocator *Allocator) refusedForOtherIncarnation(server *server) bool {
+	if allocator.fencedBySameID(server) {
 		allocator.raiseFence(server)
 	}
-	return server.calledUnder < server.fence
+	return server.lastCallFence < server.fence
 }
 
-// fencedByNamesake tells whether a call to another life under the same id has raised the fence there.
-func (allocator *Allocator) fencedByNamesake(refused *server) bool {
+// fencedBySameID reports whether a call to another incarnation under the same id has raised the
+// fence there.
+func (allocator *Allocator) fencedBySameID(refused *server) bool {
 	higher := false
 	allocator.servers.Each(func(_ identifier.ServerIncarnation, other *server) bool {
-		higher = other.isNamesake(refused.card.Server) && other.fence > refused.fence
+		higher = other.sharesID(refused.report.Server) && other.fence > refused.fence
 		return !higher
 	})
 	return higher
 }
 
-// replaceLife ends a life in whose place another one answers. Its runs are over where an answer of the
-// other one to a call that was sent after a moment doesn't list them.
-func (allocator *Allocator) replaceLife(server *server, answering identifier.ServerIncarnation, after identifier.Moment) {
-	allocator.noteEnd(server)
+// replaceIncarnation ends an incarnation in whose place another one answers. Its runs are over if
+// the other one's answer to a call that was sent after the given moment doesn't list them.
+func (allocator *Allocator) replaceIncarnation(server *server, answering identifier.ServerIncarnation, after identifier.Moment) {
+	allocator.recordUnannouncedEnd(server)
 	reason := "replaced by " + string(answering)
 	allocator.retire(server, reason)
-	successor := allocator.answeringLife(server, answering)
-	if server.isNamesake(successor.card.Server) {
+	successor := allocator.answeringIncarnation(server, answering)
+	if server.sharesID(successor.report.Server) {
 		if successor.fence < server.fence {
 			allocator.raiseFence(successor)
 			after = allocator.now
 		}
 		allocator.moveRuns(server, successor, after)
 	}
-	allocator.endLife(server, reason)
+	allocator.endIncarnation(server, reason)
 }
 
-// moveRuns hands the runs of a life to the next one under its id. None of them goes on, but a start
-// that was under way, or made again for want of an answer, may have begun one of them anew before the
-// next life was called under its higher fence.
+// moveRuns moves the runs of an incarnation to the next one under its id. None of them goes on, but
+// a start that was under way, or repeated for lack of an answer, may have begun one of them anew
+// before the next incarnation was called under its higher fence.
 func (allocator *Allocator) moveRuns(server, successor *server, after identifier.Moment) {
 	if successor.retired {
 		return
@@ -126,21 +130,21 @@
 		allocator.detach(server, moved)
 		moved.confirmed = listed != nil
 		if listed != nil {
-			allocator.forgetRun(successor, listed)
+			allocator.releaseRun(successor, listed)
 		}
-		moved.server = successor.card.Server
+		moved.server = successor.report.Server
 		moved.absentAfter = after
 		moved.moved = !moved.confirmed
 		allocator.attach(successor, moved)
-		allocator.resume(moved)
+		allocator.resumeRun(moved)
 	}
 }
 
-// resume goes on with what was under way for a run at the life before.
-func (allocator *Allocator) resume(moved *run) {
+// resumeRun continues what was under way for a run at the previous incarnation.
+func (allocator *Allocator) resumeRun(moved *run) {
 	if moved.stopping {
 		moved.stopAnswered = false
-		allocator.callStop(moved)
+		allocator.sendStop(moved)
 		return
 	}
 	if moved.job != nil {
@@ -148,15 +152,16 @@
 	}
 }
 
-// startWindow is how long a start may be made again for want of an answer, from the grant on.
+// startWindow is how long after the grant a start may be repeated for lack of an answer.
 const startWindow = 700 * time.Millisecond
 
-// lapsedRuns lists the runs of a silent server that are over once its leases have lapsed. Those do so
-// by the clock of its life. A start that reaches another life of the id, whose clock began anew, gives
-// a whole lease from then on: a run that was not listed may have begun so.
+// lapsedRuns lists the runs of a silent server that are over once its leases have lapsed. Leases
+// lapse by the clock of the server's incarnation. A start that reaches another incarnation of the
+// id, whose clock began anew, grants a whole lease from then on: a run that was not listed may have
+// begun this way.
 func (server *server) lapsedRuns(now identifier.Moment, lease time.Duration) []*run {
 	runs := server.runsInOrder()
-	if !server.card.Server.Dated() {
+	if !server.report.Server.Dated() {
 		return runs
 	}
 	longest := startWindow + lease*1000/(1000-clockDriftPerMille) + lapseMargin
@@ -165,15 +170,16 @@
 	})
 }
 
-// settleMoved notes that a run which was granted on an earlier life is at work on this one.
-func (server *server) settleMoved(known *run) {
+// confirmMoved records that a run which was granted on an earlier incarnation is at work on this
+// one.
+func (server *server) confirmMoved(known *run) {
 	if known.moved {
 		known.moved = false
 		server.moved--
 	}
 }
 
-// attach counts a run as one of a server.
+// attach adds a run to a server and its capacity to the server's used capacity.
 func (allocator *Allocator) attach(server *server, moved *run) {
 	server.runs[moved.key] = moved
 	server.used = server.used.Add(moved.needs)
@@ -185,7 +191,7 @@
 	}
 }
 
-// detach takes a run from a server that it may run on elsewhere.
+// detach removes a run from a server, with its timers and its used capacity.
 func (allocator *Allocator) detach(server *server, moved *run) {
 	delete(server.runs, moved.key)
 	server.used = server.used.Sub(moved.needs)
@@ -199,16 +205,17 @@
 	allocator.timers.Clear(overdueTimer(moved))
 }
 
-// leaveUndated takes the end of a life that doesn't say which. A server says that it drains before it
-// ends, so that a life which hasn't is not the one; it is called, and shows whether it is there.
-func (allocator *Allocator) leaveUndated(id identifier.BackendServerID) {
+// handleUndatedLeave handles a leave that does not say which incarnation has ended. A server
+// reports that it drains before it ends, so an incarnation that has not drained is not the one; it
+// is called, and its answer shows whether it is there.
+func (allocator *Allocator) handleUndatedLeave(id identifier.BackendServerID) {
 	allocator.servers.Each(func(incarnation identifier.ServerIncarnation, server *server) bool {
 		switch {
 		case server.retired || incarnation.Server() != id:
-		case server.card.Draining:
-			allocator.leave(server)
+		case server.report.Draining:
+			allocator.handleLeave(server)
 		default:
-			allocator.hold(server)
+			allocator.poll(server)
 		}
 		return true
 	})
--- a/pkg/allocator/inquiries.go
+++ b/pkg/allocator/inquiries.go
@@ -7,25 +7,25 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// noteShare remembers that another cell gives room to tasks of a job, for a sending that comes to
-// this one later.
-func (allocator *Allocator) noteShare(input *JobGoesElsewhere) {
-	var shares []share
-	if before := allocator.shares.Get(input.Job); before != nil {
-		shares = *before
+// recordHandoff remembers that another cell grants capacity to tasks of a job, for a submission
+// that comes to this cell later.
+func (allocator *Allocator) recordHandoff(input *JobGoesElsewhere) {
+	var handoffs []handoff
+	if before := allocator.handoffs.Get(input.Job); before != nil {
+		handoffs = *before
 	}
-	shares = append(shares, share{cell: input.Cell, tasks: input.Tasks})
-	allocator.shares.Put(input.Job, &shares)
+	handoffs = append(handoffs, handoff{cell: input.Cell, tasks: input.Tasks})
+	allocator.handoffs.Put(input.Job, &handoffs)
 	allocator.timers.Set(timerKey{kind: timerJobForget, job: input.Job}, allocator.now.Add(allocator.Settings.ForgetJob))
 }
 
-// Has tells whether the ledger has a job that is asked for at this cell.
+// Has reports whether a job is requested at this cell.
 func (allocator *Allocator) Has(id identifier.JobID) bool {
 	return allocator.timers != nil && allocator.jobs.Get(id) != nil
 }
 
-// Knows tells whether a run of a job may be at work that another host than the given one has
-// asked for, here or at a cell that the job was sent to.
+// Knows reports whether a run of a job may be at work that another host than the given one has
+// requested, here or at a cell that the job was handed to, apart from the cell but.
 func (allocator *Allocator) Knows(id identifier.JobID, host identifier.HostID, but messenger.CellRef) bool {
 	if allocator.timers == nil {
 		return false
@@ -33,9 +33,9 @@
 	if known := allocator.jobs.Get(id); known != nil {
 		return known.from != host
 	}
-	if allocator.isOrphaned(id) {
+	if allocator.hasUnclaimedRuns(id) {
 		return true
 	}
-	shares := allocator.shares.Get(id)
-	return shares != nil && slices.ContainsFunc(*shares, func(share share) bool { return share.cell != but })
+	handoffs := allocator.handoffs.Get(id)
+	return handoffs != nil && slices.ContainsFunc(*handoffs, func(handedOff handoff) bool { return handedOff.cell != but })
 }
--- a/pkg/allocator/jobs.go
+++ b/pkg/allocator/jobs.go
@@ -10,45 +10,45 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// job is a job that a host has asked room for.
+// job is a job that a host has requested capacity for.
 type job struct {
 	request messenger.RoomRequest
 	from    identifier.HostID
 	tasks   []task
-	// arrivedAt is when the caller sent the job, on this host's clock.
+	// arrivedAt is when the caller submitted the job, on this host's clock.
 	arrivedAt identifier.Moment
-	// dueAt is until when the answer is in time, startBy until when the longest task
-	// must have started for that.
+	// dueAt is until when the answer is in time, startBy until when the longest task must have
+	// started for that.
 	dueAt   identifier.Moment
 	startBy identifier.Moment
-	// turn orders waiting jobs.
-	turn identifier.Moment
+	// priorityTime orders the waiting jobs, the earliest first.
+	priorityTime identifier.Moment
 	// deadline is when the caller no longer waits.
 	deadline identifier.Moment
 	lastRun  identifier.RunNumber
-	// begunBefore tells that runs of an earlier sending were granted.
-	begunBefore bool
-	// queued counts the tasks that have neither room nor an end.
+	// grantedBefore is set if runs of an earlier submission were granted.
+	grantedBefore bool
+	// queued counts the tasks that wait for capacity.
 	queued int
-	// granted tells that some run of the job may have started.
+	// granted is set once some run of the job may have started.
 	granted bool
-	// closed tells that the job wants no more room; its record stays until all its
-	// runs are over, so that a resend starts none of them twice at once.
+	// closed is set once the job wants no more capacity; its record stays until all its runs are
+	// over, so that a resubmission starts none of them twice at once.
 	closed bool
-	// given are the tasks that other cells were asked for.
-	given []share
-	// successor is a resend that waits for that.
+	// handoffs are the tasks that were handed to other cells.
+	handoffs []handoff
+	// successor is a resubmission that waits until the runs are over.
 	successor *RoomRequested
 }
 
 // task is one task of a job.
 type task struct {
-	room messenger.RoomTask
-	run  *run
-	done bool
-	// queued tells that the task waits for room.
+	requested messenger.RoomTask
+	run       *run
+	done      bool
+	// queued is set while the task waits for capacity.
 	queued bool
-	// account is what is known of its runs.
+	// account counts the failures and crashes of its runs.
 	account budgeter.Account
 	// hung counts the runs that were stopped because they went on for far too long.
 	hung int
@@ -58,7 +58,7 @@
 
 func (job *job) task(index messenger.TaskIndex) *task {
 	for position := range job.tasks {
-		if job.tasks[position].room.Task == index {
+		if job.tasks[position].requested.Task == index {
 			return &job.tasks[position]
 		}
 	}
@@ -78,32 +78,33 @@
 	return cmp.Or(cmp.Compare(first.Job, second.Job), cmp.Compare(first.Task, second.Task), cmp.Compare(first.Run, second.Run))
 }
 
-// request takes a request for room.
-func (allocator *Allocator) request(input *RoomRequested) {
+// handleRequest handles a host's request for capacity.
+func (allocator *Allocator) handleRequest(input *RoomRequested) {
 	if !allocator.Leads() {
 		allocator.answer(input.From, messenger.RoomAnswer{Job: input.Request.Job, Kind: messenger.RoomAnswerNotLed, Ask: input.Request.Ask})
 		return
 	}
 	known := allocator.jobs.Get(input.Request.Job)
-	if known != nil && known.isRequest(input) && input.Request.Part && !known.closed {
-		allocator.takeBack(known, input.Request.Tasks)
+	if known != nil && known.isSameRequest(input) && input.Request.Part && !known.closed {
+		allocator.requeueTasks(known, input.Request.Tasks)
 		return
 	}
 	if known != nil {
-		allocator.succeed(known, input)
+		allocator.supersede(known, input)
 		return
 	}
-	if orphans := allocator.orphansOf(&input.Request); len(orphans) > 0 {
-		allocator.endEarlierSending(input, orphans)
+	if unclaimed := allocator.unclaimedRunsOf(&input.Request); len(unclaimed) > 0 {
+		allocator.endEarlierSubmission(input, unclaimed)
 		return
 	}
 	allocator.admit(allocator.newJob(input))
 }
 
-// succeed ends an earlier sending of a job that its caller has sent again, to this host or
-// another, and is no longer waited for. Its runs must be over first. The host that asks is told
-// so: it would else take this lead for silent and ask another cell, which knows of no run.
-func (allocator *Allocator) succeed(earlier *job, input *RoomRequested) {
+// supersede ends an earlier submission of a job that its caller has resubmitted, to this host or
+// another, and no longer waits for. Its runs must be over first. The requesting host is notified of
+// this: otherwise it would assume that this lead is down and request from another cell, which knows
+// of no run.
+func (allocator *Allocator) supersede(earlier *job, input *RoomRequested) {
 	earlier.successor = input
 	allocator.close(earlier, "sent again")
 	if earlier.successor == input {
@@ -113,11 +114,11 @@
 	}
 }
 
-// takeBack takes tasks of a job in that another cell's lead was asked for in vain.
-func (allocator *Allocator) takeBack(job *job, rooms []messenger.RoomTask) {
-	for _, room := range rooms {
-		if !slices.ContainsFunc(job.tasks, func(task task) bool { return task.room.Task == room.Task }) {
-			job.tasks = append(job.tasks, task{room: room, account: room.Account})
+// requeueTasks queues tasks of a job that were requested from another cell's lead in vain.
+func (allocator *Allocator) requeueTasks(job *job, tasks []messenger.RoomTask) {
+	for _, requested := range tasks {
+		if !slices.ContainsFunc(job.tasks, func(task task) bool { return task.requested.Task == requested.Task }) {
+			job.tasks = append(job.tasks, task{requested: requested, account: requested.Account})
 		}
 	}
 	for index := range job.tasks {
@@ -130,13 +131,13 @@
 func (allocator *Allocator) newJob(input *RoomRequested) *job {
 	request := &input.Request
 	created := &job{request: *request, from: input.From, arrivedAt: allocator.now.Add(-request.Elapsed), lastRun: allocator.lastRunOf(request)}
-	created.begunBefore = created.lastRun > 0
+	created.grantedBefore = created.lastRun > 0
 	created.deadline = allocator.now.Add(request.Remaining)
-	for _, room := range request.Tasks {
-		created.tasks = append(created.tasks, task{room: room, account: allocator.accountOf(request.Job, room)})
+	for _, requested := range request.Tasks {
+		created.tasks = append(created.tasks, task{requested: requested, account: allocator.accountOf(request.Job, requested)})
 	}
 	for _, held := range request.Held {
-		created.tasks = append(created.tasks, task{room: held.RoomTask, account: allocator.accountOf(request.Job, held.RoomTask)})
+		created.tasks = append(created.tasks, task{requested: held.RoomTask, account: allocator.accountOf(request.Job, held.RoomTask)})
 		created.lastRun = max(created.lastRun, held.Run)
 	}
 	allocator.schedule(created)
@@ -146,8 +147,9 @@
 	return created
 }
 
-// isRequest tells whether a request is the one that the job has, for more of its tasks.
-func (job *job) isRequest(input *RoomRequested) bool {
+// isSameRequest reports whether a request belongs to the one that the job has, for more of its
+// tasks.
+func (job *job) isSameRequest(input *RoomRequested) bool {
 	return job.from == input.From && job.request.Ask == input.Request.Ask
 }
 
@@ -159,31 +161,31 @@
 	return request.RunsBelow
 }
 
-// schedule works out when the job is due, and sorts its tasks: the longest starts
-// first, as the answer waits for it.
+// schedule computes when the job is due, and sorts its tasks: the longest starts first, as the
+// job's answer waits for it.
 func (allocator *Allocator) schedule(job *job) {
 	slices.SortStableFunc(job.tasks, func(first, second task) int {
-		return cmp.Compare(second.room.Declared, first.room.Declared)
+		return cmp.Compare(second.requested.Declared, first.requested.Declared)
 	})
 	longest := time.Duration(0)
 	for index := range job.tasks {
-		longest = max(longest, allocator.estimates.runTime(job.request.Queue, job.tasks[index].room.Declared))
+		longest = max(longest, allocator.estimates.expectedRunTime(job.request.Queue, job.tasks[index].requested.Declared))
 	}
 	objective := time.Duration(float64(longest)*job.request.Stretch) + job.request.Allowance
 	job.dueAt = job.arrivedAt.Add(objective)
 	job.startBy = job.dueAt.Add(-longest)
-	job.turn = job.arrivedAt.Add(slackWeight * job.startBy.Sub(job.arrivedAt))
+	job.priorityTime = job.arrivedAt.Add(spareTimeWeight * job.startBy.Sub(job.arrivedAt))
 }
 
-// slackWeight is how much the time that a job can spare counts against the time since it
-// arrived. With 1, the job that must start first goes first; with 2, jobs of short tasks
-// pass those that can spare more, which is better for both as long as not everything can
-// be in time. Higher weights keep the long jobs out.
-const slackWeight = 2
+// spareTimeWeight is the weight of the time that a job can spare relative to the time since it
+// arrived. With 1, the job that must start first goes first. With 2, jobs of short tasks overtake
+// those that can spare more, which is better for both as long as not everything can be in time.
+// Higher weights keep the long jobs out.
+const spareTimeWeight = 2
 
-// queueTask lets a task wait for room.
+// queueTask queues a task unless it is done or blocked, or its job is closed.
 func (allocator *Allocator) queueTask(job *job, task *task) {
-	if task.queued || task.done || job.closed || task.account.Held() {
+	if task.queued || task.done || job.closed || task.account.IsBlocked() {
 		return
 	}
 	task.queued = true
@@ -192,10 +194,10 @@
 	}
 	job.queued++
 	allocator.waitingTasks++
-	allocator.changed = true
+	allocator.retryPlacement = true
 }
 
-// unqueueTask takes a task out that waits here no more.
+// unqueueTask removes a task from the queue.
 func (allocator *Allocator) unqueueTask(job *job, task *task) {
 	if !task.queued {
 		return
@@ -208,8 +210,8 @@
 	}
 }
 
-// markGranted notes that some run of the job may have started, which puts what waits of it
-// before jobs of which nothing has.
+// markGranted records that some run of the job may have started, which orders its waiting tasks
+// before jobs of which nothing has started.
 func (allocator *Allocator) markGranted(job *job) {
 	allocator.timers.Clear(timerKey{kind: timerJobStart, job: job.request.Job})
 	if job.granted {
@@ -224,8 +226,8 @@
 	allocator.insert(job)
 }
 
-// insert puts a job into the waiting ones: jobs with started tasks first, as their
-// answer waits for the rest, then by their turn.
+// insert adds a job to the queue: jobs with started tasks come first, as their answer waits for the
+// rest, then by priorityTime.
 func (allocator *Allocator) insert(job *job) {
 	position, _ := slices.BinarySearchFunc(allocator.waiting, job, compareWaiting)
 	allocator.waiting = slices.Insert(allocator.waiting, position, job)
@@ -238,10 +240,10 @@
 		}
 		return 1
 	}
-	return cmp.Or(cmp.Compare(first.turn, second.turn), cmp.Compare(first.request.Job, second.request.Job))
+	return cmp.Or(cmp.Compare(first.priorityTime, second.priorityTime), cmp.Compare(first.request.Job, second.request.Job))
 }
 
-// unqueue takes all waiting tasks of a job out.
+// unqueue removes all waiting tasks of a job from the queue.
 func (allocator *Allocator) unqueue(job *job) {
 	if job.queued == 0 {
 		return
@@ -254,10 +256,10 @@
 	allocator.removeWaiting(job)
 }
 
-// answerJob answers the host of a job.
+// answerJob sends an answer to the host of a job, with the number of the request that it answers.
 func (allocator *Allocator) answerJob(job *job, answer messenger.RoomAnswer) {
 	answer.Ask = job.request.Ask
-	answer.Begun = job.begunBefore
+	answer.Begun = job.grantedBefore
 	allocator.answer(job.from, answer)
 }
 
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -13,8 +13,8 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// load plays the leads of one or more failure domains in virtual time against backend
-// servers that run what they are granted: jobs arrive at random, in the users' three kinds.
+// load simulates the leads of one or more failure domains in virtual time, with backend servers
+// that run what they are granted: jobs arrive at random, in the users' three kinds.
 type load struct {
 	leads   []*allocator.Allocator
 	now     identifier.Moment
@@ -24,60 +24,60 @@
 	// kinds are the kinds of the jobs.
 	kinds []kind
 	next  int
-	// counts of what became of jobs and runs.
-	jobs, turnedAway, done int
-	inTime, late           map[identifier.QueueName]int
-	arrived                map[identifier.QueueName]int
-	open                   map[identifier.JobID]*loadJob
-	ticks                  int
-	// hanging of the servers let two in five of their runs hang, slow ones take
-	// slowFactor times as long.
+	// Counts of the jobs and runs by outcome.
+	jobs, rejected, done int
+	inTime, late         map[identifier.QueueName]int
+	arrived              map[identifier.QueueName]int
+	open                 map[identifier.JobID]*loadJob
+	ticks                int
+	// hanging is how many servers let two in five of their runs hang, slow how many take slowFactor
+	// times as long.
 	hanging, slow int
 	slowFactor    float64
-	// lossy of the servers lose three answers in ten.
+	// lossy is how many servers lose three answers in ten.
 	lossy int
-	// crashing counts what tasks that crash their servers do.
+	// crashing configures and counts crashes of servers.
 	crashing crashing
-	// restarting is nil where lives of servers have ids of their own.
+	// restarting is nil where incarnations of servers have ids of their own.
 	restarting *restarting
-	// lastStarts are when a run last started in each failure domain.
+	// lastStarts holds the time of the last start of a run in each failure domain.
 	lastStarts map[int]identifier.Moment
 }
 
 type loadJob struct {
 	request   messenger.RoomRequest
 	queue     identifier.QueueName
-	left      int
+	tasksLeft int
 	arrivedAt identifier.Moment
 	objective time.Duration
 	runTimes  []time.Duration
-	// crashes tells that the first task crashes each server that starts it.
+	// crashes is set if the first task crashes each server that starts it.
 	crashes bool
 }
 
 type loadServer struct {
 	id identifier.ServerIncarnation
-	// lead is the place of the lead whose server this is.
-	lead    int
-	index   int
-	running map[messenger.RunKey]bool
-	ended   []allocator.RunEnd
-	number  int64
-	waiting *allocator.HoldServer
-	// sentAt is when the call that waits was sent.
+	// lead is the index of the lead that the server belongs to.
+	lead        int
+	index       int
+	running     map[messenger.RunKey]bool
+	ended       []allocator.RunEnd
+	lastEnd     int64
+	pendingPoll *allocator.HoldServer
+	// sentAt is when the pending call was sent.
 	sentAt identifier.Moment
-	// down tells that the server has crashed; another life follows at its address.
-	down bool
-	card messenger.ServerCard
-	// fence is the highest that a call has had.
+	// down is set once the server has crashed; another incarnation follows at its address.
+	down   bool
+	report messenger.ServerCard
+	// fence is the highest fence of a call so far.
 	fence identifier.Epoch
-	// heardAt is when the life first spoke, startedAt when it first got a start.
-	heardAt, startedAt identifier.Moment
-	// listed is the number of the last end that an answer has named.
-	listed int64
+	// firstReportAt is when the incarnation first reported, startedAt when it first got a start.
+	firstReportAt, startedAt identifier.Moment
+	// lastListed is the number of the last end that an answer has listed.
+	lastListed int64
 }
 
-// loadEvent returns what the lead at a place is told.
+// loadEvent is an event at a time; run returns the inputs for the lead at an index.
 type loadEvent struct {
 	due  identifier.Moment
 	lead int
@@ -99,7 +99,7 @@
 	return popped
 }
 
-// kind is one kind of the users' jobs.
+// kind describes one kind of the users' jobs.
 type kind struct {
 	queue identifier.QueueName
 	share float64
@@ -114,15 +114,15 @@
 }
 
 const (
-	// hop is the way to a backend server.
-	hop = 300 * time.Microsecond
-	// between is the way to another failure domain.
-	between = 800 * time.Microsecond
+	// serverDelay is the time to a backend server, one way.
+	serverDelay = 300 * time.Microsecond
+	// domainDelay is the time to another failure domain, one way.
+	domainDelay = 800 * time.Microsecond
 )
 
 func newLoad(servers int) *load { return newLoadOf(1, servers) }
 
-// domainOf names the failure domain of the lead at a place.
+// domainOf returns the failure domain of the lead at an index.
 func domainOf(lead int) identifier.FailureDomain {
 	if lead == 0 {
 		return "leuven"
@@ -132,7 +132,7 @@
 
 func hostOf(lead int) identifier.HostID { return identifier.HostID(domainOf(lead)) }
 
-// newLoadOf makes failure domains with so many servers each.
+// newLoadOf creates failure domains with the same number of servers each.
 func newLoadOf(leads, servers int) *load {
 	created := &load{
 		kinds:   usualKinds,
@@ -165,20 +165,20 @@
 	if index%3 == 2 {
 		cpu = 24000
 	}
-	card := messenger.ServerCard{
+	report := messenger.ServerCard{
 		Server: id, Service: "desk", Address: string(id), FailureDomain: domainOf(lead), Sequence: 1,
 		Capacity: identifier.Resources{MilliCPU: cpu, Memory: 32 << 30},
 	}
-	load.servers[id] = &loadServer{id: id, lead: lead, index: index, running: make(map[messenger.RunKey]bool), card: card}
-	load.tick(lead, &allocator.CardArrived{Card: card})
+	load.servers[id] = &loadServer{id: id, lead: lead, index: index, running: make(map[messenger.RunKey]bool), report: report}
+	load.tick(lead, &allocator.CardArrived{Card: report})
 }
 
 func (load *load) at(lead int, delay time.Duration, run func() []allocator.Input) {
 	heap.Push(&load.events, loadEvent{due: load.now.Add(delay), lead: lead, run: run})
 }
 
-// tell has something told to the lead at a place.
-func (load *load) tell(lead int, delay time.Duration, input allocator.Input) {
+// deliver sends an input to the lead at an index after a delay.
+func (load *load) deliver(lead int, delay time.Duration, input allocator.Input) {
 	load.at(lead, delay, func() []allocator.Input { return []allocator.Input{input} })
 }
 
@@ -194,24 +194,24 @@
 	case *allocator.GrantRoom:
 		job := load.open[output.Grant.Job]
 		if job == nil {
-			return // It was turned away by another lead meanwhile.
+			return // It was rejected by another lead meanwhile.
 		}
 		for _, run := range output.Grant.Runs {
 			key := messenger.RunKey{Job: output.Grant.Job, Task: run.Task, Run: run.Run}
-			load.at(lead, hop, func() []allocator.Input {
-				server := load.reached(run.Server)
+			load.at(lead, serverDelay, func() []allocator.Input {
+				server := load.serverReached(run.Server)
 				if server.down {
 					return nil
 				}
 				if fence := cmp.Or(run.Fence, output.Grant.Epoch); !server.admits(fence) {
-					load.tell(lead, hop, refusedStart(key, run.Server, fence))
+					load.deliver(lead, serverDelay, refusedStart(key, run.Server, fence))
 					return nil
 				}
-				load.restarting.noteStart(server, load.now)
+				load.restarting.recordStart(server, load.now)
 				server.running[key] = true
 				load.lastStarts[server.lead] = load.now
 				if job.crashes && key.Task == 0 {
-					load.startCrashing(server, key)
+					load.startCrashingTask(server, key)
 					return nil
 				}
 				if runTime, ends := load.runTime(server, job.runTimes[key.Task]); ends {
@@ -222,14 +222,14 @@
 		}
 	case *allocator.HoldServer:
 		sentAt := load.now
-		load.at(lead, hop, func() []allocator.Input {
-			server := load.reached(output.Server)
+		load.at(lead, serverDelay, func() []allocator.Input {
+			server := load.serverReached(output.Server)
 			if server.down {
-				load.tell(lead, hop, unansweredHold(output))
+				load.deliver(lead, serverDelay, unansweredPoll(output))
 				return nil
 			}
 			if !server.admits(output.Epoch) {
-				load.tell(lead, hop, &allocator.HoldReturned{Server: output.Server, Sequence: output.Sequence, Outcome: allocator.CallFenced})
+				load.deliver(lead, serverDelay, &allocator.HoldReturned{Server: output.Server, Sequence: output.Sequence, Outcome: allocator.CallFenced})
 				return nil
 			}
 			load.restarting.acknowledge(server, output.Cursor)
@@ -237,9 +237,9 @@
 			if len(server.ended) > 0 || output.Wait == 0 {
 				return load.answer(server, output)
 			}
-			server.waiting = output
+			server.pendingPoll = output
 			load.at(lead, output.Wait, func() []allocator.Input {
-				if server.waiting == output {
+				if server.pendingPoll == output {
 					return load.answer(server, output)
 				}
 				return nil
@@ -247,13 +247,13 @@
 			return nil
 		})
 	case *allocator.StopRun:
-		load.at(lead, hop, func() []allocator.Input {
-			server := load.reached(output.Server)
+		load.at(lead, serverDelay, func() []allocator.Input {
+			server := load.serverReached(output.Server)
 			if server.down {
-				load.tell(lead, hop, &allocator.StopReturned{Server: output.Server, Run: output.Run, Outcome: allocator.CallUnanswered})
+				load.deliver(lead, serverDelay, &allocator.StopReturned{Server: output.Server, Run: output.Run, Outcome: allocator.CallUnanswered})
 				return nil
 			}
-			load.at(lead, hop, func() []allocator.Input {
+			load.at(lead, serverDelay, func() []allocator.Input {
 				return []allocator.Input{&allocator.StopReturned{Server: output.Server, Run: output.Run, Outcome: allocator.CallAnswered}}
 			})
 			return load.end(server, output.Run, allocator.EndStopped)
@@ -261,9 +261,9 @@
 	case *allocator.TellDone:
 		load.finish(output.Done.RunKey.Job)
 	case *allocator.AnswerRoom:
-		load.takeAnswer(&output.Answer)
+		load.handleAnswer(&output.Answer)
 	case *allocator.TellNotice:
-		load.tell(load.leadNamed(output.To), between, &allocator.NoticeArrived{Notice: output.Notice})
+		load.deliver(load.leadNamed(output.To), domainDelay, &allocator.NoticeArrived{Notice: output.Notice})
 	}
 }
 
@@ -276,8 +276,8 @@
 	return 0
 }
 
-// takeAnswer follows a lead that sends tasks of a job to another one.
-func (load *load) takeAnswer(answer *messenger.RoomAnswer) {
+// handleAnswer does what a job's host does with an answer, such as requesting elsewhere.
+func (load *load) handleAnswer(answer *messenger.RoomAnswer) {
 	job := load.open[answer.Job]
 	switch {
 	case job == nil:
@@ -285,17 +285,17 @@
 		load.crashing.failed(job)
 		delete(load.open, answer.Job)
 	case answer.Kind == messenger.RoomAnswerTurnedAway:
-		load.turnedAway++
+		load.rejected++
 		delete(load.open, answer.Job)
 	case answer.Kind == messenger.RoomAnswerAskOther:
-		load.askOther(job, answer, load.leadNamed(identifier.HostID(answer.Other.FailureDomain)))
+		load.requestFrom(job, answer, load.leadNamed(identifier.HostID(answer.Other.FailureDomain)))
 	case answer.Kind == messenger.RoomAnswerEvacuated:
-		load.askOther(job, answer, len(load.leads)-1)
+		load.requestFrom(job, answer, len(load.leads)-1)
 	}
 }
 
-// askOther has the lead at a place asked for some tasks of a job.
-func (load *load) askOther(job *loadJob, answer *messenger.RoomAnswer, lead int) {
+// requestFrom requests some tasks of a job from the lead at an index.
+func (load *load) requestFrom(job *loadJob, answer *messenger.RoomAnswer, lead int) {
 	request := job.request
 	request.HandedOver, request.Part = true, true
 	request.Elapsed = load.now.Sub(job.arrivedAt)
@@ -303,7 +303,7 @@
 	for _, index := range answer.Tasks {
 		request.Tasks = append(request.Tasks, job.request.Tasks[index])
 	}
-	load.tell(lead, 2*between, &allocator.RoomRequested{From: "host-b", Request: request})
+	load.deliver(lead, 2*domainDelay, &allocator.RoomRequested{From: "host-b", Request: request})
 }
 
 // runTime returns how long a run takes on a server, and whether it ever ends.
@@ -322,20 +322,20 @@
 		return nil // It has ended before.
 	}
 	delete(server.running, key)
-	server.number++
-	server.ended = append(server.ended, allocator.RunEnd{Number: server.number, Run: key, Kind: kind})
-	if server.waiting != nil {
-		return load.answer(server, server.waiting)
+	server.lastEnd++
+	server.ended = append(server.ended, allocator.RunEnd{Number: server.lastEnd, Run: key, Kind: kind})
+	if server.pendingPoll != nil {
+		return load.answer(server, server.pendingPoll)
 	}
 	return nil
 }
 
-// answer answers a call after the way back.
+// answer sends the answer to a call, which arrives after serverDelay unless it is lost.
 func (load *load) answer(server *loadServer, call *allocator.HoldServer) []allocator.Input {
-	server.waiting = nil
+	server.pendingPoll = nil
 	if server.index < load.lossy && load.random.Float64() < 0.3 {
 		lost := &allocator.HoldReturned{Server: server.id, Sequence: call.Sequence, Outcome: allocator.CallUnanswered}
-		load.tell(server.lead, server.sentAt.Add(call.Timeout).Sub(load.now), lost)
+		load.deliver(server.lead, server.sentAt.Add(call.Timeout).Sub(load.now), lost)
 		return nil
 	}
 	returned := &allocator.HoldReturned{
@@ -345,11 +345,11 @@
 	for key := range server.running {
 		returned.Running = append(returned.Running, key)
 	}
-	server.listed = server.number
+	server.lastListed = server.lastEnd
 	if load.restarting == nil {
 		server.ended = nil
 	}
-	load.tell(server.lead, hop, returned)
+	load.deliver(server.lead, serverDelay, returned)
 	return nil
 }
 
@@ -359,8 +359,8 @@
 		return
 	}
 	load.done++
-	job.left--
-	if job.left == 0 {
+	job.tasksLeft--
+	if job.tasksLeft == 0 {
 		if load.now.Sub(job.arrivedAt) <= job.objective {
 			load.inTime[job.queue]++
 		} else {
@@ -370,9 +370,9 @@
 	}
 }
 
-// arrive makes one job of a random kind, with sizes and times spread as the users' are
-// and declared times off by two fifths.
-func (load *load) arrive() []allocator.Input {
+// submitJob submits one job of a random kind, with sizes and times spread as the users' are and
+// declared times off by two fifths.
+func (load *load) submitJob() []allocator.Input {
 	drawn := load.random.Float64()
 	chosen := load.kinds[0]
 	for _, kind := range load.kinds {
@@ -390,7 +390,7 @@
 	width := max(1, int(chosen.width*(1+0.4*load.random.NormFloat64())+0.5))
 	work := time.Duration(float64(chosen.work) * max(0.2, 1+0.4*load.random.NormFloat64()))
 	declared := time.Duration(float64(work) * max(0.3, 1+0.4*load.random.NormFloat64()))
-	job := &loadJob{queue: chosen.queue, left: width, arrivedAt: load.now}
+	job := &loadJob{queue: chosen.queue, tasksLeft: width, arrivedAt: load.now}
 	longest := time.Duration(0)
 	cpu := identifier.MilliCPU(8000 * max(0.5, 1+0.2*load.random.NormFloat64()))
 	for index := range width {
@@ -412,8 +412,9 @@
 	return []allocator.Input{&allocator.RoomRequested{From: "host-b", Request: request}}
 }
 
-// play lets jobs arrive at a rate for a time.
-func (load *load) play(perSecond float64, length time.Duration) {
+// simulate submits jobs at a rate for a time, and runs until all events are handled or 5 s have
+// passed after the last submission.
+func (load *load) simulate(perSecond float64, length time.Duration) {
 	var schedule func() []allocator.Input
 	stop := load.now.Add(length)
 	over := stop.Add(5 * time.Second)
@@ -421,10 +422,10 @@
 		if load.now >= stop {
 			return nil
 		}
-		load.at(load.drawLead(), time.Duration(load.random.ExpFloat64()/perSecond*float64(time.Second)), schedule)
-		return load.arrive()
+		load.at(load.randomLead(), time.Duration(load.random.ExpFloat64()/perSecond*float64(time.Second)), schedule)
+		return load.submitJob()
 	}
-	load.at(load.drawLead(), 0, schedule)
+	load.at(load.randomLead(), 0, schedule)
 	for len(load.events) > 0 {
 		lead, deadline := load.nextDeadline()
 		if min(deadline, load.events[0].due) > over {
@@ -443,15 +444,15 @@
 	}
 }
 
-// drawLead chooses the failure domain of a job.
-func (load *load) drawLead() int {
+// randomLead chooses the failure domain of a job.
+func (load *load) randomLead() int {
 	if len(load.leads) == 1 {
 		return 0
 	}
 	return load.random.IntN(len(load.leads))
 }
 
-// nextDeadline returns the lead whose next deadline falls due first, and when.
+// nextDeadline returns the lead whose next deadline is the earliest, and that deadline.
 func (load *load) nextDeadline() (int, identifier.Moment) {
 	first, deadline := 0, load.leads[0].NextDeadline()
 	for lead, allocator := range load.leads {
@@ -462,29 +463,28 @@
 	return first, deadline
 }
 
-// BenchmarkLead gives what a second of one lead costs in deciding alone, at the load of
-// a failure domain of the grown deployments.
+// BenchmarkLead measures the processor time of one lead's decisions per simulated second, at the
+// load of a failure domain of the larger deployments.
 func BenchmarkLead(b *testing.B) {
 	for range b.N {
 		load := newLoad(88)
-		load.play(240, 10*time.Second)
+		load.simulate(240, 10*time.Second)
 		b.ReportMetric(float64(load.ticks)/10, "ticks/s")
-		b.ReportMetric(float64(load.turnedAway)/float64(load.jobs), "turned-away")
+		b.ReportMetric(float64(load.rejected)/float64(load.jobs), "turned-away")
 		b.ReportMetric(float64(b.Elapsed().Milliseconds())/10/float64(b.N), "ms/s")
 	}
 }
 
-// worthOf is what users get for a job of each kind that is in time; a late one earns a
-// fifth.
-var worthOf = map[identifier.QueueName]float64{"quick": 0.0291, "large": 0.16, "lookup": 0.01}
+// valueOf is the value to users of a job of each kind that is in time; a late one is worth a fifth.
+var valueOf = map[identifier.QueueName]float64{"quick": 0.0291, "large": 0.16, "lookup": 0.01}
 
-// TestWorthUnderLoad replays the users' mix at rates around the room of a small and a
-// large failure domain, and pins what users get: how jobs wait, are turned away and are
-// placed decides it.
+// TestWorthUnderLoad simulates the users' job mix at rates around the capacity of a small and a
+// large failure domain, and pins the value that users get, which depends on how jobs wait, are
+// rejected and are placed.
 func TestWorthUnderLoad(t *testing.T) {
 	// A job of the mix takes this many task seconds on average.
 	const perJob = 0.244*8*0.06 + 0.044*4*0.9 + 0.712*2*0.2
-	// Servers of two sizes have room for this many tasks on average.
+	// Servers of two sizes have capacity for this many tasks on average.
 	const tasksPerServer = 2.25
 	for _, want := range []struct {
 		servers int
@@ -498,32 +498,30 @@
 		sum := 0.0
 		for _, share := range want.shares {
 			load := newLoad(want.servers)
-			load.play(share*float64(want.servers)*tasksPerServer/perJob, want.length)
-			sum += load.worth()
+			load.simulate(share*float64(want.servers)*tasksPerServer/perJob, want.length)
+			sum += load.value()
 		}
 		t.Logf("%d servers: %.3f of %d", want.servers, sum, len(want.shares))
 		if sum < want.worth {
-			t.Errorf("%d servers earn %.3f of %d, want at least %.3f", want.servers, sum, len(want.shares), want.worth)
+			t.Errorf("%d servers: users get %.3f of %d, want at least %.3f", want.servers, sum, len(want.shares), want.worth)
 		}
 	}
 }
 
-// worth is the share of what users could have got that they did get.
-func (load *load) worth() float64 {
+// value is the fraction of the possible value that users got.
+func (load *load) value() float64 {
 	earned, owed := 0.0, 0.0
 	for _, kind := range load.kinds {
-		earned += worthOf[kind.queue] * (float64(load.inTime[kind.queue]) + 0.2*float64(load.late[kind.queue]))
-		owed += worthOf[kind.queue] * float64(load.arrived[kind.queue])
+		earned += valueOf[kind.queue] * (float64(load.inTime[kind.queue]) + 0.2*float64(load.late[kind.queue]))
+		owed += valueOf[kind.queue] * float64(load.arrived[kind.queue])
 	}
 	return earned / owed
 }
 
-// TestWorthWithBadServers. Symptom: a tenth of the jobs are late or get no answer for as
-// long as a few backend servers are bad. Sequence: two of sixteen servers let two runs in
-// five hang, or take four or eight times as long, or five lose three answers in ten; they
-// look free, and get more work.
-// Cause: only runs that have ended told about a server, so that hanging ones told
-// nothing until their jobs' time was over.
+// TestWorthWithBadServers guards against a few bad backend servers that make a tenth of the jobs
+// late or unanswered: two of sixteen servers let two runs in five hang, or take four or eight times
+// as long, or five lose three answers in ten. They look free, and get more work, if only runs that
+// have ended count against a server, so that hanging ones do not before their jobs' time is over.
 func TestWorthWithBadServers(t *testing.T) {
 	for _, want := range []struct {
 		name                 string
@@ -539,27 +537,26 @@
 	} {
 		load := newLoad(16)
 		load.hanging, load.slow, load.lossy, load.slowFactor = want.hanging, want.slow, want.lossy, want.slowFactor
-		load.play(24, time.Minute)
-		t.Logf("%s: %.3f, %d turned away", want.name, load.worth(), load.turnedAway)
-		if load.worth() < want.worth {
-			t.Errorf("%s: users get %.3f, want at least %.3f", want.name, load.worth(), want.worth)
+		load.simulate(24, time.Minute)
+		t.Logf("%s: %.3f, %d rejected", want.name, load.value(), load.rejected)
+		if load.value() < want.worth {
+			t.Errorf("%s: users get %.3f, want at least %.3f", want.name, load.value(), want.worth)
 		}
 	}
 }
 
-// Symptom: the widest jobs are refused in calm seconds, at seven tenths of the room.
-// Sequence: jobs of 8 to 25 tasks arrive in failure domains with 28 spots each, of which
-// some 8 are free; the other three have as many.
-// Cause: a job went whole to another failure domain or not at all, and none had room for
-// all of it.
+// TestWideJobsAreShared guards against the rejection of the widest jobs in calm seconds, at seven
+// tenths of the capacity: jobs of 8 to 25 tasks arrive in failure domains with 28 slots each, of
+// which some 8 are free; the other three have as many. A job that goes to another failure domain
+// whole or not at all finds capacity for all of it in none.
 func TestWideJobsAreShared(t *testing.T) {
 	const perJob = 0.244*8*0.06 + 0.044*4*0.9 + 0.712*2*0.2
 	for _, want := range []struct{ share, worth float64 }{{0.7, 0.975}, {0.9, 0.875}} {
 		load := newLoadOf(4, 12)
-		load.play(want.share*48*2.25/perJob, time.Minute)
-		t.Logf("at %.2f of the room: %.3f, %d of %d turned away", want.share, load.worth(), load.turnedAway, load.jobs)
-		if load.worth() < want.worth {
-			t.Errorf("at %.2f of the room users get %.3f, want at least %.3f", want.share, load.worth(), want.worth)
+		load.simulate(want.share*48*2.25/perJob, time.Minute)
+		t.Logf("at %.2f of the capacity: %.3f, %d of %d rejected", want.share, load.value(), load.rejected, load.jobs)
+		if load.value() < want.worth {
+			t.Errorf("at %.2f of the capacity users get %.3f, want at least %.3f", want.share, load.value(), want.worth)
 		}
 	}
 }
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -10,86 +10,86 @@
 // Input is a message or event that Tick applies.
 type Input interface{ isAllocatorInput() }
 
-// LeadTaken tells that this host leads its failure domain from now on.
+// LeadTaken reports that this host leads the cell from now on, under an epoch.
 type LeadTaken struct{ Epoch identifier.Epoch }
 
-// LeadLost tells that another host leads the failure domain.
+// LeadLost reports that this host no longer leads the cell.
 type LeadLost struct{}
 
-// OthersFollow tells whether every other host that might lead the cell has said that it follows
-// this lead's epoch, or can't lead any more: none of them gives leases from now on.
+// OthersFollow reports whether every other host that might lead the cell has confirmed that it
+// follows this lead's epoch, or can't lead any more: none of them grants leases from now on.
 type OthersFollow struct{ Following bool }
 
-// EvacuationsKnown tells in which failure domains nothing is started from now on.
+// EvacuationsKnown reports in which failure domains nothing is started from now on.
 type EvacuationsKnown struct{ Evacuated messenger.Evacuated }
 
-// RunsNamed tells that every living host has named the runs that its jobs still have.
+// RunsNamed reports that every living host has reported the runs that its jobs still have.
 type RunsNamed struct{}
 
-// CardArrived brings what a backend server says about itself.
+// CardArrived carries the report of a backend server about itself.
 type CardArrived struct{ Card messenger.ServerCard }
 
-// CardRecalled brings what a backend server said about itself before this host started,
-// as the keepers remember it.
+// CardRecalled carries the report that a backend server sent before this host started, as the
+// keepers remember it.
 type CardRecalled struct{ Card messenger.ServerCard }
 
-// RoomRequested brings a request of a host that supervises a job.
+// RoomRequested carries a request for capacity of a host that supervises a job.
 type RoomRequested struct {
 	From    identifier.HostID
 	Request messenger.RoomRequest
 }
 
-// JobGoesElsewhere tells that another cell is about to give room to tasks of a job that this cell
-// is the home of, and doesn't know.
+// JobGoesElsewhere reports that another cell is about to grant capacity to tasks of a job whose
+// home is this cell, and which this cell doesn't know.
 type JobGoesElsewhere struct {
 	Job   identifier.JobID
 	Cell  messenger.CellRef
 	Tasks []messenger.TaskIndex
 }
 
-// RoomReleased tells that a host wants no more room for a job: what runs is stopped.
+// RoomReleased reports that a host wants no more capacity for a job: its runs are stopped.
 type RoomReleased struct {
 	From identifier.HostID
 	Job  identifier.JobID
 }
 
-// StartReported brings a start that was not accepted.
+// StartReported reports a start that was not accepted.
 type StartReported struct {
 	From   identifier.HostID
 	Report messenger.StartReport
 }
 
-// HostGone tells that a host can't supervise its jobs any more.
+// HostGone reports that a host can't supervise its jobs any more.
 type HostGone struct{ Host identifier.HostID }
 
-// RemoteLeadKnown tells who leads another cell, here or in another failure domain; an empty host that nobody
-// does.
+// RemoteLeadKnown reports who leads another cell, here or in another failure domain; an empty host
+// means that nobody does.
 type RemoteLeadKnown struct {
 	Cell messenger.CellRef
 	Host identifier.HostID
 }
 
-// NoticeArrived brings the room of another cell.
+// NoticeArrived carries the notice of another cell's free capacity.
 type NoticeArrived struct{ Notice messenger.RoomNotice }
 
 //go:generate enumer -type=CallOutcome,EndKind -trimprefix=Call,End -transform=kebab -text -output=messages_enumer.go
 
-// CallOutcome is what became of a call to a backend server.
+// CallOutcome is the outcome of a call to a backend server.
 type CallOutcome int
 
 // The outcomes of calls.
 const (
 	// CallAnswered means that the backend server carried the call out.
 	CallAnswered CallOutcome = iota
-	// CallFenced means that it has seen a newer lead.
+	// CallFenced means that the backend server has seen a newer lead.
 	CallFenced
 	// CallGone means that another incarnation answers at the address.
 	CallGone
-	// CallUnanswered means that nobody knows whether it was carried out.
+	// CallUnanswered means that it is unknown whether the call was carried out.
 	CallUnanswered
 )
 
-// EndKind tells how a run ended.
+// EndKind is how a run ended.
 type EndKind int
 
 // The kinds of ends.
@@ -98,38 +98,38 @@
 	EndDone EndKind = iota
 	// EndFailed means that the run failed, by its own fault or the server's.
 	EndFailed
-	// EndStopped means that it was told to stop.
+	// EndStopped means that the run was stopped on request.
 	EndStopped
-	// EndLapsed means that its lease ran out.
+	// EndLapsed means that the run's lease expired.
 	EndLapsed
 )
 
-// RunEnd is one end that a backend server lists.
+// RunEnd is the end of a run, as a backend server lists it.
 type RunEnd struct {
-	// Number rises within one life of the server.
+	// Number increases within one incarnation of the server.
 	Number int64
 	Run    messenger.RunKey
 	Kind   EndKind
 }
 
-// HoldReturned brings the answer to a HoldServer.
+// HoldReturned carries the answer to a HoldServer.
 type HoldReturned struct {
 	Server identifier.ServerIncarnation
-	// Answering is the life that answered, as far as it tells.
+	// Answering is the incarnation that answered, if the answer names it.
 	Answering identifier.ServerIncarnation
-	// Sequence is that of the call.
+	// Sequence is the number of the call that is answered.
 	Sequence uint64
 	SentAt   identifier.Moment
 	Outcome  CallOutcome
 	Clock    identifier.ServerTime
 	Running  []messenger.RunKey
 	Ended    []RunEnd
-	// Partial tells that something in the lists could not be read: what they don't name
-	// may run or have ended all the same.
+	// Partial is set if some rows of the lists could not be read: what they don't name may run or
+	// have ended all the same.
 	Partial bool
 }
 
-// StopReturned brings the answer to a StopRun.
+// StopReturned carries the answer to a StopRun.
 type StopReturned struct {
 	Epoch   identifier.Epoch
 	Server  identifier.ServerIncarnation
@@ -154,34 +154,34 @@
 func (*HoldReturned) isAllocatorInput()     {}
 func (*StopReturned) isAllocatorInput()     {}
 
-// Output is what the owner of the allocator carries out.
+// Output is a message, call or log entry that the owner of the allocator carries out.
 type Output interface{ isAllocatorOutput() }
 
-// GrantRoom gives a host room for runs.
+// GrantRoom grants a host capacity for runs.
 type GrantRoom struct {
 	To    identifier.HostID
 	Grant messenger.Grant
 }
 
-// AnswerRoom tells a host what became of its request.
+// AnswerRoom answers a host's request for capacity where it is not granted.
 type AnswerRoom struct {
 	To     identifier.HostID
 	Answer messenger.RoomAnswer
 }
 
-// TellDone tells a host that a task has done its work.
+// TellDone notifies a host that a task has done its work.
 type TellDone struct {
 	To   identifier.HostID
 	Done messenger.TaskDone
 }
 
-// TellNotice tells another lead what room is here.
+// TellNotice sends another lead a notice of the free capacity here.
 type TellNotice struct {
 	To     identifier.HostID
 	Notice messenger.RoomNotice
 }
 
-// HoldServer calls a backend server: it renews the lease of all that runs there,
+// HoldServer is a long-poll call to a backend server: it renews the lease of all that runs there,
 // acknowledges ends and waits for new ones.
 type HoldServer struct {
 	Server identifier.ServerIncarnation
@@ -191,15 +191,15 @@
 	Epoch    identifier.Epoch
 	// LeaseEnd is zero where the lease is not renewed.
 	LeaseEnd identifier.ServerTime
-	// Cursor is the highest end that is acknowledged; zero acknowledges none.
+	// Cursor is the number of the last acknowledged end; zero acknowledges none.
 	Cursor int64
-	// Wait is how long the server holds its answer back for an end, Timeout how long the
-	// answer is waited for.
+	// Wait is how long the server delays its answer until there is an end, Timeout how long the
+	// caller waits for the answer.
 	Wait    time.Duration
 	Timeout time.Duration
 }
 
-// StopRun calls a backend server to stop a run, or to refuse it if it comes later.
+// StopRun calls a backend server to stop a run, or to refuse its start if that arrives later.
 type StopRun struct {
 	Server  identifier.ServerIncarnation
 	Address string
@@ -207,13 +207,13 @@
 	Epoch   identifier.Epoch
 }
 
-// Fenced tells that backend servers have seen a lead with a higher epoch.
+// Fenced reports that backend servers have seen a lead with a higher epoch.
 type Fenced struct{ Epoch identifier.Epoch }
 
-// ShareCard hands a card on to the other hosts of the failure domain.
+// ShareCard broadcasts a server's report to the other hosts of the failure domain.
 type ShareCard struct{ Card messenger.ServerCard }
 
-// Decided reports a decision for the log.
+// Decided carries a decision for the log.
 type Decided struct{ Decision messenger.Decision }
 
 func (*GrantRoom) isAllocatorOutput()  {}
--- a/pkg/allocator/notices.go
+++ b/pkg/allocator/notices.go
@@ -8,23 +8,23 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// remote is the lead of another cell and the room that it told of.
+// remote is the lead of another cell and the capacity that its last notice reported.
 type remote struct {
-	host  identifier.HostID
-	heard identifier.Moment
-	// openings are when it should have room for one more task each, the earliest first,
-	// less what was sent there since it told.
-	openings []identifier.Moment
+	host         identifier.HostID
+	lastNoticeAt identifier.Moment
+	// releases are when it should have capacity for one more task each, the earliest first, less
+	// the tasks that were sent there since the notice.
+	releases []identifier.Moment
 }
 
-// useOpening notes that the earliest opening is taken.
-func (remote *remote) useOpening() {
-	if len(remote.openings) > 0 {
-		remote.openings = remote.openings[1:]
+// consumeRelease removes the earliest expected release, which is used now.
+func (remote *remote) consumeRelease() {
+	if len(remote.releases) > 0 {
+		remote.releases = remote.releases[1:]
 	}
 }
 
-func (allocator *Allocator) learnRemoteLead(input *RemoteLeadKnown) {
+func (allocator *Allocator) handleRemoteLead(input *RemoteLeadKnown) {
 	if input.Cell == allocator.ref() {
 		return
 	}
@@ -38,76 +38,77 @@
 	}
 }
 
-// ref names the own cell.
+// ref identifies the own cell.
 func (allocator *Allocator) ref() messenger.CellRef {
 	return messenger.CellRef{FailureDomain: allocator.FailureDomain, Cell: allocator.Cell}
 }
 
-func (allocator *Allocator) takeNotice(notice *messenger.RoomNotice) {
+func (allocator *Allocator) handleNotice(notice *messenger.RoomNotice) {
 	known := allocator.remotes.Get(notice.From)
 	if known == nil {
 		return
 	}
-	known.heard = allocator.now
+	known.lastNoticeAt = allocator.now
 	if allocator.evacuated() {
-		// What waits here may move there now.
-		allocator.changed = true
+		// What waits here may be handed off there now.
+		allocator.retryPlacement = true
 	}
-	known.openings = make([]identifier.Moment, 0, notice.Spots+len(notice.Openings))
+	known.releases = make([]identifier.Moment, 0, notice.Spots+len(notice.Openings))
 	for range notice.Spots {
-		known.openings = append(known.openings, allocator.now)
+		known.releases = append(known.releases, allocator.now)
 	}
 	for _, delay := range notice.Openings {
-		known.openings = append(known.openings, allocator.now.Add(time.Duration(delay)*time.Millisecond))
+		known.releases = append(known.releases, allocator.now.Add(time.Duration(delay)*time.Millisecond))
 	}
 }
 
-// openingsTold bounds the openings in a notice. A usual job has eight tasks at most; the
-// widest have some thirty, and are shared between several cells.
-const openingsTold = 24
+// maxNoticeReleases bounds the expected releases in a notice. A usual job has eight tasks at most;
+// the widest have some thirty, and are spread over several cells.
+const maxNoticeReleases = 24
 
-// notice tells what room is here beyond what waits for it.
+// notice reports the capacity here beyond what the waiting tasks take.
 func (allocator *Allocator) notice() messenger.RoomNotice {
 	notice := messenger.RoomNotice{From: allocator.ref()}
-	spots := allocator.spots()
-	if spare := spots - allocator.waitingTasks; spare >= openingsTold {
+	freeSlots := allocator.freeSlots()
+	if spare := freeSlots - allocator.waitingTasks; spare >= maxNoticeReleases {
 		notice.Spots = spare
 		return notice
 	}
-	openings := allocator.openings(spots, allocator.waitingTasks)
-	for _, opening := range openings[:min(len(openings), openingsTold)] {
-		if opening.Due(allocator.now) {
+	releases := allocator.expectedReleases(freeSlots, allocator.waitingTasks)
+	for _, release := range releases[:min(len(releases), maxNoticeReleases)] {
+		if release.Due(allocator.now) {
 			notice.Spots++
 			continue
 		}
-		delay := min(opening.Sub(allocator.now).Milliseconds(), math.MaxUint16)
+		delay := min(release.Sub(allocator.now).Milliseconds(), math.MaxUint16)
 		notice.Openings = append(notice.Openings, messenger.Delay(delay))
 	}
 	return notice
 }
 
-// tellNotice tells the other leads of the room here, and again while it changes.
+// sendNotice notifies the other leads of the capacity here, again while it changes, and at half of
+// NoticeAge in any case.
 //
-// Where no backend servers are called there is nothing to tell, and hosts send each
-// other no more than before.
-func (allocator *Allocator) tellNotice() {
+// Where no backend servers are called there is nothing to report, and the hosts send each other no
+// notices.
+func (allocator *Allocator) sendNotice() {
 	if allocator.servers.Len() == 0 {
 		return
 	}
-	due := allocator.toldAt.Add(allocator.Settings.NoticeInterval)
+	due := allocator.noticeSentAt.Add(allocator.Settings.NoticeInterval)
 	timer := timerKey{kind: timerNotice}
 	if !due.Due(allocator.now) {
 		allocator.timers.Set(timer, due)
 		return
 	}
 	notice := allocator.notice()
-	quiet := notice.Spots == allocator.told.Spots && len(notice.Openings) == 0 && len(allocator.told.Openings) == 0
-	if quiet && allocator.now.Before(allocator.toldAt.Add(allocator.Settings.NoticeAge/2)) {
-		allocator.timers.Set(timer, allocator.toldAt.Add(allocator.Settings.NoticeAge/2))
+	quiet := notice.Spots == allocator.lastNotice.Spots && len(notice.Openings) == 0 && len(allocator.lastNotice.Openings) == 0
+	if quiet && allocator.now.Before(allocator.noticeSentAt.Add(allocator.Settings.NoticeAge/2)) {
+		allocator.timers.Set(timer, allocator.noticeSentAt.Add(allocator.Settings.NoticeAge/2))
 		return
 	}
-	allocator.told = notice
-	allocator.toldAt = allocator.now
+	allocator.lastNotice = notice
+	allocator.noticeSentAt = allocator.now
 	allocator.timers.Set(timer, allocator.now.Add(allocator.Settings.NoticeAge/2))
 	allocator.remotes.Each(func(_ messenger.CellRef, remote *remote) bool {
 		if remote.host != "" {
--- a/pkg/allocator/notices_test.go
+++ b/pkg/allocator/notices_test.go
@@ -10,17 +10,17 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// Symptom: leads send tasks to a cell that has no room for minutes, and callers wait there.
-// Sequence: a task of two minutes takes the only server of a cell; the lead tells the others
-// when it expects the room to come free.
-// Cause guarded against: a time beyond what a notice can hold comes out as a short one.
+// TestNoticeOfLongRuns guards against leads that hand tasks to a cell without capacity for minutes,
+// where the callers wait. A task of two minutes takes the only server of a cell, and the lead
+// reports to the others when it expects the capacity to come free; a time beyond what a notice can
+// hold must not come out as a short one.
 func TestNoticeOfLongRuns(t *testing.T) {
 	lead := &allocator.Allocator{FailureDomain: "leuven", Settings: allocator.DefaultSettings()}
-	var told *messenger.RoomNotice
+	var lastNotice *messenger.RoomNotice
 	tick := func(at time.Duration, inputs ...allocator.Input) {
 		for _, output := range lead.Tick(identifier.Moment(at), inputs) {
 			if notice, isNotice := output.(*allocator.TellNotice); isNotice {
-				told = &notice.Notice
+				lastNotice = &notice.Notice
 			}
 		}
 	}
@@ -35,23 +35,23 @@
 		Tasks: []messenger.RoomTask{{Needs: needs, Declared: 2 * time.Minute}},
 	}})
 	tick(time.Second)
-	if told == nil || told.Spots != 0 || len(told.Openings) != 1 || told.Openings[0] != math.MaxUint16 {
-		t.Errorf("told %+v, want one opening at the longest time that a notice holds", told)
+	if lastNotice == nil || lastNotice.Spots != 0 || len(lastNotice.Openings) != 1 || lastNotice.Openings[0] != math.MaxUint16 {
+		t.Errorf("the notice is %+v, want one expected release at the longest time that a notice holds", lastNotice)
 	}
 }
 
-// TestNoticeBeforeTheFirstJob guards against a failure domain that tells of no room because it has
-// never placed a task: after a start of all hosts no other one would send it any.
+// TestNoticeBeforeTheFirstJob guards against a failure domain that reports no capacity because it
+// has never placed a task: after a start of all hosts no other one would send it any.
 func TestNoticeBeforeTheFirstJob(t *testing.T) {
 	load := newLoadOf(2, 4)
-	load.play(0.001, time.Second)
-	told := 0
+	load.simulate(0.001, time.Second)
+	freeSlots := 0
 	for _, output := range load.leads[1].Tick(load.now.Add(time.Second), nil) {
 		if notice, isNotice := output.(*allocator.TellNotice); isNotice {
-			told = notice.Notice.Spots
+			freeSlots = notice.Notice.Spots
 		}
 	}
-	if told == 0 {
-		t.Error("no room is told of, though no server has anything to do")
+	if freeSlots == 0 {
+		t.Error("the notice reports no capacity, although no server has anything to do")
 	}
 }
--- a/pkg/allocator/placing.go
+++ b/pkg/allocator/placing.go
@@ -5,22 +5,22 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// place gives room to waiting tasks, in the order of the waiting jobs. A job behind
-// one that finds no room may still get some: its tasks may be smaller.
+// place grants capacity to waiting tasks, in the order of the waiting jobs. A job behind one that
+// finds no capacity may still get some: its tasks may be smaller.
 func (allocator *Allocator) place() {
-	if !allocator.changed || len(allocator.waiting) == 0 || allocator.overtaken {
-		allocator.changed = false
+	if !allocator.retryPlacement || len(allocator.waiting) == 0 || allocator.superseded {
+		allocator.retryPlacement = false
 		return
 	}
-	allocator.changed = false
+	allocator.retryPlacement = false
 	if allocator.evacuated() {
-		allocator.moveOn()
+		allocator.evacuateWaiting()
 		return
 	}
-	// Placing changes the list.
+	// Placing changes allocator.waiting.
 	waiting := append([]*job(nil), allocator.waiting...)
 	misses := 0
-	largest := allocator.largestGap()
+	largest := allocator.largestFreeCapacity()
 	for _, job := range waiting {
 		if !job.mayFit(largest) {
 			continue
@@ -30,17 +30,18 @@
 			misses++
 		}
 		if waited && job.granted {
-			allocator.shareOut(job)
+			allocator.handOffTasks(job)
 		}
-		if misses == placeMisses {
+		if misses == maxPlacementMisses {
 			return
 		}
-		largest = allocator.largestGap()
+		largest = allocator.largestFreeCapacity()
 	}
 }
 
-// largestGap is at least as much as any usable server has free.
-func (allocator *Allocator) largestGap() identifier.Resources {
+// largestFreeCapacity is the componentwise maximum of the usable servers' free capacities: no
+// server has more of any resource.
+func (allocator *Allocator) largestFreeCapacity() identifier.Resources {
 	var largest identifier.Resources
 	allocator.servers.Each(func(_ identifier.ServerIncarnation, server *server) bool {
 		if allocator.usable(server) {
@@ -51,23 +52,23 @@
 	return largest
 }
 
-// mayFit tells whether some task of the job that waits is small enough for a gap.
+// mayFit reports whether some waiting task of the job fits into a free capacity.
 func (job *job) mayFit(gap identifier.Resources) bool {
 	for index := range job.tasks {
-		if task := &job.tasks[index]; task.queued && task.room.Needs.Fits(gap) {
+		if task := &job.tasks[index]; task.queued && task.requested.Needs.Fits(gap) {
 			return true
 		}
 	}
 	return false
 }
 
-// placeMisses is how many waiting jobs may find no room before a search ends. Tasks
-// are of similar size, so those behind would find none either.
-const placeMisses = 8
+// maxPlacementMisses is how many waiting jobs may find no capacity before a search ends. Tasks are
+// of similar size, so those behind would find none either.
+const maxPlacementMisses = 8
 
-// placeJob gives room to the waiting tasks of one job and tells whether all got it.
+// placeJob grants capacity to the waiting tasks of one job and reports whether all got it.
 func (allocator *Allocator) placeJob(job *job) bool {
-	if allocator.overtaken {
+	if allocator.superseded {
 		return false
 	}
 	grant := messenger.Grant{Job: job.request.Job, Epoch: allocator.epoch, Cell: allocator.Cell, Ask: job.request.Ask}
@@ -76,9 +77,9 @@
 		if !task.queued {
 			continue
 		}
-		server := allocator.roomFor(job, task)
-		if task.account.Suspect() {
-			server = allocator.loneRoomFor(job, task)
+		server := allocator.bestServerFor(job, task)
+		if task.account.IsSuspect() {
+			server = allocator.isolatedServerFor(job, task)
 		}
 		if server == nil {
 			continue
@@ -89,15 +90,15 @@
 	if len(grant.Runs) == 0 {
 		return false
 	}
-	allocator.takeGranted(job, &grant)
+	allocator.recordGrant(job, &grant)
 	return job.queued == 0
 }
 
-// takeGranted counts granted tasks off the waiting ones and tells the job's host.
-func (allocator *Allocator) takeGranted(job *job, grant *messenger.Grant) {
+// recordGrant marks the job as granted, and sends the grant to the job's host.
+func (allocator *Allocator) recordGrant(job *job, grant *messenger.Grant) {
 	allocator.markGranted(job)
 	allocator.emit(&GrantRoom{To: job.from, Grant: *grant})
-	allocator.decided(messenger.Decision{
+	allocator.logDecision(messenger.Decision{
 		Kind: messenger.DecisionGranted, Job: job.request.Job, Run: grant.Runs[0].Run, Server: grant.Runs[0].Server,
 		Tasks: len(grant.Runs), Elapsed: allocator.now.Sub(job.arrivedAt), Epoch: allocator.epoch,
 	})
@@ -112,11 +113,11 @@
 	}
 }
 
-// roomFor returns the server that a task fits best, or nil: the one on which it
-// leaves the least room that no usual task fits. Packing by size decides how much of
-// a failure domain can be used, as two tasks fill most of a server. A server near the
-// job's data goes first; a job does not wait for one, since many may want the same rack.
-func (allocator *Allocator) roomFor(job *job, task *task) *server {
+// bestServerFor returns the server that a task fits best, or nil: the one on which it leaves the
+// smallest remainder that no usual task fits. As two tasks fill most of a server, packing by size
+// determines how much of a failure domain can be used. A server near the job's data comes first,
+// but a job does not wait for one, since many may want the same rack.
+func (allocator *Allocator) bestServerFor(job *job, task *task) *server {
 	var best *server
 	var bestWaste, bestLoad identifier.MilliCPU
 	bestNear := false
@@ -125,7 +126,7 @@
 		if !allocator.mayRun(job, task, server) {
 			return true
 		}
-		left := server.free().MilliCPU - task.room.Needs.MilliCPU
+		left := server.free().MilliCPU - task.requested.Needs.MilliCPU
 		waste := left
 		if usual > 0 {
 			waste = left % usual
@@ -142,16 +143,16 @@
 }
 
 func (allocator *Allocator) mayRun(job *job, task *task, server *server) bool {
-	if !allocator.usable(server) || server.card.Service != job.request.Service || !task.room.Needs.Fits(server.free()) {
+	if !allocator.usable(server) || server.report.Service != job.request.Service || !task.requested.Needs.Fits(server.free()) {
 		return false
 	}
-	if server.suspects > 0 && task.account.Suspect() {
+	if server.suspects > 0 && task.account.IsSuspect() {
 		return false
 	}
-	if server.card.Server == task.avoid || !server.hasLabel(job.request.Label) {
+	if server.report.Server == task.avoid || !server.hasLabel(job.request.Label) {
 		return false
 	}
-	return job.request.PerServer == 0 || job.runsOn(server.card.Server) < job.request.PerServer
+	return job.request.PerServer == 0 || job.runsOn(server.report.Server) < job.request.PerServer
 }
 
 func (job *job) runsOn(server identifier.ServerIncarnation) int {
--- a/pkg/allocator/planning.go
+++ b/pkg/allocator/planning.go
@@ -11,62 +11,62 @@
 
 // plan is when and where the tasks of a job should start.
 type plan struct {
-	// openings are one for each task, from the longest to the shortest.
-	openings []opening
+	// releases are the expected releases for the tasks, from the longest task to the shortest.
+	releases []expectedRelease
 	// wait is how long the last task waits.
 	wait   time.Duration
 	inTime bool
 }
 
-// opening is room for one more task.
-type opening struct {
+// expectedRelease is capacity for one more task, free now or at a later time.
+type expectedRelease struct {
 	at identifier.Moment
 	// remote is nil for the own cell.
 	cell   messenger.CellRef
 	remote *remote
 }
 
-// plan predicts when some tasks of a job can start, here or at other cells, and whether
-// the job would be in time. The tasks stand from the longest to the shortest, and start in
-// this order. Room that is free here counts unless it was tried in vain.
+// plan predicts when some tasks of a job can start, here or at other cells, and whether the job
+// would be in time. The tasks are sorted from the longest to the shortest, and start in this order.
+// Capacity that is free here counts unless it was tried in vain.
 func (allocator *Allocator) plan(job *job, tasks []*task, tried bool) plan {
 	count := len(tasks)
 	if count == 0 || allocator.estimates.milliCPU == 0 && !allocator.evacuated() {
 		return plan{inTime: true}
 	}
 	ahead := allocator.tasksAhead(job)
-	spots := 0
+	freeSlots := 0
 	if !tried {
-		spots = allocator.spots()
+		freeSlots = allocator.freeSlots()
 	}
-	if spots >= ahead+count {
+	if freeSlots >= ahead+count {
 		return plan{inTime: true}
 	}
-	openings := allocator.openingsFor(job, count, ahead, spots)
-	if len(openings) < count {
+	releases := allocator.releasesFor(job, count, ahead, freeSlots)
+	if len(releases) < count {
 		return plan{wait: allocator.usualWait()}
 	}
-	openings = openings[:count]
-	first, last := openings[0].at, openings[count-1].at
-	planned := plan{openings: openings, wait: max(last.Sub(allocator.now), 0)}
+	releases = releases[:count]
+	first, last := releases[0].at, releases[count-1].at
+	planned := plan{releases: releases, wait: max(last.Sub(allocator.now), 0)}
 	if last.Due(allocator.now) {
 		planned.inTime = true
 		return planned
 	}
-	shortest := allocator.estimates.runTime(job.request.Queue, tasks[count-1].room.Declared)
-	patience := job.dueAt.Sub(job.arrivedAt) / latenessRisked
-	lastInTime := last.Add(shortest).Before(job.dueAt.Add(patience))
+	shortest := allocator.estimates.expectedRunTime(job.request.Queue, tasks[count-1].requested.Declared)
+	tolerance := job.dueAt.Sub(job.arrivedAt) / toleratedLateness
+	lastInTime := last.Add(shortest).Before(job.dueAt.Add(tolerance))
 	firstInTime := first.Due(allocator.now) || !job.startBy.Before(first)
 	planned.inTime = lastInTime && firstInTime
 	return planned
 }
 
-// latenessRisked is the part of a job's time by which it may be late, as predicted, and
-// still be let in. Predictions rest on declared times that are off by two fifths, and most
-// jobs of which a little lateness is predicted are in time.
-const latenessRisked = 4
+// toleratedLateness divides a job's time into the part, a quarter, by which the job may be late, as
+// predicted, and still be admitted. Predictions rest on declared times that are off by two fifths, and most
+// jobs with a slight predicted lateness are in time.
+const toleratedLateness = 4
 
-// tasksAhead counts the tasks without room of jobs that come before a job.
+// tasksAhead counts the queued tasks of the jobs that come before a job.
 func (allocator *Allocator) tasksAhead(job *job) int {
 	ahead := 0
 	for _, other := range allocator.waiting {
@@ -77,57 +77,59 @@
 	return ahead
 }
 
-// openingsFor lists the room that so many tasks of a job may use, the earliest first: here
-// behind the tasks ahead with so many spots free, and at other cells unless one of them sent
-// the job here. Room elsewhere counts as later by what the way there costs.
-func (allocator *Allocator) openingsFor(job *job, count, ahead, spots int) []opening {
-	here := allocator.openings(spots, ahead)
+// releasesFor lists the expected releases that a number of tasks of a job may use, the earliest
+// first: here, behind the tasks ahead and with a number of free slots, and at other cells unless
+// one of them handed the job off to this one. Capacity elsewhere counts as later by the cost of
+// going there.
+func (allocator *Allocator) releasesFor(job *job, count, ahead, freeSlots int) []expectedRelease {
+	here := allocator.expectedReleases(freeSlots, ahead)
 	here = here[:min(len(here), count)]
-	openings := make([]opening, 0, len(here))
+	releases := make([]expectedRelease, 0, len(here))
 	for _, at := range here {
-		openings = append(openings, opening{at: at})
+		releases = append(releases, expectedRelease{at: at})
 	}
 	if !job.request.HandedOver {
-		openings = append(openings, allocator.openingsElsewhere(count)...)
-		if len(openings) < count && allocator.evacuated() {
-			openings = append(openings, allocator.unheardElsewhere(job, count)...)
+		releases = append(releases, allocator.remoteReleases(count)...)
+		if len(releases) < count && allocator.evacuated() {
+			releases = append(releases, allocator.assumedRemoteReleases(job, count)...)
 		}
-		slices.SortStableFunc(openings, func(first, second opening) int { return cmp.Compare(first.at, second.at) })
+		slices.SortStableFunc(releases, func(first, second expectedRelease) int { return cmp.Compare(first.at, second.at) })
 	}
-	return openings
+	return releases
 }
 
-// openings lists when room for one more task each should come free here, the earliest
-// first, behind a number of tasks, with so many spots free.
-func (allocator *Allocator) openings(spots, ahead int) []identifier.Moment {
+// expectedReleases lists when capacity for one more task each should come free here, the earliest
+// first, behind a number of tasks and with a number of free slots.
+func (allocator *Allocator) expectedReleases(freeSlots, ahead int) []identifier.Moment {
 	if allocator.evacuated() {
 		return nil
 	}
-	openings := make([]identifier.Moment, 0, 2*allocator.servers.Len())
-	for range max(spots-ahead, 0) {
-		openings = append(openings, allocator.now)
+	releases := make([]identifier.Moment, 0, 2*allocator.servers.Len())
+	for range max(freeSlots-ahead, 0) {
+		releases = append(releases, allocator.now)
 	}
-	ahead = max(ahead-spots, 0)
-	openings = append(openings, allocator.expectedEnds()...)
-	return openings[min(ahead, len(openings)):]
+	ahead = max(ahead-freeSlots, 0)
+	releases = append(releases, allocator.expectedEnds()...)
+	return releases[min(ahead, len(releases)):]
 }
 
-// openingsElsewhere lists what other cells told lately, up to a number for each. A cell of
-// the own failure domain counts as nearer, as bytes between failure domains are dear.
-func (allocator *Allocator) openingsElsewhere(most int) []opening {
-	var openings []opening
+// remoteReleases lists the expected releases of recent notices of other cells, up to a number for
+// each cell. A cell of the own failure domain counts as nearer, as traffic between failure domains
+// is expensive.
+func (allocator *Allocator) remoteReleases(limit int) []expectedRelease {
+	var releases []expectedRelease
 	allocator.remotes.Each(func(cell messenger.CellRef, remote *remote) bool {
-		if remote.host == "" || allocator.evacuations.Has(cell.FailureDomain) || !allocator.heardLately(remote) {
+		if remote.host == "" || allocator.evacuations.Has(cell.FailureDomain) || !allocator.hasFreshNotice(remote) {
 			return true
 		}
-		way := allocator.Settings.WayElsewhere
+		delay := allocator.Settings.RemoteDelay
 		if cell.FailureDomain == allocator.FailureDomain {
-			way /= 2
+			delay /= 2
 		}
-		for _, at := range remote.openings[:min(len(remote.openings), most)] {
-			openings = append(openings, opening{at: max(at, allocator.now).Add(way), cell: cell, remote: remote})
+		for _, at := range remote.releases[:min(len(remote.releases), limit)] {
+			releases = append(releases, expectedRelease{at: max(at, allocator.now).Add(delay), cell: cell, remote: remote})
 		}
 		return true
 	})
-	return openings
+	return releases
 }
--- a/pkg/allocator/resizing.go
+++ b/pkg/allocator/resizing.go
@@ -4,35 +4,36 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// resize notes that a backend server has another capacity. What runs there goes on, and what is being
-// stopped counts until it is over; nothing is placed beyond the new capacity from now on.
+// resize records that a backend server has another capacity. Its runs go on, and those that are
+// being stopped count until they are over; nothing is placed beyond the new capacity from now on.
 //
-// The other hosts of the failure domain hear of one that has shrunk: each of them may lead next, and
-// would place by the capacity of the server's first card until its next heartbeat comes. One that has
-// grown is told by its heartbeats soon enough, and one that keeps changing costs a message only when
-// it is smaller than the others know.
+// The report of a server that has shrunk is broadcast to the other hosts of the failure domain:
+// each of them may lead next, and would place by the capacity in the server's first report until
+// its next heartbeat comes. For a server that has grown, its heartbeats reach the next lead soon
+// enough. A server that keeps changing costs a message only when it is smaller than the other hosts
+// know.
 func (allocator *Allocator) resize(server *server) {
-	allocator.changed = true
-	shared := server.shared
-	if !allocator.Leads() || shared.Min(server.card.Capacity) == shared {
+	allocator.retryPlacement = true
+	shared := server.broadcastCapacity
+	if !allocator.Leads() || shared.Min(server.report.Capacity) == shared {
 		return
 	}
-	server.shared = shared.Min(server.card.Capacity)
-	told := server.card
-	told.Capacity = server.shared
-	allocator.emit(&ShareCard{Card: told})
-	allocator.refuseNeverFitting()
+	server.broadcastCapacity = shared.Min(server.report.Capacity)
+	broadcast := server.report
+	broadcast.Capacity = server.broadcastCapacity
+	allocator.emit(&ShareCard{Card: broadcast})
+	allocator.rejectNeverFitting()
 }
 
-// refuseNeverFitting turns waiting jobs away that no server can hold any more. They would wait until
-// their time is over, and their callers with them.
-func (allocator *Allocator) refuseNeverFitting() {
+// rejectNeverFitting rejects waiting jobs that no server can hold any more. They would wait until
+// their deadline, and their callers with them.
+func (allocator *Allocator) rejectNeverFitting() {
 	for _, job := range append([]*job(nil), allocator.waiting...) {
 		if job.granted || job.closed {
 			continue
 		}
 		if detail, never := allocator.neverFits(job); never {
-			allocator.turnAway(job, messenger.ReasonNeverRunnable, detail, 0)
+			allocator.reject(job, messenger.ReasonNeverRunnable, detail, 0)
 		}
 	}
 }
--- a/pkg/allocator/resizing_test.go
+++ b/pkg/allocator/resizing_test.go
@@ -8,27 +8,28 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// TestRoomThatShrinksIsToldToTheNextLead. Symptom: a start brings a server over its room seconds after it
-// has shrunk. Sequence: a server's heartbeat tells the lead of a smaller capacity; the lead is lost; the
-// next one places by the server's first card until the next heartbeat. Cause: only the first card and the
-// last were shared. A capacity that changes with each heartbeat is told once.
+// TestRoomThatShrinksIsToldToTheNextLead guards against a start that exceeds a server's capacity
+// seconds after it has shrunk: a heartbeat reports a smaller capacity to the lead, the lead is
+// lost, and the next lead places by the server's first report until the next heartbeat. This
+// happens if only the first report and the last one are broadcast. A capacity that changes with
+// each heartbeat is broadcast once.
 func TestRoomThatShrinksIsToldToTheNextLead(t *testing.T) {
 	lead := &allocator.Allocator{FailureDomain: "leuven", Settings: allocator.DefaultSettings()}
-	card := messenger.ServerCard{
+	report := messenger.ServerCard{
 		Server: "s1", Service: "desk", Address: "s1", FailureDomain: "leuven", Sequence: 1, Capacity: identifier.Resources{MilliCPU: 32000},
 	}
-	lead.Tick(0, []allocator.Input{&allocator.LeadTaken{Epoch: 1}, &allocator.CardArrived{Card: card}})
-	var told []identifier.MilliCPU
+	lead.Tick(0, []allocator.Input{&allocator.LeadTaken{Epoch: 1}, &allocator.CardArrived{Card: report}})
+	var broadcast []identifier.MilliCPU
 	for _, cpu := range []identifier.MilliCPU{32000, 16000, 32000, 16000, 24000, 8000, 32000} {
-		card.Sequence++
-		card.Capacity.MilliCPU = cpu
-		for _, output := range lead.Tick(1, []allocator.Input{&allocator.CardArrived{Card: card}}) {
+		report.Sequence++
+		report.Capacity.MilliCPU = cpu
+		for _, output := range lead.Tick(1, []allocator.Input{&allocator.CardArrived{Card: report}}) {
 			if shared, isShared := output.(*allocator.ShareCard); isShared {
-				told = append(told, shared.Card.Capacity.MilliCPU)
+				broadcast = append(broadcast, shared.Card.Capacity.MilliCPU)
 			}
 		}
 	}
-	if len(told) != 2 || told[0] != 16000 || told[1] != 8000 {
-		t.Errorf("told of capacities %v, want 16000 and 8000", told)
+	if len(broadcast) != 2 || broadcast[0] != 16000 || broadcast[1] != 8000 {
+		t.Errorf("broadcast capacities %v, want 16000 and 8000", broadcast)
 	}
 }
--- a/pkg/allocator/runs.go
+++ b/pkg/allocator/runs.go
@@ -8,118 +8,119 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// run is the room of one run on one server, from its grant until it is surely over.
+// run is the capacity of one run on one server, from its grant until it is provably over.
 type run struct {
 	key    messenger.RunKey
 	server identifier.ServerIncarnation
 	needs  identifier.Resources
-	// job is nil for a run that no job here asked for.
+	// job is nil for an unclaimed run.
 	job *job
-	// confirmed tells that the server has listed the run.
+	// confirmed is set once the server has listed the run.
 	confirmed bool
-	// stopping tells that the run is no longer wanted.
+	// stopping is set once the run is no longer wanted.
 	stopping bool
-	// stopAnswered tells that the server has carried the stop out: the run ends within
-	// the stop time or will be refused.
+	// stopAnswered is set once the server has accepted the stop: the run ends within the stop time
+	// or its start will be refused.
 	stopAnswered bool
 	grantedAt    identifier.Moment
-	// epoch is the fence under which the run was granted here; zero where another lead did.
+	// epoch is the fence under which the run was granted here; zero where another lead granted it.
 	epoch identifier.Epoch
-	// absentAfter is from when a call's answer that doesn't list the run proves that it
-	// is over; before, its start may be under way.
+	// absentAfter is the time after which a call must be sent so that an answer without the run
+	// proves that it is over; before, its start may be under way.
 	absentAfter  identifier.Moment
 	expectedEnd  identifier.Moment
 	expectedTime time.Duration
-	// moved tells that the run was granted on an earlier life of the server.
+	// moved is set if the run was granted on an earlier incarnation of the server.
 	moved bool
-	// suspect tells that servers may crash under the task: its server gets no other such one meanwhile.
+	// suspect is set if servers may crash under the task: its server gets no other such task
+	// meanwhile.
 	suspect bool
-	// judgedSlow tells that the server was judged by how long the run takes already.
-	judgedSlow bool
+	// assessedSlow is set once the run was counted against the server for taking too long.
+	assessedSlow bool
 }
 
-// expectIn notes that the run is expected to end after a time. Once that has passed,
-// the time also tells how much longer the run may take.
-func (run *run) expectIn(now identifier.Moment, expected time.Duration) {
+// setExpectedTime records that the run is expected to end after a time. Once that time has passed,
+// it also serves to estimate how much longer the run may take.
+func (run *run) setExpectedTime(now identifier.Moment, expected time.Duration) {
 	run.expectedEnd = now.Add(expected)
 	run.expectedTime = expected
 }
 
-// absenceProves tells whether the answer to a call sent at sentAt, which does not
-// list the run, proves that it is over and will never start.
-func (run *run) absenceProves(sentAt identifier.Moment) bool {
+// absenceProvesEnd reports whether the answer to a call sent at sentAt, which does not list the
+// run, proves that the run is over and will never start.
+func (run *run) absenceProvesEnd(sentAt identifier.Moment) bool {
 	return run.confirmed && run.grantedAt.Before(sentAt) || run.absentAfter.Before(sentAt)
 }
 
-// isStartedBy tells whether a report is on the start of the run. Runs of an earlier sending,
-// or of an earlier epoch, may have had its number, and an answer to their start may come late:
-// taken for that of this run it would settle a run that is at work.
-func (run *run) isStartedBy(report *messenger.StartReport) bool {
+// matchesReport reports whether a start report is about this run. Runs of an earlier submission, or
+// of an earlier epoch, may have had its number, and an answer to their start may come late: taken
+// for that of this run it would end a run that is at work.
+func (run *run) matchesReport(report *messenger.StartReport) bool {
 	return run.server == report.Server && (run.epoch == 0 || run.epoch == report.Epoch)
 }
 
-// grant gives a task room on a server.
+// grant grants a task capacity on a server.
 func (allocator *Allocator) grant(job *job, task *task, server *server) messenger.GrantedRun {
 	job.lastRun++
-	key := messenger.RunKey{Job: job.request.Job, Task: task.room.Task, Run: job.lastRun}
+	key := messenger.RunKey{Job: job.request.Job, Task: task.requested.Task, Run: job.lastRun}
 	lease := allocator.extendLease(server)
 	created := &run{
-		key: key, server: server.card.Server, needs: task.room.Needs, job: job, grantedAt: allocator.now,
+		key: key, server: server.report.Server, needs: task.requested.Needs, job: job, grantedAt: allocator.now,
 		absentAfter: server.lapsesAt(allocator.now), epoch: server.fence,
 	}
-	created.expectIn(allocator.now, allocator.estimates.runTime(job.request.Queue, task.room.Declared))
+	created.setExpectedTime(allocator.now, allocator.estimates.expectedRunTime(job.request.Queue, task.requested.Declared))
 	server.runs[key] = created
-	if task.account.Suspect() {
+	if task.account.IsSuspect() {
 		server.markSuspect(created)
 	}
-	server.used = server.used.Add(task.room.Needs)
+	server.used = server.used.Add(task.requested.Needs)
 	task.run = created
 	allocator.timers.Set(overdueTimer(created), created.grantedAt.Add(created.overdueAfter(slowAfter)))
-	allocator.estimates.noteNeeds(task.room.Needs)
-	allocator.hold(server)
+	allocator.estimates.recordNeeds(task.requested.Needs)
+	allocator.poll(server)
 	return messenger.GrantedRun{
-		Task: key.Task, Run: key.Run, Server: server.card.Server, Address: server.card.Address, LeaseEnd: lease,
+		Task: key.Task, Run: key.Run, Server: server.report.Server, Address: server.report.Address, LeaseEnd: lease,
 		Account: task.account, Fence: server.fence,
 	}
 }
 
-// confirmRun notes that a server lists a run.
+// confirmRun records that a server lists a run.
 func (allocator *Allocator) confirmRun(server *server, key messenger.RunKey) {
 	if known := server.runs[key]; known != nil {
 		known.confirmed = true
-		server.settleMoved(known)
+		server.confirmMoved(known)
 		return
 	}
-	allocator.addOrphan(server, key)
+	allocator.addUnclaimedRun(server, key)
 }
 
 func stopTimer(run *run) timerKey {
 	return timerKey{kind: timerRunStop, server: run.server, run: run.key}
 }
 
-// stop has a run ended that is not wanted any more.
+// stop stops a run that is not wanted any more.
 func (allocator *Allocator) stop(run *run, reason string) {
 	if run.stopping {
 		return
 	}
 	run.stopping = true
-	allocator.decided(messenger.Decision{
+	allocator.logDecision(messenger.Decision{
 		Kind: messenger.DecisionStopped, Job: run.key.Job, Task: run.key.Task, Run: run.key.Run, Server: run.server, Reason: reason,
 	})
-	allocator.callStop(run)
+	allocator.sendStop(run)
 }
 
-func (allocator *Allocator) callStop(run *run) {
+func (allocator *Allocator) sendStop(run *run) {
 	server := allocator.servers.Get(run.server)
 	if server == nil {
 		return
 	}
 	allocator.timers.Clear(stopTimer(run))
-	allocator.emit(&StopRun{Server: run.server, Address: server.card.Address, Run: run.key, Epoch: server.fence})
+	allocator.emit(&StopRun{Server: run.server, Address: server.report.Address, Run: run.key, Epoch: server.fence})
 }
 
-// takeStop takes the answer to a stop.
-func (allocator *Allocator) takeStop(input *StopReturned) {
+// handleStopAnswer handles the answer to a stop.
+func (allocator *Allocator) handleStopAnswer(input *StopReturned) {
 	server := allocator.servers.Get(input.Server)
 	if server == nil {
 		return
@@ -131,15 +132,15 @@
 	switch input.Outcome {
 	case CallAnswered:
 		run.stopAnswered = true
-		allocator.changed = true
+		allocator.retryPlacement = true
 		allocator.timers.Set(stopTimer(run), allocator.now.Add(allocator.Settings.StopTime+stopMargin))
 	case CallGone:
-		allocator.endLife(server, "another incarnation answers")
+		allocator.endIncarnation(server, "another incarnation answers")
 	case CallFenced:
-		// The refusal of an earlier epoch's stop says nothing about this one.
-		if input.Epoch == server.fence && !allocator.fencedByNamesake(server) {
-			allocator.takeRefusal(server)
-			allocator.hold(server)
+		// The refusal of a stop under an earlier epoch says nothing about this one.
+		if input.Epoch == server.fence && !allocator.fencedBySameID(server) {
+			allocator.handleFenced(server)
+			allocator.poll(server)
 		}
 		allocator.timers.Set(stopTimer(run), allocator.now.Add(allocator.Settings.StopRetry))
 	case CallUnanswered:
@@ -147,11 +148,12 @@
 	}
 }
 
-// stopMargin is added to the time that a stop takes, for the clocks' difference.
+// stopMargin is added to the time that a stop takes, for the difference of the clocks.
 const stopMargin = 10 * time.Millisecond
 
-// stopDue is when an orphan's wait is over, a stop is sent again, or a stopped run is
-// over although no end of it was listed: it was never there, and never will be.
+// stopDue handles the timer of a run that is to end. The wait for the host of an unclaimed run is
+// over, a stop is to be repeated, or a run whose stop was answered is over although its end was not
+// listed: it was never there, and never will be.
 func (allocator *Allocator) stopDue(id identifier.ServerIncarnation, key messenger.RunKey) {
 	server := allocator.servers.Get(id)
 	if server == nil {
@@ -163,27 +165,27 @@
 	case run.stopAnswered:
 		allocator.endRun(server, run, "stopped")
 	case run.stopping:
-		allocator.callStop(run)
+		allocator.sendStop(run)
 	case run.job == nil:
 		allocator.stop(run, "no host asks for it")
 	}
 }
 
-// finishRun takes the good end of a run.
-func (allocator *Allocator) finishRun(server *server, ended *run) {
-	allocator.forgetRun(server, ended)
+// completeRun handles the successful end of a run.
+func (allocator *Allocator) completeRun(server *server, ended *run) {
+	allocator.releaseRun(server, ended)
 	job := ended.job
 	if job == nil {
-		allocator.keepStrayEnd(server, ended.key, EndDone)
+		allocator.keepUnmatchedEnd(server, ended.key, EndDone)
 		return
 	}
 	if job.successor != nil {
-		allocator.keepStrayEnd(server, ended.key, EndDone)
+		allocator.keepUnmatchedEnd(server, ended.key, EndDone)
 	}
 	ran := allocator.now.Sub(ended.grantedAt)
 	task := job.task(ended.key.Task)
-	allocator.judgeRun(ended, job, false, ran)
-	allocator.estimates.learn(job.request.Queue, task.room.Declared, ran)
+	allocator.assessRun(ended, job, false, ran)
+	allocator.estimates.recordRunTime(job.request.Queue, task.requested.Declared, ran)
 	if task.run != ended {
 		return
 	}
@@ -193,23 +195,23 @@
 	allocator.closeIfDone(job)
 }
 
-// endRunBy takes a listed end that is not a good one.
-func (allocator *Allocator) endRunBy(server *server, ended *run, kind EndKind) {
+// handleUnsuccessfulEnd handles a listed end of a run that has not done its work.
+func (allocator *Allocator) handleUnsuccessfulEnd(server *server, ended *run, kind EndKind) {
 	if kind == EndFailed && ended.job != nil {
-		allocator.judgeRun(ended, ended.job, true, allocator.now.Sub(ended.grantedAt))
+		allocator.assessRun(ended, ended.job, true, allocator.now.Sub(ended.grantedAt))
 		task := ended.job.task(ended.key.Task)
 		if task.run == ended {
 			task.account.Failures++
-			task.avoid = server.card.Server
+			task.avoid = server.report.Server
 		}
 	}
 	allocator.endRun(server, ended, kind.String())
 }
 
-// endRun notes that a run is surely over without having done its work. Its task is
-// placed again, unless too many of its runs have failed.
+// endRun records that a run is provably over without having done its work. Its task is placed
+// again, unless too many of its runs have failed.
 func (allocator *Allocator) endRun(server *server, ended *run, reason string) {
-	allocator.forgetRun(server, ended)
+	allocator.releaseRun(server, ended)
 	job := ended.job
 	if job == nil {
 		return
@@ -220,19 +222,19 @@
 		return
 	}
 	task.run = nil
-	allocator.decided(messenger.Decision{
-		Kind: messenger.DecisionRunOver, Job: ended.key.Job, Task: ended.key.Task, Run: ended.key.Run, Server: server.card.Server,
+	allocator.logDecision(messenger.Decision{
+		Kind: messenger.DecisionRunOver, Job: ended.key.Job, Task: ended.key.Task, Run: ended.key.Run, Server: server.report.Server,
 		Reason: reason, Elapsed: allocator.now.Sub(ended.grantedAt), Epoch: allocator.epoch,
 	})
 	if job.closed {
 		if job.successor != nil {
-			// The host that asks again may name the run.
-			allocator.keepStrayEnd(server, ended.key, EndStopped)
+			// The host that sends the next request may name the run.
+			allocator.keepUnmatchedEnd(server, ended.key, EndStopped)
 		}
 		allocator.dropIfOver(job)
 		return
 	}
-	if task.account.Spent(job.request.Attempts) {
+	if task.account.IsExhausted(job.request.Attempts) {
 		allocator.failJob(job, messenger.ReasonTaskFailed, "a task failed as often as it may")
 		return
 	}
@@ -246,22 +248,22 @@
 	}
 }
 
-// forgetRun gives the room of a run back.
-func (allocator *Allocator) forgetRun(server *server, ended *run) {
+// releaseRun removes a run that is over and frees its capacity.
+func (allocator *Allocator) releaseRun(server *server, ended *run) {
 	allocator.detach(server, ended)
 	if ended.job == nil {
-		allocator.orphans--
+		allocator.unclaimedRuns--
 	}
-	allocator.changed = true
-	if !server.toCall() {
-		allocator.stopCalling(server.card.Server)
+	allocator.retryPlacement = true
+	if !server.needsPolling() {
+		allocator.stopCalling(server.report.Server)
 	}
 }
 
-// judgeRun hands the outcome of a run to the judge of the servers. After a lost answer an
-// end is learned late and the server looks slow: that is as its users see it.
-func (allocator *Allocator) judgeRun(ended *run, job *job, failed bool, ran time.Duration) {
-	allocator.judged = append(allocator.judged, &assessor.TaskEnded{
-		Server: judgedAs(ended.server), Origin: assessor.Origin{Team: identifier.TeamID(job.request.Queue)}, Failed: failed, RunTime: ran,
+// assessRun passes the outcome of a run to the assessor of the servers. After a lost answer an end
+// is learned late and the server looks slow, which is how its users experience it.
+func (allocator *Allocator) assessRun(ended *run, job *job, failed bool, ran time.Duration) {
+	allocator.healthInputs = append(allocator.healthInputs, &assessor.TaskEnded{
+		Server: assessedID(ended.server), Origin: assessor.Origin{Team: identifier.TeamID(job.request.Queue)}, Failed: failed, RunTime: ran,
 	})
 }
--- a/pkg/allocator/servers_test.go
+++ b/pkg/allocator/servers_test.go
@@ -9,21 +9,21 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// Symptom: a backend server counts as gone that is at work, and its tasks run twice; or a
-// task starts on a server of another service. Sequence: a second writer sends a heartbeat
-// under the id of a living server, with another address or service. Calls go to that
-// address from then on, and whoever lives there denies the id. Cause: what is fixed for a
-// whole life was taken over from each heartbeat.
+// TestWhatIsFixedForALife guards against a working backend server that counts as gone, so that its
+// tasks run twice, and against a task that starts on a server of another service. Both come about
+// if a second writer sends a heartbeat under the id of a living server, with another address or
+// service, and the lead adopts from each heartbeat what is fixed for an incarnation: calls go to
+// that address from then on, and whoever is there denies the id.
 func TestWhatIsFixedForALife(t *testing.T) {
 	created := &allocator.Allocator{FailureDomain: "leuven", Settings: allocator.DefaultSettings()}
 	tick := func(at time.Duration, inputs ...allocator.Input) []allocator.Output {
 		return created.Tick(identifier.Moment(at), inputs)
 	}
 	needs := identifier.Resources{MilliCPU: 14000}
-	card := messenger.ServerCard{
+	report := messenger.ServerCard{
 		Server: "s1", Service: "desk", Address: "a", FailureDomain: "leuven", Capacity: needs, Sequence: 1,
 	}
-	tick(0, &allocator.LeadTaken{Epoch: 7}, &allocator.CardArrived{Card: card})
+	tick(0, &allocator.LeadTaken{Epoch: 7}, &allocator.CardArrived{Card: report})
 	tick(2*time.Millisecond, &allocator.HoldReturned{Server: "s1", Sequence: 1})
 	for _, other := range []messenger.ServerCard{
 		{Server: "s1", Service: "desk", Address: "b", FailureDomain: "leuven", Capacity: needs, Sequence: 2},
@@ -35,10 +35,10 @@
 	want := messenger.ServerCard{
 		Server: "s1", Service: "desk", Address: "a", FailureDomain: "leuven", Capacity: needs, Sequence: 1,
 	}
-	cards := created.Cards()
-	if len(cards) != 1 || cards[0].Address != want.Address || cards[0].Service != want.Service ||
-		cards[0].FailureDomain != want.FailureDomain || cards[0].Sequence != want.Sequence {
-		t.Fatalf("the known backend servers are %+v, want %+v", cards, want)
+	reports := created.Cards()
+	if len(reports) != 1 || reports[0].Address != want.Address || reports[0].Service != want.Service ||
+		reports[0].FailureDomain != want.FailureDomain || reports[0].Sequence != want.Sequence {
+		t.Fatalf("the known backend servers are %+v, want %+v", reports, want)
 	}
 	outputs := tick(4*time.Millisecond, &allocator.RoomRequested{From: "host-b", Request: messenger.RoomRequest{
 		Job: "j", Service: "desk", Queue: "quick", Attempts: 2, Stretch: 1.6, Remaining: time.Second,
@@ -51,6 +51,6 @@
 		}
 	}
 	if !granted {
-		t.Error("a task of the server's service gets no room at its address")
+		t.Error("a task of the server's service gets no capacity at its address")
 	}
 }
--- a/pkg/allocator/startreports.go
+++ b/pkg/allocator/startreports.go
@@ -2,8 +2,8 @@
 
 import "github.com/stoathitch/stoathitch/pkg/messenger"
 
-// takeStartReport takes a start that was not accepted.
-func (allocator *Allocator) takeStartReport(input *StartReported) {
+// handleStartReport handles the report of a start that was not accepted.
+func (allocator *Allocator) handleStartReport(input *StartReported) {
 	key := input.Report.RunKey
 	job := allocator.jobs.Get(key.Job)
 	if job == nil || job.from != input.From {
@@ -11,14 +11,14 @@
 	}
 	task := job.task(key.Task)
 	run := task.run
-	if run == nil || run.key != key || !run.isStartedBy(&input.Report) {
+	if run == nil || run.key != key || !run.matchesReport(&input.Report) {
 		return
 	}
 	server := allocator.servers.Get(run.server)
 	if server == nil {
 		return
 	}
-	allocator.decided(messenger.Decision{
+	allocator.logDecision(messenger.Decision{
 		Kind: messenger.DecisionStartFailed, Job: key.Job, Task: key.Task, Run: key.Run, Server: run.server,
 		Reason: input.Report.Outcome.String(), Elapsed: allocator.now.Sub(run.grantedAt),
 	})
@@ -28,17 +28,18 @@
 		allocator.stop(run, "its start got no answer")
 		return
 	case messenger.StartServerGone:
-		allocator.endLife(server, "another incarnation answers")
+		allocator.endIncarnation(server, "another incarnation answers")
 		return
 	case messenger.StartFenced:
-		// A start under an earlier lead's epoch, or that of another life, says nothing about this one.
-		if input.Report.Epoch == server.fence && !allocator.fencedByNamesake(server) {
-			allocator.takeRefusal(server)
-			allocator.hold(server)
+		// A start under an earlier lead's epoch, or under the fence of another incarnation, says
+		// nothing about this one.
+		if input.Report.Epoch == server.fence && !allocator.fencedBySameID(server) {
+			allocator.handleFenced(server)
+			allocator.poll(server)
 		}
 	case messenger.StartNoRoom, messenger.StartUnhealthy:
-		server.closedUntil = allocator.now.Add(allocator.Settings.CloseTime)
-		allocator.timers.Set(timerKey{kind: timerReopen, server: run.server}, server.closedUntil)
+		server.refusesUntil = allocator.now.Add(allocator.Settings.CloseTime)
+		allocator.timers.Set(timerKey{kind: timerReopen, server: run.server}, server.refusesUntil)
 	case messenger.StartInvalid:
 		task.account.Failures = job.request.Attempts
 	}
--- a/pkg/budgeter/budgeter.go
+++ b/pkg/budgeter/budgeter.go
@@ -1,15 +1,16 @@
-// Package budgeter decides how often a task may be started: one account for runs that failed
-// and for backend servers that crashed under it.
+// Package budgeter decides how often a task may be started. One account counts both the runs that
+// failed and the backend servers that crashed under the task.
 //
-// A task may crash each server that starts it. Started again on the next server, and the next,
-// one such task in a hundred takes all servers of a failure domain down within seconds; it shows
-// as servers that are gone one after the other while the same job is granted room. What ran beside
-// it is innocent, and servers also crash by themselves, many at once when power or a rack is lost.
-// So a crash says the more of a task the fewer tasks ran on the server, and the fewer servers
-// crashed at that moment. A task under suspicion is started where nothing else runs, if there is
-// such a server, and no more once two servers have crashed under it and the crashes say enough.
+// A task may crash every server that starts it. Restarted on one server after another, one such
+// task in a hundred takes down all servers of a failure domain within seconds: servers disappear
+// one after the other while the same job keeps receiving grants. The tasks that ran beside it are
+// innocent, and servers also crash for other reasons, many at once when power or a rack is lost. So
+// a crash counts as stronger evidence against a task the fewer tasks ran on the server and the
+// fewer servers crashed at that moment. A suspect task is started where nothing else runs, if there
+// is such a server. It is not started any more once two servers have crashed under it and the
+// evidence suffices.
 //
-// It is pure: the owner tells it what happened.
+// The package is pure: its owner reports the events to it.
 package budgeter
 
 import (
@@ -19,74 +20,77 @@
 )
 
 const (
-	// leastCrashes is how many servers must have crashed under a task before it is held back.
-	leastCrashes = 2
-	// mostCrashes is how many may crash under a task, whatever else crashed with them.
-	mostCrashes = 3
-	// enough is how much the crashes must say: as much as one crash of a server with nothing else on it.
-	enough = 1.0
-	// momentTime is within which crashes may have one cause.
-	momentTime = 500 * time.Millisecond
-	// usualCrashes is how many servers crash within a moment each for a cause of its own.
-	usualCrashes = 2
+	// minCrashes is how many servers must have crashed under a task before it is blocked.
+	minCrashes = 2
+	// maxCrashes is the number of crashes at which a task is blocked whatever else crashed with its
+	// servers.
+	maxCrashes = 3
+	// minEvidence is the evidence that blocks a task: that of one crash of a server with nothing
+	// else on it.
+	minEvidence = 1.0
+	// correlationWindow is the time within which crashes may have a common cause.
+	correlationWindow = 500 * time.Millisecond
+	// independentCrashes is how many crashes within the window count as independent of each other.
+	independentCrashes = 2
 )
 
-// Account is what is known of the runs of one task. Its zero value is that of a task which was
+// Account records the failures and crashes of one task. Its zero value is that of a task which was
 // never started.
 type Account struct {
-	// Failures counts runs that ended badly.
+	// Failures counts the runs that ended unsuccessfully.
 	Failures int `cbor:"1,keyasint,omitempty"`
-	// Crashes counts the servers that were lost while the task ran there, as far as known by a crash.
+	// Crashes counts the servers that were lost while the task ran there, presumably by a crash.
 	Crashes int `cbor:"2,keyasint,omitempty"`
-	// Evidence is how much the losses say of the task: 1 is a crash of a server with nothing
-	// else on it while no other one crashed.
+	// Evidence is the sum of the evidence of the losses against the task: 1 is a crash of a server
+	// with nothing else on it while no other server crashed.
 	Evidence float64 `cbor:"3,keyasint,omitempty"`
 }
 
-// suspicion is how much crashes must say before a task starts alone: less than one crash of a
-// server with eight tasks, more than the loss of a rack.
-const suspicion = 0.1
+// suspectEvidence is the evidence from which on a task starts alone: less than that of one crash of
+// a server with eight tasks, more than that of the loss of a rack.
+const suspectEvidence = 0.1
 
-// Suspect tells whether the task should start where nothing else runs.
-func (account *Account) Suspect() bool { return account.Evidence >= suspicion }
+// IsSuspect reports whether the task should start where nothing else runs.
+func (account *Account) IsSuspect() bool { return account.Evidence >= suspectEvidence }
 
-// Spent tells whether the task is given up, with so many attempts.
-func (account *Account) Spent(attempts int) bool { return account.Failures >= attempts }
+// IsExhausted reports whether the task has used up this number of attempts.
+func (account *Account) IsExhausted(attempts int) bool { return account.Failures >= attempts }
 
-// Held tells whether the task is started no more because servers were lost under it. A server that is
-// cut off is lost like one that has crashed, so the job doesn't fail for it: it ends with its caller's
-// time.
-func (account *Account) Held() bool {
-	return account.Crashes >= mostCrashes || account.Crashes >= leastCrashes && account.Evidence >= enough
+// IsBlocked reports whether the task is not started any more because servers were lost under it. A
+// server that is partitioned off is lost in the same way as one that has crashed, so the job does
+// not fail for it: it ends at its caller's deadline.
+func (account *Account) IsBlocked() bool {
+	return account.Crashes >= maxCrashes || account.Crashes >= minCrashes && account.Evidence >= minEvidence
 }
 
-// Merge takes in what another host knows of the same task.
+// Merge raises the account to the values that another host knows of the same task.
 func (account *Account) Merge(other Account) {
 	account.Failures = max(account.Failures, other.Failures)
 	account.Crashes = max(account.Crashes, other.Crashes)
 	account.Evidence = max(account.Evidence, other.Evidence)
 }
 
-// Crashes weighs the crashes of the servers of a cell.
+// Crashes derives the evidence of each crash among the servers of a cell.
 type Crashes struct {
-	// moments are those of the last crashes, the earliest first.
-	moments []identifier.Moment
+	// recent holds the times of the latest crashes, the earliest first.
+	recent []identifier.Moment
 }
 
-// Note notes that a server has crashed with tasks on it, and returns how much that says of each.
-func (crashes *Crashes) Note(now identifier.Moment, tasks int) float64 {
-	recent := crashes.moments[:0]
-	for _, moment := range crashes.moments {
-		if now.Sub(moment) < momentTime {
+// Record records the crash of a server with this number of tasks on it and returns the evidence
+// against each of them.
+func (crashes *Crashes) Record(now identifier.Moment, tasks int) float64 {
+	recent := crashes.recent[:0]
+	for _, moment := range crashes.recent {
+		if now.Sub(moment) < correlationWindow {
 			recent = append(recent, moment)
 		}
 	}
-	crashes.moments = append(recent, now)
-	causes := max(len(crashes.moments)-usualCrashes+1, 1)
+	crashes.recent = append(recent, now)
+	causes := max(len(crashes.recent)-independentCrashes+1, 1)
 	return 1 / float64(max(tasks, 1)*causes)
 }
 
-// Charge charges an account with the loss of a server that says so much of its task.
+// Charge adds the loss of a server, with its evidence, to the account.
 func (account *Account) Charge(evidence float64) {
 	account.Crashes++
 	account.Evidence += evidence
--- a/pkg/budgeter/budgeter_test.go
+++ b/pkg/budgeter/budgeter_test.go
@@ -7,8 +7,8 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// TestTaskThatCrashesItsServersIsHeldBack counts after how many crashes a task is started no more, by
-// what ran beside it and how many other servers crashed at the same moment.
+// TestTaskThatCrashesItsServersIsHeldBack pins after how many crashes a task is blocked, depending
+// on what ran beside it and how many other servers crashed at the same moment.
 func TestTaskThatCrashesItsServersIsHeldBack(t *testing.T) {
 	for name, test := range map[string]struct {
 		beside, others int
@@ -22,37 +22,37 @@
 		var account Account
 		var crashes Crashes
 		now := identifier.Moment(time.Minute)
-		for !account.Held() {
+		for !account.IsBlocked() {
 			beside := test.beside
-			if account.Suspect() {
+			if account.IsSuspect() {
 				beside = 0
 			}
 			for range test.others {
-				crashes.Note(now, 2)
+				crashes.Record(now, 2)
 			}
-			account.Charge(crashes.Note(now, beside+1))
+			account.Charge(crashes.Record(now, beside+1))
 			now = now.Add(time.Second)
 		}
 		if account.Crashes != test.crashes {
-			t.Errorf("%s: held back after %d crashes, want %d", name, account.Crashes, test.crashes)
+			t.Errorf("%s: blocked after %d crashes, want %d", name, account.Crashes, test.crashes)
 		}
 	}
 }
 
-// TestCrashesOfManyServersAccuseNobody. Symptom guarded against: after a loss of power jobs end as
-// failed whose tasks did nothing wrong. What ran on a rack that is lost is started again like any
-// other task, and again beside others.
+// TestCrashesOfManyServersAccuseNobody guards against jobs that fail after a loss of power although
+// their tasks did nothing wrong. What ran on a lost rack is started again like any other task, and
+// again beside others.
 func TestCrashesOfManyServersAccuseNobody(t *testing.T) {
 	var crashes Crashes
 	suspects := 0
 	for range 12 {
 		var account Account
-		account.Charge(crashes.Note(identifier.Moment(time.Minute), 2))
-		if account.Suspect() {
+		account.Charge(crashes.Record(identifier.Moment(time.Minute), 2))
+		if account.IsSuspect() {
 			suspects++
 		}
-		if account.Held() {
-			t.Error("a task is held back after one crash")
+		if account.IsBlocked() {
+			t.Error("a task is blocked after one crash")
 		}
 	}
 	if suspects > 6 {
@@ -60,17 +60,18 @@
 	}
 }
 
-// TestFailuresAndCrashesAreOneAccount has a task given up by whichever comes first.
+// TestFailuresAndCrashesAreOneAccount checks that failures and crashes end a task independently of
+// each other, whichever limit is reached first.
 func TestFailuresAndCrashesAreOneAccount(t *testing.T) {
 	account := Account{Failures: 2, Crashes: 1, Evidence: 1}
-	if account.Spent(3) || account.Held() {
-		t.Error("given up or held back with an attempt left")
+	if account.IsExhausted(3) || account.IsBlocked() {
+		t.Error("exhausted or blocked with an attempt left")
 	}
 	account.Merge(Account{Failures: 1, Crashes: 2, Evidence: 0.5})
 	if account.Failures != 2 || account.Crashes != 2 || account.Evidence != 1 {
 		t.Errorf("merged into %+v", account)
 	}
-	if !account.Held() {
-		t.Error("a third start after two crashes that say enough")
+	if !account.IsBlocked() {
+		t.Error("a third start after two crashes with enough evidence")
 	}
 }
