--- a/pkg/identifier/ids.go
+++ b/pkg/identifier/ids.go
@@ -2,46 +2,46 @@
 // other package shares. It imports nothing of the project and decides nothing.
 package identifier
 
-// SubmissionID names one sending of a job. The same id sent again is a resend
-// and reaches the same answer.
+// SubmissionID identifies one submission of a job. The same id sent again is a resend
+// and gets the same answer.
 type SubmissionID string
 
-// JobID names a job. A job that is sent again under a new SubmissionID is a
+// JobID identifies a job. A job that is sent again under a new SubmissionID is a
 // resubmission.
 type JobID string
 
-// TaskID names a task within one submission.
+// TaskID identifies a task within one submission.
 type TaskID string
 
-// CallerID names who sent a job and may read its answer.
+// CallerID identifies the caller that submitted a job and may read its answer.
 type CallerID string
 
-// TeamID names the team whose quota a job is charged to.
+// TeamID identifies the team whose quota a job is charged to.
 type TeamID string
 
 // ClassName names the urgency class of a job.
 type ClassName string
 
-// HostID names one process of the system (an entry host or a keeper).
+// HostID identifies one process of the system (an entry host or a keeper).
 type HostID string
 
-// BackendServerID names one backend server.
+// BackendServerID identifies a backend server across its restarts.
 type BackendServerID string
 
-// WorkerID names one worker, a machine that intents are placed on.
+// WorkerID identifies a worker, a machine that intents are placed on.
 type WorkerID string
 
-// FailureDomain names a failure domain.
+// FailureDomain is the name of a failure domain, a group of hosts and backend servers.
 type FailureDomain string
 
-// RackID names a rack within a failure domain.
+// RackID identifies a rack within a failure domain.
 type RackID string
 
 // RequestID makes an operator's request idempotent: a resend with the same id
 // gets the first answer again.
 type RequestID string
 
-// IntentName names an operator's intent.
+// IntentName is the name of an operator's intent.
 type IntentName string
 
 // Epoch orders the leads of one cell: a backend server refuses starts from an
@@ -57,8 +57,8 @@
 // ConfigVersion numbers the accepted configurations; the first is 1.
 type ConfigVersion uint64
 
-// ConfigRevision is the number that an outside source of configurations gives its
-// documents; numbers rise, but not always by one. Zero means that there is none.
+// ConfigRevision is the number that an external source of configurations assigns to its
+// documents. Numbers increase, but not always by one. Zero means that there is none.
 type ConfigRevision uint64
 
 // Slots counts tasks that a backend server can run at the same moment.
--- a/pkg/identifier/incarnations.go
+++ b/pkg/identifier/incarnations.go
@@ -5,32 +5,32 @@
 	"strings"
 )
 
-// ServerIncarnation names one life of a backend server that is called: the server's id and, where the
-// server tells it, the moment of its start. Incarnations are compared for equality only: a machine's
-// clock may step back, so that a later start need not have a later moment.
+// ServerIncarnation identifies one incarnation of a called backend server: the server's id and, if the
+// server reports it, its start time. Incarnations are compared for equality only: a machine's clock may
+// step back, so a later start need not have a later time.
 type ServerIncarnation string
 
-// incarnationSeparator can't stand in an id.
+// incarnationSeparator can't occur in a server's id.
 const incarnationSeparator = " "
 
-// UnixMilliseconds is a moment on another machine's clock.
+// UnixMilliseconds is a point in time by another machine's wall clock.
 type UnixMilliseconds int64
 
-// NewServerIncarnation names the life of a server that started at a moment.
-func NewServerIncarnation(server BackendServerID, born UnixMilliseconds) ServerIncarnation {
-	return ServerIncarnation(string(server) + incarnationSeparator + strconv.FormatInt(int64(born), 10))
+// NewServerIncarnation returns the incarnation of a server that started at startedAt.
+func NewServerIncarnation(server BackendServerID, startedAt UnixMilliseconds) ServerIncarnation {
+	return ServerIncarnation(string(server) + incarnationSeparator + strconv.FormatInt(int64(startedAt), 10))
 }
 
-// UndatedIncarnation names the life of a server that doesn't tell when it started.
+// UndatedIncarnation returns the incarnation of a server that doesn't report its start time.
 func UndatedIncarnation(server BackendServerID) ServerIncarnation { return ServerIncarnation(server) }
 
-// Server returns the id of the server, which its lives share.
+// Server returns the server's id, which all its incarnations share.
 func (incarnation ServerIncarnation) Server() BackendServerID {
 	server, _, _ := strings.Cut(string(incarnation), incarnationSeparator)
 	return BackendServerID(server)
 }
 
-// Dated tells whether the server told when the life began.
+// Dated reports whether the incarnation includes the server's start time.
 func (incarnation ServerIncarnation) Dated() bool {
 	return strings.Contains(string(incarnation), incarnationSeparator)
 }
--- a/pkg/identifier/moment.go
+++ b/pkg/identifier/moment.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Moment is a point on one host's own monotonic clock, in nanoseconds since that
-// process started. Moments of different hosts are never compared: on the wire a
-// deadline travels as the time that remains.
+// Moment is a reading of one host's own monotonic clock, in nanoseconds since that
+// process started. Moments of different hosts are never compared: a deadline is sent
+// as the remaining time.
 type Moment int64
 
-// Never is a deadline that does not fall due.
+// Never is a deadline that is never reached.
 const Never Moment = math.MaxInt64
 
-// Add returns the moment that lies duration later. Never stays Never.
+// Add returns moment plus duration. Never plus any duration is Never.
 func (moment Moment) Add(duration time.Duration) Moment {
 	if moment == Never {
 		return Never
@@ -21,19 +21,19 @@
 	return moment + Moment(duration)
 }
 
-// Sub returns the time from other to moment.
+// Sub returns the time from other to moment; it is negative if other is later.
 func (moment Moment) Sub(other Moment) time.Duration {
 	return time.Duration(moment - other)
 }
 
-// Before tells whether moment lies before other.
+// Before reports whether moment is earlier than other.
 func (moment Moment) Before(other Moment) bool { return moment < other }
 
-// Due tells whether a deadline at moment has been reached at now.
+// Due reports whether a deadline at moment has been reached at now.
 func (moment Moment) Due(now Moment) bool { return moment <= now }
 
-// Remaining returns the time left until moment at now, as it travels on the
-// wire: nil for Never, zero for a deadline that has passed.
+// Remaining returns the time left until moment at now, in the form that is sent to
+// other hosts: nil for Never, zero for a deadline that has passed.
 func (moment Moment) Remaining(now Moment) *time.Duration {
 	if moment == Never {
 		return nil
@@ -42,8 +42,8 @@
 	return &remaining
 }
 
-// DeadlineFrom turns a remaining time from the wire into a deadline on this
-// host's clock; nil means Never.
+// DeadlineFrom converts a received remaining time into a deadline on this host's
+// clock; nil means Never.
 func DeadlineFrom(now Moment, remaining *time.Duration) Moment {
 	if remaining == nil {
 		return Never
--- a/pkg/identifier/resources.go
+++ b/pkg/identifier/resources.go
@@ -3,14 +3,14 @@
 // Accelerators counts whole accelerators.
 type Accelerators int
 
-// Resources is an amount of what a worker offers or a task needs.
+// Resources are the amounts of each resource that a worker offers or a task needs.
 type Resources struct {
 	MilliCPU     MilliCPU     `cbor:"1,keyasint,omitempty" json:"milli-cpu"`
 	Memory       Bytes        `cbor:"2,keyasint,omitempty" json:"memory-bytes"`
 	Accelerators Accelerators `cbor:"3,keyasint,omitempty" json:"accelerators,omitempty"`
 }
 
-// Add returns the sum of both.
+// Add returns the sum of each resource.
 func (resources Resources) Add(other Resources) Resources {
 	return Resources{
 		MilliCPU:     resources.MilliCPU + other.MilliCPU,
@@ -19,7 +19,7 @@
 	}
 }
 
-// Sub returns what is left after other is taken; it may be negative.
+// Sub returns resources minus other; amounts may be negative.
 func (resources Resources) Sub(other Resources) Resources {
 	return Resources{
 		MilliCPU:     resources.MilliCPU - other.MilliCPU,
@@ -28,7 +28,7 @@
 	}
 }
 
-// Times returns count times resources.
+// Times returns resources multiplied by count.
 func (resources Resources) Times(count int) Resources {
 	return Resources{
 		MilliCPU:     resources.MilliCPU * MilliCPU(count),
@@ -55,29 +55,29 @@
 	}
 }
 
-// Fits tells whether resources fits into room in every resource.
-func (resources Resources) Fits(room Resources) bool {
-	return resources.MilliCPU <= room.MilliCPU &&
-		resources.Memory <= room.Memory &&
-		resources.Accelerators <= room.Accelerators
+// Fits reports whether capacity is sufficient in every resource.
+func (resources Resources) Fits(capacity Resources) bool {
+	return resources.MilliCPU <= capacity.MilliCPU &&
+		resources.Memory <= capacity.Memory &&
+		resources.Accelerators <= capacity.Accelerators
 }
 
-// CountIn returns how many times resources fits into room. An amount that needs
-// nothing fits no counted number of times and returns zero.
-func (resources Resources) CountIn(room Resources) int {
+// CountIn returns how many times resources fits into capacity. It returns zero for
+// resources that need nothing, since their count has no bound.
+func (resources Resources) CountIn(capacity Resources) int {
 	count := -1
-	count = countOne(count, int64(resources.MilliCPU), int64(room.MilliCPU))
-	count = countOne(count, int64(resources.Memory), int64(room.Memory))
-	count = countOne(count, int64(resources.Accelerators), int64(room.Accelerators))
+	count = limitCount(count, int64(resources.MilliCPU), int64(capacity.MilliCPU))
+	count = limitCount(count, int64(resources.Memory), int64(capacity.Memory))
+	count = limitCount(count, int64(resources.Accelerators), int64(capacity.Accelerators))
 	return max(count, 0)
 }
 
-// countOne narrows count by one resource; a count below zero is not yet bounded.
-func countOne(count int, need, room int64) int {
+// limitCount lowers count to what one resource allows; a count below zero is not yet bounded.
+func limitCount(count int, need, capacity int64) int {
 	if need <= 0 {
 		return count
 	}
-	fits := int(max(room, 0) / need)
+	fits := int(max(capacity, 0) / need)
 	if count < 0 {
 		return fits
 	}
--- a/pkg/identifier/run.go
+++ b/pkg/identifier/run.go
@@ -1,14 +1,14 @@
 package identifier
 
-// RunNumber counts the runs of one task. The first is 1; a later run has a higher one.
+// RunNumber numbers the runs of one task. The first is 1; a later run has a higher number.
 type RunNumber uint32
 
-// ServiceName names a pool of backend servers that serve the same queues.
+// ServiceName is the name of a pool of backend servers that serve the same queues.
 type ServiceName string
 
-// QueueName names one queue of the configuration.
+// QueueName is the name of a queue in the configuration.
 type QueueName string
 
-// ServerTime is a reading of one backend server's own steady clock, in milliseconds.
+// ServerTime is a reading of one backend server's own monotonic clock, in milliseconds.
 // It is never compared with another clock.
 type ServerTime int64
