--- a/pkg/messenger/answer.go
+++ b/pkg/messenger/answer.go
@@ -8,7 +8,7 @@
 
 //go:generate enumer -type=Outcome,Reason -trimprefix=Outcome,Reason -transform=kebab -text -output=answer_enumer.go
 
-// Outcome is what became of a submission.
+// Outcome is the state or final result of a submission.
 type Outcome int
 
 // The outcomes of a submission.
@@ -17,13 +17,13 @@
 	OutcomePending Outcome = iota
 	// OutcomeComplete means that every task was answered.
 	OutcomeComplete
-	// OutcomeFailed means that the job ran at least in part and has no answer.
+	// OutcomeFailed means that the job ran, at least in part, and produced no complete answer.
 	OutcomeFailed
 	// OutcomeRefused means that the job was not accepted.
 	OutcomeRefused
 )
 
-// Reason tells why a submission failed or was refused.
+// Reason is why a submission failed or was refused.
 type Reason int
 
 // The reasons for failures and refusals.
@@ -31,81 +31,79 @@
 	ReasonNone Reason = iota
 	// ReasonTaskFailed means that a backend server ran a task and it failed.
 	ReasonTaskFailed
-	// ReasonTaskUnknown means that nobody can tell what became of a task: its
-	// backend server was lost after it had been told to start.
+	// ReasonTaskUnknown means that the outcome of a task is unknown: its backend server
+	// was lost after the start was sent to it.
 	ReasonTaskUnknown
-	// ReasonDeadlinePassed means that the deadline came before the answer.
+	// ReasonDeadlinePassed means that the deadline passed before there was an answer.
 	ReasonDeadlinePassed
-	// ReasonCancelled means that the caller cancelled.
+	// ReasonCancelled means that the caller cancelled the submission.
 	ReasonCancelled
-	// ReasonQueueFull means that the bounded queue had no room.
+	// ReasonQueueFull means that the bounded queue was full.
 	ReasonQueueFull
 	// ReasonOverQuota means that the team is over its quota.
 	ReasonOverQuota
-	// ReasonDeadlineUnreachable means that the deadline can't be met by what was
-	// observed of run times and queues.
+	// ReasonDeadlineUnreachable means that the deadline can't be met, by the observed
+	// run times and queues.
 	ReasonDeadlineUnreachable
-	// ReasonNeverRunnable means that no backend server could ever run it.
+	// ReasonNeverRunnable means that no backend server could ever run the job.
 	ReasonNeverRunnable
-	// ReasonNoBackendServer means that no living backend server may run it now.
+	// ReasonNoBackendServer means that no live backend server may run the job at present.
 	ReasonNoBackendServer
-	// ReasonShuttingDown means that the entry host takes no new work.
+	// ReasonShuttingDown means that the entry host accepts no new jobs.
 	ReasonShuttingDown
-	// ReasonHomeUnreachable means that the failure domain that keeps the
-	// submission's record can't be reached, so nobody here can tell whether an
-	// earlier sending ran.
+	// ReasonHomeUnreachable means that the failure domain that keeps the submission's
+	// record can't be reached, so it is unknown here whether an earlier submission of
+	// the job ran.
 	ReasonHomeUnreachable
-	// ReasonClaimUnavailable means that the claim of a not-repeatable job could
-	// not be had from a quorum of the keepers.
+	// ReasonClaimUnavailable means that the claim of a not-repeatable job could not be
+	// acquired from a quorum of the keepers.
 	ReasonClaimUnavailable
 	// ReasonAlreadyClaimed means that another submission of the same
 	// not-repeatable job holds its claim.
 	ReasonAlreadyClaimed
-	// ReasonConflict means that the submission id is in use for another request.
+	// ReasonConflict means that the submission id is already used by a different request.
 	ReasonConflict
 	// ReasonUnknownSubmission means that nothing is known of the submission.
 	ReasonUnknownSubmission
-	// ReasonAnswerLost means that the job had ended, but no living host has its
-	// answer any more.
+	// ReasonAnswerLost means that the job ended, but no live host holds its answer any
+	// more.
 	ReasonAnswerLost
 )
 
-// TaskAnswer is the answer of one task.
+// TaskAnswer is the result of one task.
 type TaskAnswer struct {
 	Task   identifier.TaskID `cbor:"1,keyasint"`
 	Result []byte            `cbor:"2,keyasint,omitempty"`
-	// RunTime is how long the backend server ran the task, by its own account.
+	// RunTime is how long the task ran, as reported by the backend server.
 	RunTime time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// JobAnswer is the one answer of a submission.
+// JobAnswer is the single answer of a submission.
 type JobAnswer struct {
 	Submission identifier.SubmissionID `cbor:"1,keyasint"`
 	Outcome    Outcome                 `cbor:"2,keyasint"`
-	// NotRun tells that no task of the submission started or ever will.
+	// NotRun means that no task of the submission has started or ever will.
 	NotRun bool   `cbor:"3,keyasint,omitempty"`
 	Reason Reason `cbor:"4,keyasint,omitempty"`
-	// Detail says the reason in a sentence.
+	// Detail is a sentence that explains the reason.
 	Detail string `cbor:"5,keyasint,omitempty"`
-	// RetryAfter tells when a new submission is worth trying; zero says nothing.
+	// RetryAfter is the time after which a new submission may succeed; zero means unknown.
 	RetryAfter time.Duration `cbor:"6,keyasint,omitempty"`
 	Answers    []TaskAnswer  `cbor:"7,keyasint,omitempty"`
 }
 
-// ClaimsNothing tells whether the answer says nothing about the submission: nobody
-// knew whether it ran. Another host may know better.
+// ClaimsNothing reports whether the answer is a refusal that leaves open whether the
+// submission ran. Another host may know.
 func (answer *JobAnswer) ClaimsNothing() bool {
 	return answer.Outcome == OutcomeRefused && !answer.NotRun
 }
 
-// Refuse returns the refusal of a submission of which nothing started or ever
-// will.
+// Refuse returns the refusal of a submission none of whose tasks has started or ever will.
 func Refuse(submission identifier.SubmissionID, reason Reason, detail string) *JobAnswer {
 	return &JobAnswer{Submission: submission, Outcome: OutcomeRefused, NotRun: true, Reason: reason, Detail: detail}
 }
 
-// RefuseUnknown returns the refusal of a submission of which nobody here can say
-// whether it ran.
+// RefuseUnknown returns the refusal of a submission of which it is unknown here whether it ran.
 func RefuseUnknown(submission identifier.SubmissionID, reason Reason, detail string) *JobAnswer {
 	return &JobAnswer{Submission: submission, Outcome: OutcomeRefused, Reason: reason, Detail: detail}
 }
--- a/pkg/messenger/digest.go
+++ b/pkg/messenger/digest.go
@@ -7,9 +7,9 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// SubmissionDigest stands for a submission in lists that may be long: with the 42,000 that one
-// backend server has acknowledged in ten minutes at 70 starts a second, 336 KB in place of about
-// 1.7 MB. Two submissions of a million share one with a probability of 3e-8.
+// SubmissionDigest identifies a submission in lists that may be long: the 42,000 that one backend
+// server has acknowledged in ten minutes at 70 starts a second take 336 KB instead of about 1.7 MB.
+// Among a million submissions, two share a digest with a probability of 3e-8.
 type SubmissionDigest uint64
 
 // DigestOf returns the first 8 bytes of the SHA-256 of the submission's id, most significant
--- a/pkg/messenger/job.go
+++ b/pkg/messenger/job.go
@@ -1,6 +1,6 @@
-// Package messenger holds the typed messages of the data path: jobs, starts and
-// answers as they pass between callers, entry hosts and backend servers. It
-// moves nothing itself; pkg/connector does.
+// Package messenger defines the typed messages of the data path: jobs, starts and answers
+// between callers, entry hosts and backend servers. It sends nothing itself; pkg/connector
+// does.
 package messenger
 
 import (
@@ -10,37 +10,38 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Job is what a caller asks to run. Its tasks run in parallel and its answer is
-// either complete or marked failed.
+// Job is a caller's request to run tasks. They run in parallel, and the job's answer is
+// either complete or marked as failed.
 type Job struct {
 	Submission identifier.SubmissionID `cbor:"1,keyasint"`
 	Job        identifier.JobID        `cbor:"2,keyasint"`
 	Caller     identifier.CallerID     `cbor:"3,keyasint"`
 	Team       identifier.TeamID       `cbor:"4,keyasint"`
 	Class      identifier.ClassName    `cbor:"5,keyasint"`
-	// Repeatable tells that a resubmission under another id may run again.
+	// Repeatable means that a resubmission under another id may run again.
 	Repeatable bool `cbor:"6,keyasint"`
-	// MayRun lists the failure domains in which the job may run, the one that
-	// it belongs to (its home) first.
+	// MayRun lists the failure domains in which the job may run. The first is the one
+	// that it belongs to, its home.
 	MayRun []identifier.FailureDomain `cbor:"7,keyasint"`
 	Tasks  []Task                     `cbor:"8,keyasint"`
 }
 
-// Task is one part of a job.
+// Task is one of the parallel units of work of a job.
 type Task struct {
 	Task            identifier.TaskID `cbor:"1,keyasint"`
 	Payload         []byte            `cbor:"2,keyasint"`
 	DeclaredRunTime time.Duration     `cbor:"3,keyasint,omitempty"`
 }
 
-// WithoutTasks returns the job as it is remembered once it has its answer.
+// WithoutTasks returns a copy without the tasks, as it is kept once the job has its answer.
 func (job *Job) WithoutTasks() *Job {
-	slim := *job
-	slim.Tasks = nil
-	return &slim
+	withoutTasks := *job
+	withoutTasks.Tasks = nil
+	return &withoutTasks
 }
 
-// Home returns the failure domain whose lead keeps the record of the job.
+// Home returns the failure domain whose lead keeps the record of the job, or "" if MayRun
+// is empty.
 func (job *Job) Home() identifier.FailureDomain {
 	if len(job.MayRun) == 0 {
 		return ""
@@ -48,13 +49,13 @@
 	return job.MayRun[0]
 }
 
-// MayRunIn tells whether the job may run in failureDomain.
+// MayRunIn reports whether the job may run in failureDomain.
 func (job *Job) MayRunIn(failureDomain identifier.FailureDomain) bool {
 	return slices.Contains(job.MayRun, failureDomain)
 }
 
-// SameRequest tells whether other can be a resend of the job: the same caller
-// asks for the same job under the same submission id.
+// SameRequest reports whether other, received under the same submission id, can be a resend
+// of the job: it has the same caller and the same job id.
 func (job *Job) SameRequest(other *Job) bool {
 	return job.Caller == other.Caller && job.Job == other.Job
 }
--- a/pkg/messenger/peer.go
+++ b/pkg/messenger/peer.go
@@ -8,7 +8,7 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// CellNumber numbers the cells of a failure domain, from 0.
+// CellNumber numbers the cells of a failure domain, starting at 0.
 type CellNumber = identifier.CellID
 
 // CellOf returns the cell that keeps the record of a submission.
@@ -28,61 +28,61 @@
 	return CellNumber(xxhash.Sum64String(key) % uint64(cells))
 }
 
-// Forward hands a job to the lead that keeps its record.
+// Forward sends a job to the lead that keeps its record.
 type Forward struct {
 	Job *Job `cbor:"1,keyasint"`
 	// Remaining is the time until the deadline; nil when there is none.
 	Remaining *time.Duration `cbor:"2,keyasint,omitempty"`
-	// Again tells that an earlier lead may have started tasks of the job.
+	// Again means that an earlier lead may have started tasks of the job.
 	Again bool `cbor:"3,keyasint,omitempty"`
-	// Age is how long ago the sender forwarded the job for the first time.
+	// Age is the time since the sender first forwarded the job.
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// CopyRecord is what a second host remembers of a submission, so that it stays
-// known when the lead dies.
+// CopyRecord is what a second host stores about a submission, so that the submission
+// stays known if the lead fails.
 type CopyRecord struct {
 	Submission identifier.SubmissionID `cbor:"1,keyasint"`
 	Caller     identifier.CallerID     `cbor:"2,keyasint"`
 	Job        identifier.JobID        `cbor:"3,keyasint"`
 	Cell       CellNumber              `cbor:"4,keyasint,omitempty"`
-	// Age is how long ago the record was made.
+	// Age is the time since the record was created.
 	Age time.Duration `cbor:"5,keyasint,omitempty"`
-	// Answered tells that the submission has its answer.
+	// Answered means that the submission has its answer.
 	Answered bool `cbor:"6,keyasint,omitempty"`
-	// AnswerAt is the host that keeps the answer where the sender has only heard
-	// of it; empty means the sender itself.
+	// AnswerAt is the host that stores the answer if the sender doesn't store it itself;
+	// empty means the sender.
 	AnswerAt identifier.HostID `cbor:"7,keyasint,omitempty"`
-	// Epoch is the epoch of the lead that asks for a copy; zero elsewhere.
+	// Epoch is the epoch of the lead that requests a copy; zero in other messages.
 	Epoch identifier.Epoch `cbor:"8,keyasint,omitempty"`
-	// SpilledTo is the failure domain that the job was handed over to.
+	// SpilledTo is the failure domain to which the job was spilled.
 	SpilledTo identifier.FailureDomain `cbor:"9,keyasint,omitempty"`
 	// Remaining is the time until the job's deadline; nil when there is none.
 	Remaining *time.Duration `cbor:"10,keyasint,omitempty"`
-	// FirstHand tells, in the reply to a takeover, that the sender is the caller's host, which
-	// has timed Age itself.
+	// FirstHand means, in the reply to a takeover query, that the sender is the host that the
+	// caller is connected to, and has measured Age itself.
 	FirstHand bool `cbor:"11,keyasint,omitempty"`
 }
 
-// AnswerCopy asks a second host to hold an answer.
+// AnswerCopy asks a second host to store an answer.
 type AnswerCopy struct {
 	Answer *JobAnswer `cbor:"1,keyasint"`
-	// Epoch is the epoch of the lead that gave the answer; zero when it does not
-	// matter any more, because the answer was told.
+	// Epoch is the epoch of the lead that produced the answer; zero once it no longer
+	// matters, because the answer was sent to the caller.
 	Epoch identifier.Epoch `cbor:"2,keyasint,omitempty"`
 }
 
-// AnswerRequest asks the keeper of an answer to send it to ReplyTo.
+// AnswerRequest asks the host that stores an answer to send it to ReplyTo.
 type AnswerRequest struct {
 	Submission identifier.SubmissionID `cbor:"1,keyasint"`
 	ReplyTo    identifier.HostID       `cbor:"2,keyasint"`
-	// Question is the question that the answer is wanted for; zero for a submission
-	// that was sent again.
+	// Question is the number of the lookup that the answer is for; zero for a resent
+	// submission.
 	Question QuestionNumber `cbor:"3,keyasint,omitempty"`
 }
 
-// TakeoverQuery asks every host of the failure domain which submissions of the
-// cell it knows. A new lead sends it before it starts anything.
+// TakeoverQuery asks a host of the failure domain which submissions of the cell it knows.
+// A new lead sends it to every host before it starts anything.
 type TakeoverQuery struct {
 	Cell  CellNumber       `cbor:"1,keyasint"`
 	Epoch identifier.Epoch `cbor:"2,keyasint"`
@@ -93,16 +93,16 @@
 	Cell    CellNumber       `cbor:"1,keyasint"`
 	Epoch   identifier.Epoch `cbor:"2,keyasint"`
 	Records []CopyRecord     `cbor:"3,keyasint,omitempty"`
-	// Emptied are the other hosts of which the sender has lately seen that they lost
-	// their memory. A host that has just started can't know that of those beside it.
+	// Emptied are the other hosts that the sender has recently seen restart without state.
+	// A host that has itself just started can't know this of the others.
 	Emptied []identifier.HostID `cbor:"4,keyasint,omitempty"`
-	// Uptime is for how long the sender's process has decided; zero tells nothing.
+	// Uptime is how long the sender's process has been making decisions; zero means unknown.
 	Uptime time.Duration `cbor:"5,keyasint,omitempty"`
-	// Servers are the backend servers that the process has seen.
+	// Servers are the backend servers that the sender's process has seen.
 	Servers []identifier.BackendServerID `cbor:"6,keyasint,omitempty"`
 }
 
-// LeadNotice tells who leads a cell.
+// LeadNotice reports which host leads a cell.
 type LeadNotice struct {
 	FailureDomain identifier.FailureDomain `cbor:"1,keyasint"`
 	Cell          CellNumber               `cbor:"2,keyasint"`
@@ -110,12 +110,12 @@
 	Epoch         identifier.Epoch         `cbor:"4,keyasint"`
 }
 
-// LeadFollowed tells a lead that the sender follows its epoch: the sender leads the cell no more,
-// if it did, and has named the runs that its jobs have there.
+// LeadFollowed notifies a lead that the sender follows its epoch: the sender no longer leads the
+// cell, if it did, and has reported the runs that its jobs have there.
 type LeadFollowed struct {
 	Cell  CellRef          `cbor:"1,keyasint"`
 	Epoch identifier.Epoch `cbor:"2,keyasint"`
-	// Incarnation is the life of the sender's host in which that holds.
+	// Incarnation is the incarnation of the sender's host for which this holds.
 	Incarnation identifier.Incarnation `cbor:"3,keyasint,omitempty"`
 }
 
--- a/pkg/messenger/question.go
+++ b/pkg/messenger/question.go
@@ -2,7 +2,7 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// QuestionNumber names a question among all that one host has asked.
+// QuestionNumber identifies a lookup among all lookups that one host has sent.
 type QuestionNumber uint64
 
 // Lookup asks a lead for the state of a submission.
@@ -12,8 +12,8 @@
 	Question   QuestionNumber          `cbor:"3,keyasint"`
 }
 
-// LookupReply answers a Lookup. A submission that is found without an answer still
-// runs; another reply follows when it ends.
+// LookupReply is the reply to a Lookup. A submission that is found without an answer is
+// still running; another reply follows when it ends.
 type LookupReply struct {
 	Question QuestionNumber `cbor:"1,keyasint"`
 	Found    bool           `cbor:"2,keyasint,omitempty"`
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -7,69 +7,69 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// TaskIndex numbers the tasks of one job from 0.
+// TaskIndex numbers the tasks of one job, starting at 0.
 type TaskIndex int
 
-// RunKey names one run of one task.
+// RunKey identifies one run of one task.
 type RunKey struct {
 	Job  identifier.JobID     `cbor:"1,keyasint"`
 	Task TaskIndex            `cbor:"2,keyasint,omitempty"`
 	Run  identifier.RunNumber `cbor:"3,keyasint"`
 }
 
-// RoomRequest asks the lead of a failure domain for room on backend servers that are
-// called, for the tasks of one job. It carries no payload: the host that asks starts
-// the runs itself.
+// RoomRequest asks a lead for capacity on called backend servers for the tasks of one job. It
+// has no payload, since the requesting host starts the runs itself.
 type RoomRequest struct {
 	Job identifier.JobID `cbor:"1,keyasint"`
-	// Cell is the part of the lead's failure domain in which room is asked for.
+	// Cell is the cell of the lead's failure domain in which capacity is requested.
 	Cell    CellNumber             `cbor:"16,keyasint,omitempty"`
 	Service identifier.ServiceName `cbor:"2,keyasint"`
-	// Queue groups jobs that are alike, for estimates.
+	// Queue groups similar jobs for estimates.
 	Queue identifier.QueueName `cbor:"3,keyasint"`
-	// Urgency is the queue's priority; 0 comes first.
+	// Urgency is the queue's priority; 0 is the highest.
 	Urgency int        `cbor:"4,keyasint,omitempty"`
 	Tasks   []RoomTask `cbor:"5,keyasint"`
 	// Attempts is how many runs of one task may fail.
 	Attempts int `cbor:"6,keyasint"`
-	// Label is what the backend server must have; empty for any.
+	// Label is a label that the backend server must have; empty for none.
 	Label string `cbor:"7,keyasint,omitempty"`
-	// Near is a label that the backend server should have: the rack of the job's data.
-	// Elsewhere the tasks take longer.
+	// Near is a preferred label of the backend server: the rack of the job's data. Tasks take
+	// longer on servers without it.
 	Near string `cbor:"17,keyasint,omitempty"`
-	// PerServer bounds the job's tasks on one backend server; 0 does not.
+	// PerServer is the maximum number of the job's tasks on one backend server; 0 is no limit.
 	PerServer int `cbor:"8,keyasint,omitempty"`
-	// Elapsed is how long ago the caller sent the job.
+	// Elapsed is the time since the caller sent the job.
 	Elapsed time.Duration `cbor:"9,keyasint,omitempty"`
-	// Stretch times the longest run time plus Allowance is the response time that the
-	// caller counts as in time.
+	// Stretch times the longest run time, plus Allowance, is the response time up to which the
+	// caller regards the answer as in time.
 	Stretch   float64       `cbor:"10,keyasint"`
 	Allowance time.Duration `cbor:"11,keyasint,omitempty"`
-	// Remaining is the time after which the caller no longer waits.
+	// Remaining is the time until the caller stops waiting.
 	Remaining time.Duration `cbor:"12,keyasint"`
-	// HandedOver tells that another lead sent the job here; it is not sent on.
+	// HandedOver means that another lead handed the job off to this one, which doesn't hand it
+	// off again.
 	HandedOver bool `cbor:"13,keyasint,omitempty"`
-	// Ask numbers the requests of a host for one job. Grants and answers repeat it: what
-	// comes late for an earlier request to the same lead says nothing about this one.
+	// Ask numbers the requests of a host for one job. Grants and answers repeat it, so that a
+	// late one for an earlier request to the same lead isn't applied to this request.
 	Ask AskNumber `cbor:"19,keyasint,omitempty"`
-	// Unvouched tells that no lead which knows the job has sent it to this cell, so that an
-	// earlier sending of it may have runs elsewhere.
+	// Unvouched means that no lead that knows the job has referred it to this cell, so an
+	// earlier submission of it may have runs elsewhere.
 	Unvouched bool `cbor:"20,keyasint,omitempty"`
-	// Part tells that other tasks of the job have been given room by other leads: these
-	// are taken in whatever they wait for, as the job's answer waits for them.
+	// Part means that other tasks of the job are requested from other leads: the tasks of this
+	// request are accepted however long they must wait, since the job's answer waits for them.
 	Part bool `cbor:"18,keyasint,omitempty"`
-	// RunsBelow is a run number that every new run must exceed.
+	// RunsBelow is a run number; every new run must have a higher one.
 	RunsBelow identifier.RunNumber `cbor:"14,keyasint,omitempty"`
 	// Held are the runs that an earlier lead granted and that have not ended.
 	Held []HeldRun `cbor:"15,keyasint,omitempty"`
 }
 
-// RoomTask is one task that needs room.
+// RoomTask is one task that needs capacity.
 type RoomTask struct {
 	Task     TaskIndex            `cbor:"1,keyasint,omitempty"`
 	Needs    identifier.Resources `cbor:"2,keyasint"`
 	Declared time.Duration        `cbor:"3,keyasint,omitempty"`
-	// Account is what leads have told of the task's runs.
+	// Account is what leads have reported about earlier runs of the task.
 	Account budgeter.Account `cbor:"4,keyasint,omitzero"`
 }
 
@@ -81,7 +81,7 @@
 	Address  string                       `cbor:"4,keyasint"`
 }
 
-// Grant gives tasks of a job room; the host that asked starts them.
+// Grant assigns capacity to tasks of a job; the requesting host starts them.
 type Grant struct {
 	Job   identifier.JobID `cbor:"1,keyasint"`
 	Epoch identifier.Epoch `cbor:"2,keyasint"`
@@ -90,44 +90,44 @@
 	Ask   AskNumber        `cbor:"5,keyasint,omitempty"`
 }
 
-// AskNumber numbers the requests of a host for room for one job, from 1.
+// AskNumber numbers the requests of a host for capacity for one job, starting at 1.
 type AskNumber uint32
 
-// GrantedRun is the room of one run.
+// GrantedRun is the capacity that is granted to one run.
 type GrantedRun struct {
 	Task    TaskIndex                    `cbor:"1,keyasint,omitempty"`
 	Run     identifier.RunNumber         `cbor:"2,keyasint"`
 	Server  identifier.ServerIncarnation `cbor:"3,keyasint"`
 	Address string                       `cbor:"4,keyasint"`
-	// LeaseEnd is on the backend server's clock. A start that comes later is refused.
+	// LeaseEnd is on the backend server's clock. The server refuses a start that arrives later.
 	LeaseEnd identifier.ServerTime `cbor:"5,keyasint"`
-	// Account is what is known of earlier runs of the task, for a lead that is asked next.
+	// Account is what is known of earlier runs of the task; the host sends it in its next request.
 	Account budgeter.Account `cbor:"6,keyasint,omitzero"`
-	// Fence is that of the start, at or above the lead's epoch; zero stands for the epoch.
+	// Fence is the epoch to use in the start, at or above the lead's; zero means the lead's.
 	Fence identifier.Epoch `cbor:"7,keyasint,omitempty"`
 }
 
-// RoomAnswer tells what became of a RoomRequest that is not granted at once.
+// RoomAnswer is the answer to a request for capacity that isn't granted at once.
 type RoomAnswer struct {
 	Job  identifier.JobID `cbor:"1,keyasint"`
 	Kind RoomAnswerKind   `cbor:"2,keyasint"`
-	// Reason tells why a job is turned away or has failed.
+	// Reason is why a job is rejected or has failed.
 	Reason Reason `cbor:"3,keyasint,omitempty"`
 	Detail string `cbor:"4,keyasint,omitempty"`
-	// RetryAfter is when a job that was turned away is worth another try.
+	// RetryAfter is the time after which a rejected job may succeed.
 	RetryAfter time.Duration `cbor:"5,keyasint,omitempty"`
-	// Cell is that of the lead which answers.
+	// Cell is the cell of the answering lead.
 	Cell CellNumber `cbor:"7,keyasint,omitempty"`
-	// Other is the cell to ask in place of this one.
+	// Other is the cell to send the request to instead of this one.
 	Other CellRef   `cbor:"6,keyasint,omitzero"`
 	Ask   AskNumber `cbor:"9,keyasint,omitempty"`
-	// Tasks are those for which Other is to be asked; the rest stays here. None means all.
+	// Tasks are the tasks to request from Other; the rest stays here. None means all.
 	Tasks []TaskIndex `cbor:"8,keyasint,omitempty"`
-	// Accounts are those of Tasks that were started before.
+	// Accounts are the accounts of those Tasks that were started before.
 	Accounts []TaskAccount `cbor:"10,keyasint,omitempty"`
-	// Begun tells that runs of an earlier sending of the job were granted.
+	// Begun means that runs of an earlier submission of the job were granted.
 	Begun bool `cbor:"12,keyasint,omitempty"`
-	// Unvouched tells that the lead which answers may not know all runs of the job yet.
+	// Unvouched means that the answering lead may not know all runs of the job yet.
 	Unvouched bool `cbor:"11,keyasint,omitempty"`
 }
 
@@ -137,42 +137,44 @@
 	Account budgeter.Account `cbor:"2,keyasint"`
 }
 
-// CellRef names a cell among all failure domains.
+// CellRef identifies a cell across all failure domains.
 type CellRef struct {
 	FailureDomain identifier.FailureDomain `cbor:"1,keyasint,omitempty"`
 	Cell          CellNumber               `cbor:"2,keyasint,omitempty"`
 }
 
 // JobInquiry asks a host of a job's home whether it knows the job, on behalf of a cell whose
-// lead may give it room.
+// lead may grant it capacity.
 type JobInquiry struct {
 	Job identifier.JobID `cbor:"1,keyasint"`
-	// Cell is that of the lead which asks.
+	// Cell is the cell of the inquiring lead.
 	Cell CellNumber `cbor:"2,keyasint,omitempty"`
-	// Host is that which wants the room.
+	// Host is the host that requests the capacity.
 	Host identifier.HostID `cbor:"3,keyasint"`
 }
 
-// JobInquiryReply answers a JobInquiry.
+// JobInquiryReply is the reply to a JobInquiry.
 type JobInquiryReply struct {
 	Job  identifier.JobID `cbor:"1,keyasint"`
 	Cell CellNumber       `cbor:"2,keyasint,omitempty"`
-	// Known tells that a run of the job may be at work, or may still be granted, by another
-	// cell than the one that asks.
+	// Known means that a run of the job may be active in another cell than the inquiring one,
+	// or may still be granted there.
 	Known bool `cbor:"3,keyasint,omitempty"`
-	// Host is that of the inquiry. Hosts don't count what they know of its own sending.
+	// Host is that of the inquiry. The reply disregards the submission that this host requests
+	// capacity for.
 	Host identifier.HostID `cbor:"4,keyasint"`
 }
 
-// JobElsewhere tells a host of a job's home that another cell gives room to tasks of the job.
+// JobElsewhere notifies a host of a job's home that another cell is about to grant capacity to
+// tasks of the job.
 type JobElsewhere struct {
 	Job identifier.JobID `cbor:"1,keyasint"`
-	// Cell is that of the lead which tells.
+	// Cell is the cell of the sending lead.
 	Cell  CellNumber  `cbor:"2,keyasint,omitempty"`
 	Tasks []TaskIndex `cbor:"3,keyasint,omitempty"`
 }
 
-// RoomRelease tells a lead that a job needs no more room.
+// RoomRelease notifies a lead that a job needs no more capacity.
 type RoomRelease struct {
 	Job  identifier.JobID `cbor:"1,keyasint"`
 	Cell CellNumber       `cbor:"2,keyasint,omitempty"`
@@ -180,83 +182,83 @@
 
 //go:generate enumer -type=RoomAnswerKind,StartOutcome -trimprefix=RoomAnswer,Start -transform=kebab -text -output=room_enumer.go
 
-// RoomAnswerKind tells what became of a request for room.
+// RoomAnswerKind is the kind of an answer to a request for capacity.
 type RoomAnswerKind int
 
-// The kinds of answers.
+// The kinds of answers to a request for capacity.
 const (
-	// RoomAnswerWaiting means that the job waits for room.
+	// RoomAnswerWaiting means that the job waits for capacity.
 	RoomAnswerWaiting RoomAnswerKind = iota
-	// RoomAnswerTurnedAway means that the job gets no room and that no run of it was
-	// granted by this lead.
+	// RoomAnswerTurnedAway means that the job is rejected and that this lead has granted no
+	// run of it.
 	RoomAnswerTurnedAway
-	// RoomAnswerAskOther means that another lead has room.
+	// RoomAnswerAskOther means that the lead of another cell has capacity.
 	RoomAnswerAskOther
-	// RoomAnswerFailed means that the job can't be completed any more.
+	// RoomAnswerFailed means that the job can no longer be completed.
 	RoomAnswerFailed
-	// RoomAnswerNotLed means that the host does not lead.
+	// RoomAnswerNotLed means that the host doesn't lead the cell.
 	RoomAnswerNotLed
-	// RoomAnswerEvacuated means that nothing starts in the lead's failure domain: room for
-	// Tasks is to be asked for elsewhere.
+	// RoomAnswerEvacuated means that nothing starts in the lead's failure domain: capacity for
+	// Tasks must be requested elsewhere.
 	RoomAnswerEvacuated
-	// RoomAnswerKnownElsewhere means that an earlier sending of the job may have runs
-	// elsewhere: only the lead of its home may go on with it.
+	// RoomAnswerKnownElsewhere means that an earlier submission of the job may have runs
+	// elsewhere: only the lead of its home may continue it.
 	RoomAnswerKnownElsewhere
 )
 
-// StartOutcome is what became of the call that starts a run.
+// StartOutcome is the result of a call that starts a run.
 type StartOutcome int
 
 // The outcomes of starts.
 const (
-	// StartAccepted means that the run is there.
+	// StartAccepted means that the backend server has the run.
 	StartAccepted StartOutcome = iota
-	// StartNoRoom means that the backend server has less room than was thought.
+	// StartNoRoom means that the backend server has less free capacity than the lead assumed.
 	StartNoRoom
-	// StartStaleRun means that the backend server has seen this run or a later one
-	// end.
+	// StartStaleRun means that this run, or a later one of the task, has already ended on the
+	// backend server.
 	StartStaleRun
-	// StartLeaseOver means that the lease ended before the start came.
+	// StartLeaseOver means that the lease ended before the start arrived.
 	StartLeaseOver
-	// StartFenced means that the backend server has seen a newer lead.
+	// StartFenced means that the backend server has seen a higher epoch.
 	StartFenced
-	// StartUnhealthy means that the backend server takes no starts now.
+	// StartUnhealthy means that the backend server accepts no starts at present.
 	StartUnhealthy
-	// StartInvalid means that the backend server can't read the start.
+	// StartInvalid means that the backend server can't parse the start.
 	StartInvalid
-	// StartServerGone means that another incarnation answers at the address, or none.
+	// StartServerGone means that another incarnation answers at the server's address, or none.
 	StartServerGone
-	// StartUnanswered means that nobody knows whether the run is there.
+	// StartUnanswered means that it is unknown whether the backend server has the run.
 	StartUnanswered
-	// StartWithheld means that the call was not made, as the failure domain is evacuated.
+	// StartWithheld means that the call wasn't made, since the failure domain is evacuated.
 	StartWithheld
 )
 
-// StartReport tells a lead of a start that was not accepted.
+// StartReport notifies a lead of a start that was not accepted.
 type StartReport struct {
 	RunKey  RunKey       `cbor:"1,keyasint"`
 	Outcome StartOutcome `cbor:"2,keyasint"`
-	// Epoch is that of the lead which granted the run.
+	// Epoch is the epoch of the lead that granted the run.
 	Epoch identifier.Epoch `cbor:"3,keyasint"`
 	Cell  CellNumber       `cbor:"4,keyasint,omitempty"`
-	// Server is that which was called. Runs of two sendings of a job may have one number.
+	// Server is the called server. Runs of two submissions of a job may have the same number.
 	Server identifier.ServerIncarnation `cbor:"5,keyasint"`
 }
 
-// StartOrder asks another host to call a backend server, which starts a run there.
+// StartOrder asks another host to call a backend server in order to start a run there.
 type StartOrder struct {
 	RunKey  RunKey                       `cbor:"1,keyasint"`
 	Server  identifier.ServerIncarnation `cbor:"2,keyasint"`
 	Address string                       `cbor:"3,keyasint"`
 	Epoch   identifier.Epoch             `cbor:"4,keyasint"`
-	// LeaseEnd is on the backend server's clock. A start that comes later is refused, however
-	// long the order was under way.
+	// LeaseEnd is on the backend server's clock. The server refuses a start that arrives later,
+	// so a delayed order does no harm.
 	LeaseEnd identifier.ServerTime  `cbor:"5,keyasint"`
 	Payload  string                 `cbor:"6,keyasint"`
 	Service  identifier.ServiceName `cbor:"7,keyasint"`
 }
 
-// StartResult tells what the backend server has answered to the call of a StartOrder.
+// StartResult reports how the backend server has answered the call of a StartOrder.
 type StartResult struct {
 	RunKey  RunKey                       `cbor:"1,keyasint"`
 	Server  identifier.ServerIncarnation `cbor:"2,keyasint"`
@@ -264,25 +266,25 @@
 	Outcome StartOutcome                 `cbor:"4,keyasint,omitempty"`
 }
 
-// TaskDone tells that a run of a task has ended well.
+// TaskDone notifies a host that a run of a task has ended successfully.
 type TaskDone struct {
 	RunKey RunKey `cbor:"1,keyasint"`
 }
 
-// RoomNotice tells other leads what room one has.
+// RoomNotice reports the free capacity of a cell to other leads.
 type RoomNotice struct {
 	From CellRef `cbor:"1,keyasint"`
-	// Spots is how many tasks of the usual size could start at once beyond what waits.
+	// Spots is how many tasks of the usual size could start at once in addition to the waiting ones.
 	Spots int `cbor:"2,keyasint,omitempty"`
-	// Openings are when room for one more task each should come free, the earliest first:
-	// beyond what waits here, and counted from when the notice was sent.
+	// Openings are the expected times until capacity for one more task each becomes free, the
+	// earliest first: in addition to the waiting tasks, and counted from the sending of the notice.
 	Openings []Delay `cbor:"4,keyasint,omitempty"`
 }
 
-// Delay is a time to come, in milliseconds; the largest stands for all that are longer.
+// Delay is a time from now in milliseconds; the maximum value also stands for all longer times.
 type Delay uint16
 
-// ServerCard is what a backend server that is called says about itself.
+// ServerCard is what a called backend server reports about itself.
 type ServerCard struct {
 	Server        identifier.ServerIncarnation `cbor:"1,keyasint"`
 	Service       identifier.ServiceName       `cbor:"2,keyasint"`
@@ -291,17 +293,18 @@
 	Capacity      identifier.Resources         `cbor:"5,keyasint"`
 	Labels        []string                     `cbor:"6,keyasint,omitempty"`
 	Draining      bool                         `cbor:"7,keyasint,omitempty"`
-	// Sequence orders the cards of one life of a backend server; another life counts anew.
+	// Sequence orders the reports of one incarnation of a backend server; each incarnation
+	// counts anew.
 	Sequence uint64 `cbor:"8,keyasint"`
-	// Clock is the server's clock when it sent the card; zero tells nothing.
+	// Clock is the server's clock when it sent the report; zero means unknown.
 	Clock identifier.ServerTime `cbor:"9,keyasint,omitempty"`
-	// Gone tells that the life has ended.
+	// Gone means that the incarnation has ended.
 	Gone bool `cbor:"10,keyasint,omitempty"`
 }
 
-// CellMemory is what the keepers remember of a cell for hosts that start with nothing:
-// the backend servers that its lead last told of, and the lead's epoch. It promises
-// nothing; each server is called before anything is placed on it.
+// CellMemory is what the keepers store about a cell for hosts that start without state: the
+// backend servers that its lead last reported, and the lead's epoch. It may be out of date;
+// each server is called before anything is placed on it.
 type CellMemory struct {
 	Cell  CellRef          `cbor:"1,keyasint"`
 	Epoch identifier.Epoch `cbor:"2,keyasint"`
