--- a/pkg/queuer/admission.go
+++ b/pkg/queuer/admission.go
@@ -6,51 +6,51 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Candidate is a job that asks to be admitted.
+// Candidate is a job whose admission is to be decided.
 type Candidate struct {
 	Team   identifier.TeamID
 	Weight int
 	Urgent bool
-	// Due is the moment by which the job would be ordered.
+	// Due is the time by which the job would be ordered in the queue; see Order.
 	Due identifier.Moment
-	// Work is the expected slot time of all its tasks, and Ideal what the job
-	// takes when all slots are its own.
+	// Work is the expected slot time of all the job's tasks. Ideal is the job's duration
+	// when it has all slots for itself.
 	Work  time.Duration
 	Ideal time.Duration
-	// Allowed is how much longer than Ideal the job may take.
+	// Allowed is the delay that is acceptable: how much longer than Ideal the job may take.
 	Allowed time.Duration
-	// Patience is the share of the time until they are due that the waiting jobs
-	// of the team may wait.
+	// Patience is the fraction of the time until they are due that the team's waiting
+	// jobs may spend waiting.
 	Patience float64
-	// Slots is how many slots serve the queue.
+	// Slots is the number of slots that serve the queue.
 	Slots identifier.Slots
-	// Ceiling bounds the slots that the team may hold; 0 means no bound.
+	// Ceiling is the largest number of slots that the team may use. 0 means no limit.
 	Ceiling int
 }
 
-// Verdict tells whether a candidate can be served in time.
+// Verdict is the decision on a candidate.
 type Verdict struct {
 	Admitted bool
-	// Wait is how long the work takes that goes before the job.
+	// Wait is the expected time that the work ahead of the job takes.
 	Wait time.Duration
-	// RetryAfter is when the job would be admitted if nothing else came; zero for
-	// an admitted one.
+	// RetryAfter is the time after which the job would be admitted if no other job
+	// arrived. It is zero for an admitted job.
 	RetryAfter time.Duration
 }
 
-// Assess tells whether a job can be served in time. It can when the work of its
-// own team that goes before it fits into the team's fair share, whatever the
-// other teams have queued; or when it fits into what the others leave free and
-// the whole queue is short. Jobs of the team that were admitted before and are
-// due later must still be served in time, too.
+// Assess decides whether a job can be served in time. It can if the work of its own
+// team ahead of it fits into the team's fair share, whatever the other teams have
+// queued, or if it fits into the slots that the other teams leave free and the whole
+// queue is short. Jobs of the team that were already admitted and are due later must
+// still be served in time. Each call counts the candidate's work as offered.
 func (queue *Queue[P, O]) Assess(now identifier.Moment, candidate Candidate) Verdict {
 	queue.expireRecent(now)
 	queue.offered.add(now, candidate.Work)
-	queue.offered.rate = min(queue.offered.rate, offeredMax*float64(candidate.Slots))
+	queue.offered.rate = min(queue.offered.rate, maxOfferedRatio*float64(candidate.Slots))
 	team := queue.teams[candidate.Team]
 	before := time.Duration(0)
 	if team != nil {
-		before = min(queue.lead(team), queue.work-team.backlogs.total())
+		before = min(queue.surplus(team), queue.work-team.backlogs.total())
 		before += team.backlogs.workBefore(now, candidate)
 	}
 	fair, free := queue.capacities(now, team, candidate)
@@ -59,30 +59,30 @@
 		return verdict
 	}
 	if !queue.overloaded(now, candidate.Slots) {
-		candidate.Allowed = scale(candidate.Allowed, queue.Settings.CalmAllowance)
-		return queue.fitsWhole(now, candidate)
+		candidate.Allowed = scale(candidate.Allowed, queue.Settings.NormalWaitFactor)
+		return queue.fitsAllSlots(now, candidate)
 	}
 	if free <= fair {
 		return verdict
 	}
-	candidate.Allowed = scale(candidate.Allowed, queue.Settings.OverloadAllowance)
+	candidate.Allowed = scale(candidate.Allowed, queue.Settings.OverloadWaitFactor)
 	verdict = team.fits(now, candidate, before, free)
-	if whole := queue.fitsWhole(now, candidate); !whole.Admitted {
+	if whole := queue.fitsAllSlots(now, candidate); !whole.Admitted {
 		return whole
 	}
 	return verdict
 }
 
-// overloaded tells whether more work comes in than the slots can do. Then work of
-// other teams that is still to come will go before a job that is beyond its team's
-// share, and the job would wait longer than what is queued now tells.
+// overloaded reports whether more work is offered than the slots can do. In this case
+// work of other teams that has yet to arrive will go ahead of a job beyond its team's
+// share, and the job would wait longer than the current queue suggests.
 func (queue *Queue[P, O]) overloaded(now identifier.Moment, slots identifier.Slots) bool {
-	return queue.offered.read(now) > queue.Settings.OverloadFrom*float64(slots)
+	return queue.offered.value(now) > queue.Settings.OverloadThreshold*float64(slots)
 }
 
-// fitsWhole tells whether the work of all teams that is due before the job can be
-// done in time by all slots.
-func (queue *Queue[P, O]) fitsWhole(now identifier.Moment, candidate Candidate) Verdict {
+// fitsAllSlots reports whether all slots together can finish the work of all teams that
+// is due before the job in time.
+func (queue *Queue[P, O]) fitsAllSlots(now identifier.Moment, candidate Candidate) Verdict {
 	verdict := Verdict{Admitted: true}
 	verdict.Wait = divide(queue.backlogs.workBefore(now, candidate), float64(max(candidate.Slots, 1)))
 	if late := verdict.Wait - candidate.Allowed; late > 0 {
@@ -92,14 +92,15 @@
 	return verdict
 }
 
-// fits tells whether the job fits into a capacity of so many slots.
+// fits reports whether the job can be served in time by the given number of slots, when
+// the slot time before goes ahead of it.
 func (team *team[P]) fits(now identifier.Moment, candidate Candidate, before time.Duration, capacity float64) Verdict {
 	verdict := Verdict{Admitted: true, Wait: divide(before, capacity)}
 	if before == 0 {
 		return verdict
 	}
 	late := max(verdict.Wait, divide(before+candidate.Work, capacity)-candidate.Ideal) - candidate.Allowed
-	if late <= 0 && team.backlogs.of(candidate.Urgent).crowded(now, candidate.Due, before+candidate.Work, capacity*candidate.Patience) {
+	if late <= 0 && team.backlogs.of(candidate.Urgent).delaysLaterJobs(now, candidate.Due, before+candidate.Work, capacity*candidate.Patience) {
 		late = divide(candidate.Work, capacity)
 	}
 	if late > 0 {
@@ -109,9 +110,9 @@
 	return verdict
 }
 
-// offeredMax bounds the offered work that is remembered, as a share of the slots,
-// so that the end of a burst is seen soon.
-const offeredMax = 2
+// maxOfferedRatio caps the rate of offered work as a multiple of the slots, so that the
+// end of a burst is detected soon.
+const maxOfferedRatio = 2
 
 func scale(duration time.Duration, factor float64) time.Duration {
 	return time.Duration(float64(duration) * factor)
@@ -121,8 +122,8 @@
 	return time.Duration(float64(work) / slots)
 }
 
-// Share returns the share of a team among all that had tasks waiting lately,
-// itself included, from 0 to 1.
+// Share returns a team's fair share, from 0 to 1, among the teams that recently had
+// waiting tasks and itself.
 func (queue *Queue[P, O]) Share(id identifier.TeamID, weight int) float64 {
 	weights := queue.weights
 	if team := queue.teams[id]; team != nil && team.active {
@@ -132,16 +133,16 @@
 	return float64(weight) / float64(weights+weight)
 }
 
-// capacities returns the slots of the team's fair share, and those that are left
-// over by the work of the other teams that came in of late.
+// capacities returns the number of slots in the team's fair share, and the number that
+// the recently admitted work of the other teams leaves free.
 func (queue *Queue[P, O]) capacities(now identifier.Moment, team *team[P], candidate Candidate) (fair, free float64) {
 	slots := float64(max(candidate.Slots, 1))
 	own := 0.0
 	if team != nil {
-		own = team.admitted.read(now)
+		own = team.admitted.value(now)
 	}
 	fair = slots * queue.Share(candidate.Team, candidate.Weight)
-	free = slots - max(queue.admitted.read(now)-own, 0)
+	free = slots - max(queue.admitted.value(now)-own, 0)
 	if candidate.Ceiling > 0 {
 		fair = min(fair, float64(candidate.Ceiling))
 		free = min(free, float64(candidate.Ceiling))
@@ -149,18 +150,18 @@
 	return fair, free
 }
 
-// lead returns the slot time that a team has been served beyond its share, which
-// the other teams with waiting tasks catch up with first.
-func (queue *Queue[P, O]) lead(team *team[P]) time.Duration {
-	return time.Duration(max(team.tag-queue.virtual, 0) * float64(team.weight))
+// surplus returns the slot time that a team has received beyond its fair share. The other
+// teams with waiting tasks are served until they have caught up with it.
+func (queue *Queue[P, O]) surplus(team *team[P]) time.Duration {
+	return time.Duration(max(team.tag-queue.virtualTime, 0) * float64(team.weight))
 }
 
-// workBefore returns the waiting work that goes before a candidate.
+// workBefore returns the waiting work that goes ahead of a candidate.
 func (backlogs *backlogs) workBefore(now identifier.Moment, candidate Candidate) time.Duration {
 	backlogs.urgent.advance(now)
-	backlogs.patient.advance(now)
+	backlogs.nonUrgent.advance(now)
 	if candidate.Urgent {
-		return backlogs.urgent.ahead(candidate.Due)
+		return backlogs.urgent.workUntil(candidate.Due)
 	}
-	return backlogs.urgent.total + backlogs.patient.ahead(candidate.Due)
+	return backlogs.urgent.total + backlogs.nonUrgent.workUntil(candidate.Due)
 }
--- a/pkg/queuer/bench_test.go
+++ b/pkg/queuer/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/stoathitch/stoathitch/pkg/queuer"
 )
 
-// BenchmarkDecision is one admission, one arrival in the queue and one task handed
-// out, with 740 teams and as many jobs waiting as there are slots.
+// BenchmarkDecision measures one admission, one push and one served task, with 740 teams
+// and as many waiting jobs as there are slots.
 func BenchmarkDecision(b *testing.B) {
 	const teams = 740
 	for _, executors := range []int{50, 250, 5000} {
--- a/pkg/queuer/heap.go
+++ b/pkg/queuer/heap.go
@@ -1,76 +1,76 @@
 package queuer
 
-// member is an element of an ordered heap that knows its place in it.
+// member is an element of an indexedHeap that stores its index in the heap.
 type member[T any] interface {
 	before(other T) bool
-	place() int
-	setPlace(place int)
+	index() int
+	setIndex(index int)
 }
 
-// ordered is a binary heap whose members can be removed from the middle. It is
+// indexedHeap is a binary heap from which any member can be removed. It works like
 // container/heap without the conversions to any.
-type ordered[T member[T]] struct{ members []T }
+type indexedHeap[T member[T]] struct{ members []T }
 
-func (ordered *ordered[T]) push(added T) {
-	ordered.members = append(ordered.members, added)
-	added.setPlace(len(ordered.members) - 1)
-	ordered.up(len(ordered.members) - 1)
+func (indexedHeap *indexedHeap[T]) push(added T) {
+	indexedHeap.members = append(indexedHeap.members, added)
+	added.setIndex(len(indexedHeap.members) - 1)
+	indexedHeap.siftUp(len(indexedHeap.members) - 1)
 }
 
-func (ordered *ordered[T]) remove(removed T) {
-	place := removed.place()
-	last := len(ordered.members) - 1
-	ordered.swap(place, last)
+func (indexedHeap *indexedHeap[T]) remove(removed T) {
+	index := removed.index()
+	last := len(indexedHeap.members) - 1
+	indexedHeap.swap(index, last)
 	var none T
-	ordered.members[last] = none
-	ordered.members = ordered.members[:last]
-	removed.setPlace(-1)
-	if place < last {
-		ordered.fix(place)
+	indexedHeap.members[last] = none
+	indexedHeap.members = indexedHeap.members[:last]
+	removed.setIndex(-1)
+	if index < last {
+		indexedHeap.fix(index)
 	}
 }
 
 // fix restores the order after the member at place has changed.
-func (ordered *ordered[T]) fix(place int) {
-	if !ordered.down(place) {
-		ordered.up(place)
+func (indexedHeap *indexedHeap[T]) fix(index int) {
+	if !indexedHeap.siftDown(index) {
+		indexedHeap.siftUp(index)
 	}
 }
 
-func (ordered *ordered[T]) up(place int) {
-	for place > 0 {
-		parent := (place - 1) / 2
-		if !ordered.members[place].before(ordered.members[parent]) {
+func (indexedHeap *indexedHeap[T]) siftUp(index int) {
+	for index > 0 {
+		parent := (index - 1) / 2
+		if !indexedHeap.members[index].before(indexedHeap.members[parent]) {
 			return
 		}
-		ordered.swap(place, parent)
-		place = parent
+		indexedHeap.swap(index, parent)
+		index = parent
 	}
 }
 
-func (ordered *ordered[T]) down(place int) bool {
-	start := place
+func (indexedHeap *indexedHeap[T]) siftDown(index int) bool {
+	start := index
 	for {
-		least := place
-		for child := 2*place + 1; child <= 2*place+2 && child < len(ordered.members); child++ {
-			if ordered.members[child].before(ordered.members[least]) {
+		least := index
+		for child := 2*index + 1; child <= 2*index+2 && child < len(indexedHeap.members); child++ {
+			if indexedHeap.members[child].before(indexedHeap.members[least]) {
 				least = child
 			}
 		}
-		if least == place {
-			return place > start
+		if least == index {
+			return index > start
 		}
-		ordered.swap(place, least)
-		place = least
+		indexedHeap.swap(index, least)
+		index = least
 	}
 }
 
-func (ordered *ordered[T]) swap(first, second int) {
+func (indexedHeap *indexedHeap[T]) swap(first, second int) {
 	if first == second {
 		return
 	}
-	members := ordered.members
+	members := indexedHeap.members
 	members[first], members[second] = members[second], members[first]
-	members[first].setPlace(first)
-	members[second].setPlace(second)
+	members[first].setIndex(first)
+	members[second].setIndex(second)
 }
--- a/pkg/queuer/order_test.go
+++ b/pkg/queuer/order_test.go
@@ -8,9 +8,9 @@
 	"github.com/stoathitch/stoathitch/pkg/queuer"
 )
 
-// TestNarrowFirst: symptom: wide jobs that were admitted wait for many times their
-// own length, or deadlines are missed. Sequence: jobs of every width arrive at once.
-// Cause: a slack that grows with the width without bound.
+// TestNarrowFirst guards against admitted wide jobs that wait for many times their own
+// duration, and against missed deadlines, when jobs of every width arrive at once. Both
+// come from a slack that grows without bound with the number of tasks.
 func TestNarrowFirst(t *testing.T) {
 	order := queuer.NarrowFirst{Slack: 100 * time.Millisecond, Stretch: 4}
 	arrived := identifier.Moment(time.Hour)
--- a/pkg/queuer/queue.go
+++ b/pkg/queuer/queue.go
@@ -1,10 +1,10 @@
-// Package queuer holds the tasks that wait for a slot and decides which goes
-// next. Teams share slots by start-time fair queueing, weighted; the jobs of one
-// team go by an Order. Every operation costs O(log n) and, once as many teams
-// and jobs have been seen as there are, allocates nothing.
+// Package queuer queues the tasks that wait for a slot and decides which one starts next.
+// Teams share the slots by weighted start-time fair queueing; the jobs of one team are
+// ranked by an Order. Every operation takes O(log n) and allocates nothing once the queue
+// has grown to the number of teams and jobs in use.
 //
-// No job starves: between teams the one that was served least goes first, and
-// within a team only jobs that arrive within a bounded time can overtake.
+// No job starves: the team that was served least goes first, and within a team only jobs
+// that arrive within a bounded time can overtake.
 package queuer
 
 import (
@@ -14,74 +14,76 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Settings tunes a queue.
+// Settings configures a queue.
 type Settings struct {
-	// Tolerance is how much slot time for each unit of weight one team may be
-	// ahead of another before the other goes first. Within it, the job that is
-	// due first goes first, whichever team it is of.
+	// Tolerance is the slot time per unit of weight by which one team may be ahead of
+	// another before the other takes precedence. Within it, the job that is due first
+	// goes first, regardless of its team.
 	Tolerance time.Duration
-	// UrgentHeadStart is how much sooner an urgent job counts as due than another
-	// of its team. It bounds how long urgent jobs can overtake others.
+	// UrgentHeadStart is how much earlier an urgent job counts as due than other jobs of
+	// its team. It bounds how long urgent jobs can overtake the others.
 	UrgentHeadStart time.Duration
-	// OverloadFrom is the work that asks to be admitted, as a share of what the
-	// slots can do, from which on the slots count as overloaded.
-	OverloadFrom float64
-	// CalmAllowance and OverloadAllowance scale what a job beyond its team's share
-	// may wait.
-	CalmAllowance     float64
-	OverloadAllowance float64
-	// IdleTeams bounds the teams without queued tasks that are remembered.
-	IdleTeams int
+	// OverloadThreshold is the ratio of offered work to the capacity of the slots above
+	// which the slots count as overloaded.
+	OverloadThreshold float64
+	// NormalWaitFactor and OverloadWaitFactor scale the acceptable delay of a job beyond
+	// its team's fair share, without and with overload.
+	NormalWaitFactor   float64
+	OverloadWaitFactor float64
+	// MaxIdleTeams bounds the number of teams without queued tasks whose state is kept.
+	MaxIdleTeams int
 }
 
 // DefaultSettings returns the settings that the daemon starts from.
 func DefaultSettings() Settings {
 	return Settings{
-		Tolerance:         2500 * time.Millisecond,
-		UrgentHeadStart:   time.Second,
-		OverloadFrom:      1.2,
-		CalmAllowance:     6,
-		OverloadAllowance: 0.6,
-		IdleTeams:         1024,
+		Tolerance:          2500 * time.Millisecond,
+		UrgentHeadStart:    time.Second,
+		OverloadThreshold:  1.2,
+		NormalWaitFactor:   6,
+		OverloadWaitFactor: 0.6,
+		MaxIdleTeams:       1024,
 	}
 }
 
-// Queue holds jobs with payload P. Set the exported fields before use.
+// Queue is a fair queue of jobs with payload P. Set the exported fields before use.
 type Queue[P any, O Order] struct {
 	Settings Settings
 	Order    O
 
 	teams map[identifier.TeamID]*team[P]
-	// ready holds the teams with waiting tasks that may start more, idle those
-	// without waiting tasks.
-	ready ordered[*team[P]]
-	idle  ordered[*team[P]]
-	// recent holds the idle teams that are still active, in order of time.
-	recent ordered[*team[P]]
-	spare  []*team[P]
-	// virtual is the tag of the team that was served last.
-	virtual float64
-	highest float64
-	tasks   int
-	work    time.Duration
-	// weights sums the weights of the active teams.
+	// ready holds the teams that have waiting tasks and aren't paused, idle those without
+	// waiting tasks that are no longer active.
+	ready indexedHeap[*team[P]]
+	idle  indexedHeap[*team[P]]
+	// recent holds the teams without waiting tasks that are still active, longest idle
+	// first.
+	recent    indexedHeap[*team[P]]
+	freeTeams []*team[P]
+	// virtualTime is the virtual time of start-time fair queueing: the largest tag that a
+	// team had when it was served.
+	virtualTime float64
+	highestTag  float64
+	tasks       int
+	work        time.Duration
+	// weights is the sum of the active teams' weights.
 	weights int
-	// offered measures the work that asked to be admitted, admitted that which was.
-	offered  meter
-	admitted meter
+	// offered is the rate of the work passed to Assess, admitted that of the work pushed.
+	offered  decayingRate
+	admitted decayingRate
 	backlogs backlogs
 	sequence uint64
-	// latest is the last moment that was passed in.
-	latest identifier.Moment
+	// lastNow is the time last passed to Push or Serve.
+	lastNow identifier.Moment
 }
 
-// Tasks returns how many tasks wait.
+// Tasks returns the number of waiting tasks.
 func (queue *Queue[P, O]) Tasks() int { return queue.tasks }
 
 // Work returns the expected slot time of all waiting tasks.
 func (queue *Queue[P, O]) Work() time.Duration { return queue.work }
 
-// TeamTasks returns how many tasks of a team wait.
+// TeamTasks returns the number of waiting tasks of a team.
 func (queue *Queue[P, O]) TeamTasks(id identifier.TeamID) int {
 	if team := queue.teams[id]; team != nil {
 		return team.tasks
@@ -89,14 +91,14 @@
 	return 0
 }
 
-// Push adds waiting tasks to a job, which may be in the queue already. The
-// team's weight is taken over.
+// Push adds waiting tasks to a job, which may already be in the queue, and sets the
+// team's weight.
 func (queue *Queue[P, O]) Push(now identifier.Moment, entry *Entry[P], tasks, weight int) {
 	if tasks <= 0 {
 		return
 	}
-	queue.latest = now
-	team := queue.open(entry.Team)
+	queue.lastNow = now
+	team := queue.getOrAddTeam(entry.Team)
 	backlog := team.backlogs.of(entry.Urgent)
 	backlog.advance(now)
 	queue.backlogs.of(entry.Urgent).advance(now)
@@ -115,11 +117,11 @@
 		team.jobs.push(entry)
 	}
 	queue.setWeight(team, max(weight, 1))
-	queue.count(entry, tasks)
-	queue.relist(team)
+	queue.adjustWaiting(entry, tasks)
+	queue.updateHeap(team)
 }
 
-// Next returns the job whose task goes next, or nil.
+// Next returns the job whose task starts next, or nil if no task may start.
 func (queue *Queue[P, O]) Next() *Entry[P] {
 	if len(queue.ready.members) == 0 {
 		return nil
@@ -127,11 +129,11 @@
 	return queue.ready.members[0].jobs.members[0]
 }
 
-// Serve takes one task out of the queue and charges it to the team.
+// Serve removes one task of a job from the queue and charges its cost to the team.
 func (queue *Queue[P, O]) Serve(now identifier.Moment, entry *Entry[P]) {
-	queue.latest = now
+	queue.lastNow = now
 	team := entry.team
-	queue.virtual = max(queue.virtual, team.tag)
+	queue.virtualTime = max(queue.virtualTime, team.tag)
 	queue.charge(team, entry.Cost, entry.ClassWeight)
 	queue.Take(entry, 1)
 }
@@ -143,30 +145,30 @@
 		return
 	}
 	team := entry.team
-	queue.count(entry, -tasks)
+	queue.adjustWaiting(entry, -tasks)
 	if entry.waiting == 0 {
 		team.jobs.remove(entry)
 		entry.team = nil
 	}
-	queue.relist(team)
+	queue.updateHeap(team)
 }
 
-// Remove takes a job out with all its waiting tasks.
+// Remove removes all waiting tasks of a job without charging them to the team.
 func (queue *Queue[P, O]) Remove(entry *Entry[P]) { queue.Take(entry, entry.waiting) }
 
-// Correct charges a team for the difference between the slot time that a task
-// took and the cost that it was served at.
+// Correct charges a team for the difference between the slot time that a task actually
+// took and the cost that Serve charged for it. The difference may be negative.
 func (queue *Queue[P, O]) Correct(id identifier.TeamID, difference time.Duration, classWeight int) {
 	team := queue.teams[id]
 	if team == nil {
 		return
 	}
 	queue.charge(team, difference, classWeight)
-	queue.relist(team)
+	queue.updateHeap(team)
 }
 
-// SetPaused holds a team's tasks back, or lets them go on. A team saves nothing
-// up while it is paused.
+// SetPaused pauses or resumes a team; Next returns no jobs of a paused team. A team gets
+// no credit for the time that it is paused.
 func (queue *Queue[P, O]) SetPaused(id identifier.TeamID, paused bool) {
 	team := queue.teams[id]
 	if team == nil || team.paused == paused {
@@ -174,12 +176,12 @@
 	}
 	team.paused = paused
 	if !paused {
-		queue.setTag(team, max(team.tag, queue.virtual))
+		queue.setTag(team, max(team.tag, queue.virtualTime))
 	}
-	queue.relist(team)
+	queue.updateHeap(team)
 }
 
-func (queue *Queue[P, O]) count(entry *Entry[P], tasks int) {
+func (queue *Queue[P, O]) adjustWaiting(entry *Entry[P], tasks int) {
 	team := entry.team
 	work := time.Duration(tasks) * entry.Cost
 	if !team.active {
@@ -209,5 +211,5 @@
 func (queue *Queue[P, O]) setTag(team *team[P], tag float64) {
 	team.tag = tag
 	team.rank = math.Floor(tag / float64(max(queue.Settings.Tolerance, 1)))
-	queue.highest = max(queue.highest, tag)
+	queue.highestTag = max(queue.highestTag, tag)
 }
--- a/pkg/queuer/queue_test.go
+++ b/pkg/queuer/queue_test.go
@@ -24,7 +24,7 @@
 
 func teamName(number int) identifier.TeamID { return identifier.TeamID(fmt.Sprintf("team-%d", number)) }
 
-// oracle keeps in plain maps and slices what the queue should hold.
+// oracle is a reference model of the queue in plain maps and slices.
 type oracle struct {
 	queue   *queue
 	now     identifier.Moment
@@ -39,7 +39,7 @@
 	return oracle.waiting[entry] > 0 && !oracle.paused[entry.Team]
 }
 
-// check compares sums, and that the job handed out next is the first of its team.
+// check compares the sums, and checks that the next job is the first of its team.
 func (oracle *oracle) check(t *rapid.T) {
 	tasks, work, eligible := 0, time.Duration(0), 0
 	for _, entry := range oracle.entries {
@@ -80,11 +80,11 @@
 			order:   make(map[*entry]int),
 			paused:  make(map[identifier.TeamID]bool),
 		}
-		oracle.queue.Settings.IdleTeams = 2
+		oracle.queue.Settings.MaxIdleTeams = 2
 		t.Repeat(map[string]func(*rapid.T){
 			"":       oracle.check,
 			"arrive": oracle.arrive,
-			"return": oracle.giveBack,
+			"return": oracle.requeue,
 			"serve":  oracle.serve,
 			"remove": oracle.remove,
 			"pause":  oracle.pause,
@@ -116,8 +116,8 @@
 	oracle.queue.SetPaused(entry.Team, oracle.paused[entry.Team])
 }
 
-// giveBack returns a task that was handed out, as after a refusal.
-func (oracle *oracle) giveBack(t *rapid.T) {
+// requeue returns a served task to the queue, as after a refusal.
+func (oracle *oracle) requeue(t *rapid.T) {
 	if len(oracle.entries) > 0 {
 		oracle.push(rapid.SampledFrom(oracle.entries).Draw(t, "job"), 1, 1)
 	}
@@ -148,11 +148,10 @@
 	oracle.queue.SetPaused(team, oracle.paused[team])
 }
 
-// TestFairSharesWhileBacklogged: symptom: one team waits while another with more
-// or larger tasks gets the slots. Sequence: all teams have work queued without
-// pause, jobs of any size arrive. The bound of start-time fair queueing must
-// hold: the weighted slot time of two such teams differs by at most the
-// tolerance and one task of each.
+// TestFairSharesWhileBacklogged guards against one team waiting while another with more
+// or larger tasks gets the slots. All teams have queued work all the time and jobs of any
+// size arrive. The bound of start-time fair queueing must hold: the weighted slot times
+// of two such teams differ by at most the tolerance and one task of each.
 func TestFairSharesWhileBacklogged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tolerance := time.Duration(rapid.IntRange(1, 500).Draw(t, "tolerance")) * time.Millisecond
--- a/pkg/queuer/team.go
+++ b/pkg/queuer/team.go
@@ -7,31 +7,31 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Entry is the place of one job in a queue. The job owns it, so the queue
-// allocates nothing for a job. Set the exported fields before Push.
+// Entry holds one job in a queue. It is owned by the job, so that the queue allocates
+// nothing for a job. Set the exported fields before Push.
 type Entry[P any] struct {
 	Payload P
 	Team    identifier.TeamID
-	// Due is the moment by which the jobs of a team are ordered; see Order.
+	// Due is the time by which the jobs of a team are ordered; see Order.
 	Due identifier.Moment
-	// Urgent jobs of a team go before the others, until those have been due for
-	// the queue's UrgentHeadStart.
+	// Urgent jobs of a team go ahead of the others, unless the others were due earlier by
+	// Settings.UrgentHeadStart or more.
 	Urgent bool
 	// Cost is the expected slot time of one task.
 	Cost time.Duration
-	// ClassWeight divides what the team is charged for the job's tasks; below 1
-	// counts as 1.
+	// ClassWeight divides the cost that the team is charged for the job's tasks. Values
+	// below 1 count as 1.
 	ClassWeight int
 
-	key      identifier.Moment
-	waiting  int
-	sequence uint64
-	team     *team[P]
-	bucket   bucketNumber
-	position int
+	key       identifier.Moment
+	waiting   int
+	sequence  uint64
+	team      *team[P]
+	bucket    bucketNumber
+	heapIndex int
 }
 
-// Waiting returns how many tasks of the job wait for a slot.
+// Waiting returns the number of the job's tasks that wait for a slot.
 func (entry *Entry[P]) Waiting() int { return entry.waiting }
 
 func (entry *Entry[P]) before(other *Entry[P]) bool {
@@ -41,41 +41,41 @@
 	return entry.sequence < other.sequence
 }
 
-func (entry *Entry[P]) place() int         { return entry.position }
-func (entry *Entry[P]) setPlace(place int) { entry.position = place }
+func (entry *Entry[P]) index() int         { return entry.heapIndex }
+func (entry *Entry[P]) setIndex(index int) { entry.heapIndex = index }
 
-// team is what waits of one team, and what it has been served.
+// team holds the waiting jobs of one team and the service that it has received.
 type team[P any] struct {
 	id       identifier.TeamID
 	sequence uint64
 	weight   int
-	// tag is the slot time that the team has been served, divided by its weight,
-	// in the queue's virtual time.
+	// tag is the start tag of fair queueing: the slot time that the team has received,
+	// divided by its weight, on the scale of the queue's virtual time.
 	tag float64
-	// rank is the tag in steps of the tolerance.
+	// rank is the tag in units of Settings.Tolerance, rounded down.
 	rank   float64
 	paused bool
-	// active tells that the team counts for the shares: it has waiting tasks, or
-	// was served its last less than activeWindow ago.
+	// active is set while the team counts in the fair shares: it has waiting tasks, or had
+	// some less than activeWindow ago.
 	active    bool
 	idleSince identifier.Moment
-	jobs      ordered[*Entry[P]]
+	jobs      indexedHeap[*Entry[P]]
 	tasks     int
 	backlogs  backlogs
-	// admitted measures the work that came in.
-	admitted  meter
-	heapPlace int
-	listing   listing
+	// admitted is the rate of the team's pushed work.
+	admitted  decayingRate
+	heapIndex int
+	heapKind  heapKind
 }
 
-// listing tells which heap holds a team.
-type listing int
+// heapKind identifies the heap of a queue that holds a team.
+type heapKind int
 
 const (
-	listedNowhere listing = iota
-	listedReady
-	listedRecent
-	listedIdle
+	heapNone heapKind = iota
+	heapReady
+	heapRecent
+	heapIdle
 )
 
 func (team *team[P]) headKey() identifier.Moment {
@@ -85,10 +85,10 @@
 	return team.jobs.members[0].key
 }
 
-// before orders teams with waiting tasks by what they were served, and the others
-// by how long they have been idle.
+// before orders ready teams by the service that they have received, then by the due time
+// of their first job. Other teams are ordered by how long they have been idle.
 func (team *team[P]) before(other *team[P]) bool {
-	if team.listing != listedReady {
+	if team.heapKind != heapReady {
 		if team.idleSince != other.idleSince {
 			return team.idleSince < other.idleSince
 		}
@@ -103,27 +103,27 @@
 	return team.sequence < other.sequence
 }
 
-func (team *team[P]) place() int         { return team.heapPlace }
-func (team *team[P]) setPlace(place int) { team.heapPlace = place }
+func (team *team[P]) index() int         { return team.heapIndex }
+func (team *team[P]) setIndex(index int) { team.heapIndex = index }
 
-// meter measures slot time that comes in for each unit of time, the old decayed.
-type meter struct {
-	rate float64
-	at   identifier.Moment
+// decayingRate is an exponentially decaying rate of incoming slot time per unit of time.
+type decayingRate struct {
+	rate      float64
+	updatedAt identifier.Moment
 }
 
-// meterWindow is the time over which a meter decays.
-const meterWindow = time.Second
+// decayWindow is the time constant with which a decayingRate decays.
+const decayWindow = time.Second
 
-func (meter *meter) add(now identifier.Moment, work time.Duration) {
-	meter.rate = meter.read(now) + float64(work)/float64(meterWindow)
-	meter.at = now
+func (decayingRate *decayingRate) add(now identifier.Moment, work time.Duration) {
+	decayingRate.rate = decayingRate.value(now) + float64(work)/float64(decayWindow)
+	decayingRate.updatedAt = now
 }
 
-// read returns how many slots the work of late would keep busy.
-func (meter *meter) read(now identifier.Moment) float64 {
-	if now <= meter.at {
-		return meter.rate
+// value returns the rate at now: how many slots the recent work would keep busy.
+func (decayingRate *decayingRate) value(now identifier.Moment) float64 {
+	if now <= decayingRate.updatedAt {
+		return decayingRate.rate
 	}
-	return meter.rate * math.Exp(-float64(now.Sub(meter.at))/float64(meterWindow))
+	return decayingRate.rate * math.Exp(-float64(now.Sub(decayingRate.updatedAt))/float64(decayWindow))
 }
