--- a/pkg/limiter/accounts.go
+++ b/pkg/limiter/accounts.go
@@ -2,46 +2,47 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-func (limiter *Limiter) prepare(now identifier.Moment) {
+func (limiter *Limiter) initialize(now identifier.Moment) {
 	if limiter.teams != nil {
 		return
 	}
 	limiter.teams = make(map[identifier.TeamID]*account)
 	rate := limiter.Settings.DomainRetryRate
-	limiter.domain = newBucket(now, rate, rate*limiter.Settings.RetryWindow.Seconds())
-	limiter.shared = limiter.newAccount(now)
+	limiter.domainRetryBucket = newBucket(now, rate, rate*limiter.Settings.RetryWindow.Seconds())
+	limiter.sharedAccount = limiter.newAccount(now)
 }
 
-// account returns the account of a team. Callers name teams freely, so teams
-// without limits of their own are bounded; idle ones make room first.
+// account returns the account of a team. Callers may send any team name, so the number
+// of accounts of unconfigured teams is bounded. At the bound idle accounts are dropped;
+// if that isn't enough, the shared account is returned.
 func (limiter *Limiter) account(now identifier.Moment, team identifier.TeamID) *account {
-	limiter.prepare(now)
+	limiter.initialize(now)
 	if found := limiter.teams[team]; found != nil {
 		return found
 	}
-	if limiter.unknown >= limiter.Settings.MaxUnknownTeams {
-		limiter.dropIdle(now)
+	if limiter.unconfiguredTeams >= limiter.Settings.MaxUnconfiguredTeams {
+		limiter.dropIdleTeams(now)
 	}
-	if limiter.unknown >= limiter.Settings.MaxUnknownTeams {
-		return limiter.shared
+	if limiter.unconfiguredTeams >= limiter.Settings.MaxUnconfiguredTeams {
+		return limiter.sharedAccount
 	}
 	created := limiter.newAccount(now)
 	limiter.teams[team] = created
-	limiter.unknown++
+	limiter.unconfiguredTeams++
 	return created
 }
 
-// dropIdle forgets the unknown teams that have nothing in flight and full
-// buckets: a new account would be the same. All of them go, so the order in
-// which the map is visited decides nothing.
-func (limiter *Limiter) dropIdle(now identifier.Moment) {
+// dropIdleTeams drops the accounts of unconfigured teams with no tasks in flight and full
+// buckets; a new account would be identical. All of them are dropped, so that the
+// iteration order of the map doesn't matter.
+func (limiter *Limiter) dropIdleTeams(now identifier.Moment) {
 	for team, account := range limiter.teams {
 		if account.configured || account.inFlight > 0 {
 			continue
 		}
-		if account.rate.full(now) && account.retries.full(now) {
+		if account.rateBucket.full(now) && account.retryBucket.full(now) {
 			delete(limiter.teams, team)
-			limiter.unknown--
+			limiter.unconfiguredTeams--
 		}
 	}
 }
@@ -49,16 +50,17 @@
 func (limiter *Limiter) newAccount(now identifier.Moment) *account {
 	created := &account{}
 	rate := limiter.Settings.TeamRetryRate
-	created.retries = newBucket(now, rate, rate*limiter.Settings.RetryWindow.Seconds())
-	limiter.apply(now, created, limiter.Settings.Default)
+	created.retryBucket = newBucket(now, rate, rate*limiter.Settings.RetryWindow.Seconds())
+	limiter.applyLimits(now, created, limiter.Settings.Default)
 	return created
 }
 
-// apply sets limits. A rate that stays the same keeps its savings and debts.
-func (limiter *Limiter) apply(now identifier.Moment, account *account, limits TeamLimits) {
+// applyLimits sets the limits of an account. The rate bucket keeps its tokens, or its
+// debt, if the rate is unchanged.
+func (limiter *Limiter) applyLimits(now identifier.Moment, account *account, limits TeamLimits) {
 	if account.limits.TasksPerSecond != limits.TasksPerSecond {
 		burst := max(limits.TasksPerSecond*limiter.Settings.RateWindow.Seconds(), 1)
-		account.rate = newBucket(now, limits.TasksPerSecond, burst)
+		account.rateBucket = newBucket(now, limits.TasksPerSecond, burst)
 	}
 	account.limits = limits
 }
--- a/pkg/limiter/bucket.go
+++ b/pkg/limiter/bucket.go
@@ -7,24 +7,25 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// bucket is a token bucket that is refilled at rate tokens a second.
+// bucket is a token bucket that is refilled with rate tokens per second. Its tokens may
+// become negative.
 type bucket struct {
-	rate     float64
-	capacity float64
-	tokens   float64
-	filledAt identifier.Moment
+	rate       float64
+	capacity   float64
+	tokens     float64
+	refilledAt identifier.Moment
 }
 
 func newBucket(now identifier.Moment, rate, capacity float64) bucket {
-	return bucket{rate: rate, capacity: capacity, tokens: capacity, filledAt: now}
+	return bucket{rate: rate, capacity: capacity, tokens: capacity, refilledAt: now}
 }
 
 func (bucket *bucket) refill(now identifier.Moment) {
-	if now <= bucket.filledAt {
+	if now <= bucket.refilledAt {
 		return
 	}
-	bucket.tokens = min(bucket.capacity, bucket.tokens+bucket.rate*now.Sub(bucket.filledAt).Seconds())
-	bucket.filledAt = now
+	bucket.tokens = min(bucket.capacity, bucket.tokens+bucket.rate*now.Sub(bucket.refilledAt).Seconds())
+	bucket.refilledAt = now
 }
 
 func (bucket *bucket) add(now identifier.Moment, tokens float64) {
@@ -32,13 +33,14 @@
 	bucket.tokens = min(bucket.capacity, bucket.tokens+tokens)
 }
 
-func (bucket *bucket) take(now identifier.Moment, tokens float64) {
+func (bucket *bucket) consume(now identifier.Moment, tokens float64) {
 	bucket.refill(now)
 	bucket.tokens -= tokens
 }
 
-// until returns how long it takes until the bucket holds so many tokens.
-func (bucket *bucket) until(now identifier.Moment, tokens float64) time.Duration {
+// timeUntil returns how long it takes until the bucket holds the given number of tokens.
+// It returns one second if tokens are missing and the rate is 0.
+func (bucket *bucket) timeUntil(now identifier.Moment, tokens float64) time.Duration {
 	bucket.refill(now)
 	missing := tokens - bucket.tokens
 	if missing <= 0 {
--- a/pkg/limiter/limiter.go
+++ b/pkg/limiter/limiter.go
@@ -1,11 +1,11 @@
-// Package limiter keeps the quotas of teams: the rate of task starts, the tasks
-// in flight, and the budgets for repeated starts of each team and of the failure
-// domain. It is pure; callers pass the moment in.
+// Package limiter enforces the quotas of teams: the rate of task starts, the number of
+// tasks in flight, and the retry budgets of each team and of the failure domain. It
+// does no I/O and reads no clock; callers pass the current time.
 //
-// A repeated start is one that follows a refusal by a backend server. Without a
-// budget, backend servers that refuse everything would make every lead send each
-// task again and again, and the repeats would crowd out first starts. It would
-// show as wasted messages that grow with the load.
+// A retry is another start of a task after a backend server refused it. Without a
+// retry budget, backend servers that refuse everything would make every lead resend
+// each task endlessly, and the retries would crowd out first starts. The number of
+// wasted messages would grow with the load.
 package limiter
 
 import (
@@ -14,74 +14,75 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// TeamLimits are the quotas of one team. A limit of 0 means no limit.
+// TeamLimits are the quotas of one team. A rate or number of tasks of 0 means no limit.
 type TeamLimits struct {
 	Team identifier.TeamID
-	// TasksPerSecond is the rate of task starts that the team may keep up.
+	// TasksPerSecond is the sustained rate of task starts.
 	TasksPerSecond float64
-	// TasksInFlight is the largest number of the team's tasks that run at once.
+	// TasksInFlight is the largest number of concurrently running tasks.
 	TasksInFlight int
-	// Weight is the team's share when slots are tight, relative to other teams;
-	// below 1 counts as 1.
+	// Weight is the team's share of contended slots relative to other teams. Values below
+	// 1 count as 1.
 	Weight int
 }
 
-// Settings bounds what the limiter holds and how many starts may be repeated.
+// Settings configures the default limits, the retry budgets and the bounds of a limiter.
 type Settings struct {
-	// Default holds for teams that have no limits of their own.
+	// Default are the limits of teams that are not configured.
 	Default TeamLimits
-	// MaxUnknownTeams bounds the teams without limits of their own that are
-	// counted one by one; those beyond it share one count.
-	MaxUnknownTeams int
-	// RateWindow is how much of its rate a team may save up for a burst.
+	// MaxUnconfiguredTeams bounds the teams that have an account of their own without
+	// being configured. Further teams share one account.
+	MaxUnconfiguredTeams int
+	// RateWindow is the burst size: the tokens that the rate yields in this time.
 	RateWindow time.Duration
-	// RetryRatio is the share of starts that may be repeated.
+	// RetryRatio is the number of retries allowed per first start.
 	RetryRatio float64
-	// TeamRetryRate and DomainRetryRate are repeats each second that are allowed
-	// beyond the ratio, so that little traffic can be repeated too.
+	// TeamRetryRate and DomainRetryRate are the retries per second that are allowed in
+	// addition to the ratio, so that tasks can be retried at low traffic too.
 	TeamRetryRate   float64
 	DomainRetryRate float64
-	// RetryWindow is how many repeats may be saved up, in seconds of the rates.
+	// RetryWindow is the capacity of the retry budgets: the retries that the rates yield
+	// in this time.
 	RetryWindow time.Duration
 }
 
 // DefaultSettings returns the settings that the daemon starts from.
 func DefaultSettings() Settings {
 	return Settings{
-		Default:         TeamLimits{Weight: 1},
-		MaxUnknownTeams: 2048,
-		RateWindow:      time.Second,
-		RetryRatio:      0.1,
-		TeamRetryRate:   5,
-		DomainRetryRate: 50,
-		RetryWindow:     2 * time.Second,
+		Default:              TeamLimits{Weight: 1},
+		MaxUnconfiguredTeams: 2048,
+		RateWindow:           time.Second,
+		RetryRatio:           0.1,
+		TeamRetryRate:        5,
+		DomainRetryRate:      50,
+		RetryWindow:          2 * time.Second,
 	}
 }
 
-// Limiter counts what teams use. Set Settings before use.
+// Limiter tracks the resource use of teams. Set Settings before use.
 type Limiter struct {
 	Settings Settings
 
-	teams   map[identifier.TeamID]*account
-	unknown int
-	// shared is the account of the unknown teams beyond MaxUnknownTeams.
-	shared *account
-	domain bucket
+	teams             map[identifier.TeamID]*account
+	unconfiguredTeams int
+	// sharedAccount is the account of the teams beyond Settings.MaxUnconfiguredTeams.
+	sharedAccount     *account
+	domainRetryBucket bucket
 }
 
-// account is what one team has used.
+// account tracks the use of one team.
 type account struct {
-	limits     TeamLimits
-	configured bool
-	inFlight   int
-	rate       bucket
-	retries    bucket
+	limits      TeamLimits
+	configured  bool
+	inFlight    int
+	rateBucket  bucket
+	retryBucket bucket
 }
 
-// Configure replaces the limits of teams; those not named fall back to the
-// default. What the teams have used stays counted.
+// Configure replaces the limits of all teams. Teams that are not listed fall back to
+// the default limits. Tasks in flight remain counted.
 func (limiter *Limiter) Configure(now identifier.Moment, teams []TeamLimits) {
-	limiter.prepare(now)
+	limiter.initialize(now)
 	named := make(map[identifier.TeamID]bool, len(teams))
 	for _, limits := range teams {
 		named[limits.Team] = true
@@ -90,92 +91,93 @@
 			account = limiter.newAccount(now)
 			limiter.teams[limits.Team] = account
 		} else if !account.configured {
-			limiter.unknown--
+			limiter.unconfiguredTeams--
 		}
 		account.configured = true
-		limiter.apply(now, account, limits)
+		limiter.applyLimits(now, account, limits)
 	}
 	for team, account := range limiter.teams {
 		if account.configured && !named[team] {
 			account.configured = false
-			limiter.unknown++
-			limiter.apply(now, account, limiter.Settings.Default)
+			limiter.unconfiguredTeams++
+			limiter.applyLimits(now, account, limiter.Settings.Default)
 		}
 	}
 }
 
-// Admit charges a job of so many tasks to the team's rate. When the team is over
-// its rate nothing is charged, and the time until it is worth trying again is
-// returned. A job larger than what can be saved up is admitted once the savings
-// are full, and leaves the team in debt.
+// Admit charges a job with the given number of tasks to the team's rate. If the team
+// exceeds its rate, nothing is charged and Admit returns the time after which a retry
+// may succeed. A job larger than the burst size is admitted when the bucket is full, and
+// leaves the team with negative tokens.
 func (limiter *Limiter) Admit(now identifier.Moment, team identifier.TeamID, tasks int) (time.Duration, bool) {
 	account := limiter.account(now, team)
 	if account.limits.TasksPerSecond <= 0 {
 		return 0, true
 	}
-	needed := min(float64(tasks), account.rate.capacity)
-	if wait := account.rate.until(now, needed); wait > 0 {
+	needed := min(float64(tasks), account.rateBucket.capacity)
+	if wait := account.rateBucket.timeUntil(now, needed); wait > 0 {
 		return wait, false
 	}
-	account.rate.take(now, float64(tasks))
+	account.rateBucket.consume(now, float64(tasks))
 	return 0, true
 }
 
-// Start counts a task in flight and tells whether the team may start more. Only
-// fresh starts, not repeated ones, add to the budgets for repeats.
-func (limiter *Limiter) Start(now identifier.Moment, team identifier.TeamID, fresh bool) bool {
+// Start counts a task in flight and reports whether the team may start more. Only first
+// attempts, not retries, add to the retry budgets.
+func (limiter *Limiter) Start(now identifier.Moment, team identifier.TeamID, firstAttempt bool) bool {
 	account := limiter.account(now, team)
 	account.inFlight++
-	if !fresh {
+	if !firstAttempt {
 		return account.mayStart()
 	}
-	account.retries.add(now, limiter.Settings.RetryRatio)
-	limiter.domain.add(now, limiter.Settings.RetryRatio)
+	account.retryBucket.add(now, limiter.Settings.RetryRatio)
+	limiter.domainRetryBucket.add(now, limiter.Settings.RetryRatio)
 	return account.mayStart()
 }
 
-// End takes a task out of flight and tells whether the team may start more.
+// End removes a task from those in flight and reports whether the team may start more.
 func (limiter *Limiter) End(now identifier.Moment, team identifier.TeamID) bool {
 	account := limiter.account(now, team)
 	if account.inFlight == 0 {
-		// The task was counted while the team had no account of its own.
-		account = limiter.shared
+		// The task was counted in the shared account, before the team got its own.
+		account = limiter.sharedAccount
 	}
 	account.inFlight = max(account.inFlight-1, 0)
 	return account.mayStart()
 }
 
-// MayStart tells whether the team is below its tasks in flight.
+// MayStart reports whether the team is below its limit of tasks in flight.
 func (limiter *Limiter) MayStart(now identifier.Moment, team identifier.TeamID) bool {
 	return limiter.account(now, team).mayStart()
 }
 
-// InFlight returns how many tasks of the team run.
+// InFlight returns the number of the team's tasks in flight. Teams without an account of
+// their own share one count.
 func (limiter *Limiter) InFlight(now identifier.Moment, team identifier.TeamID) int {
 	return limiter.account(now, team).inFlight
 }
 
-// Limits returns the limits that hold for the team.
+// Limits returns the limits in effect for the team.
 func (limiter *Limiter) Limits(now identifier.Moment, team identifier.TeamID) TeamLimits {
 	return limiter.account(now, team).limits
 }
 
-// Weight returns the team's weight.
+// Weight returns the team's weight, which is at least 1.
 func (limiter *Limiter) Weight(now identifier.Moment, team identifier.TeamID) int {
 	return max(limiter.account(now, team).limits.Weight, 1)
 }
 
-// Retry charges one repeated start to the budgets of the team and of the failure
-// domain. When either is used up nothing is charged, and the time until both
-// have room is returned.
+// Retry charges one retry to the budgets of the team and of the failure domain. If
+// either is exhausted, nothing is charged and Retry returns the time until both allow
+// a retry.
 func (limiter *Limiter) Retry(now identifier.Moment, team identifier.TeamID) (time.Duration, bool) {
 	account := limiter.account(now, team)
-	wait := max(account.retries.until(now, 1), limiter.domain.until(now, 1))
+	wait := max(account.retryBucket.timeUntil(now, 1), limiter.domainRetryBucket.timeUntil(now, 1))
 	if wait > 0 {
 		return wait, false
 	}
-	account.retries.take(now, 1)
-	limiter.domain.take(now, 1)
+	account.retryBucket.consume(now, 1)
+	limiter.domainRetryBucket.consume(now, 1)
 	return 0, true
 }
 
--- a/pkg/limiter/limiter_test.go
+++ b/pkg/limiter/limiter_test.go
@@ -12,12 +12,12 @@
 	"github.com/stoathitch/stoathitch/pkg/limiter"
 )
 
-// TestScenarios runs the tables under testdata. Each command is one call; `at`
-// is the moment, `times` repeats the call and counts what was allowed.
+// TestScenarios runs the files in testdata. Each command is a call at the time `at`;
+// `times` repeats the call and counts how often it was allowed.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		tested := &limiter.Limiter{Settings: limiter.DefaultSettings()}
-		tested.Settings.MaxUnknownTeams = 2
+		tested.Settings.MaxUnconfiguredTeams = 2
 		datadriven.RunTest(t, path, func(t *testing.T, data *datadriven.TestData) string {
 			return run(t, tested, data)
 		})
