--- a/pkg/estimator/estimator.go
+++ b/pkg/estimator/estimator.go
@@ -1,10 +1,11 @@
-// Package estimator learns how long tasks run from the answers that come back.
+// Package estimator estimates the run time of tasks from the run times observed in
+// earlier answers.
 //
-// Declared run times may be far off, so they are never taken as they stand. For
-// each team and class the estimator keeps two predictors, the mean of what was
-// observed and the declared time corrected by the observed ratio, and answers by
-// the one that has been off by less. It is pure and bounded: beyond
-// Settings.MaxKeys a pair of team and class is answered from its class.
+// Declared run times may be far off, so they are corrected once enough answers have
+// been observed. For each team and class the estimator keeps two predictors, the mean
+// observed run time and the declared time corrected by the observed ratio, and uses the
+// one with the smaller error so far. It does no I/O and its memory is bounded: for pairs
+// of team and class beyond Settings.MaxKeys the estimate of the class is used.
 package estimator
 
 import (
@@ -13,114 +14,116 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Settings bounds what the estimator holds and how fast it forgets.
+// Settings bounds the estimator's memory and configures how fast it adapts.
 type Settings struct {
 	// MaxKeys bounds the pairs of team and class that have an entry of their own.
 	MaxKeys int
 	// MaxClasses bounds the classes that have an entry of their own.
 	MaxClasses int
-	// MinSamples is how many answers an entry needs before it is believed.
+	// MinSamples is how many answers an entry needs before its estimates are used.
 	MinSamples int
-	// Memory is about how many of the latest answers an estimate rests on.
-	Memory int
-	// OutlierFactor caps an observed run time at so many times the mean, so that
-	// one straggler does not spoil the estimates of its team.
+	// Window is about how many of the latest answers an estimate is based on.
+	Window int
+	// OutlierFactor caps an observed run time at this multiple of the predicted one, so
+	// that a single straggler does not distort the estimates of its team.
 	OutlierFactor float64
-	// Unknown is the run time of a task of which nothing was declared or learned.
-	Unknown time.Duration
+	// DefaultRunTime is the estimate for a task without a declared or learned run time.
+	DefaultRunTime time.Duration
 }
 
 // DefaultSettings returns the settings that the daemon starts from.
 func DefaultSettings() Settings {
 	return Settings{
-		MaxKeys:       4096,
-		MaxClasses:    64,
-		MinSamples:    8,
-		Memory:        64,
-		OutlierFactor: 16,
-		Unknown:       200 * time.Millisecond,
+		MaxKeys:        4096,
+		MaxClasses:     64,
+		MinSamples:     8,
+		Window:         64,
+		OutlierFactor:  16,
+		DefaultRunTime: 200 * time.Millisecond,
 	}
 }
 
-// Key names a series of tasks that are likely to run alike.
+// Key identifies tasks that are likely to have similar run times.
 type Key struct {
 	Team  identifier.TeamID
 	Class identifier.ClassName
 }
 
-// Estimate is what a task is expected to take on a slot.
+// Estimate is the expected time that a task occupies a slot.
 type Estimate struct {
-	// Mean is the expected slot time, stragglers included; sums of it are work.
+	// Mean is the expected slot time, including stragglers. Sums of it estimate work.
 	Mean time.Duration
-	// Typical is the median run time; stragglers hardly move it.
+	// Typical is the median run time, which stragglers hardly affect.
 	Typical time.Duration
-	// Learned tells that the estimate rests on enough observed answers.
+	// Learned is set when the estimate is based on at least MinSamples observed answers.
 	Learned bool
 }
 
-// Estimator learns run times. Set Settings before use.
+// Estimator learns run times from observed answers. Set Settings before use.
 type Estimator struct {
 	Settings Settings
 
 	byKey   map[Key]*series
 	byClass map[identifier.ClassName]*series
-	all     series
+	overall series
 }
 
-// Observe learns from one answer: the task ran for observed and was declared to
-// run for declared, or zero when nothing was declared.
+// Observe learns from one answer. declared is the task's declared run time, or zero
+// when nothing was declared. Answers without a positive observed time are ignored.
 func (estimator *Estimator) Observe(key Key, declared, observed time.Duration) {
 	if observed <= 0 {
 		return
 	}
-	estimator.prepare()
-	estimator.all.observe(&estimator.Settings, declared, observed)
-	if series := openSeries(estimator.byClass, key.Class, estimator.Settings.MaxClasses); series != nil {
+	estimator.initialize()
+	estimator.overall.observe(&estimator.Settings, declared, observed)
+	if series := getOrAddSeries(estimator.byClass, key.Class, estimator.Settings.MaxClasses); series != nil {
 		series.observe(&estimator.Settings, declared, observed)
 	}
-	if series := openSeries(estimator.byKey, key, estimator.Settings.MaxKeys); series != nil {
+	if series := getOrAddSeries(estimator.byKey, key, estimator.Settings.MaxKeys); series != nil {
 		series.observe(&estimator.Settings, declared, observed)
 	}
 }
 
-// Model answers for one key; it is valid until the next Observe.
+// Model estimates the tasks of one key. It is valid until the next Observe.
 type Model struct {
-	series  *series
-	unknown time.Duration
+	series         *series
+	defaultRunTime time.Duration
 }
 
-// Model returns the narrowest series that has enough answers: the pair of team
-// and class, the class, or all tasks.
+// Model returns a model based on the most specific series that has enough answers: the
+// pair of team and class, the class, or all tasks.
 func (estimator *Estimator) Model(key Key) Model {
-	for _, series := range [...]*series{estimator.byKey[key], estimator.byClass[key.Class], &estimator.all} {
+	for _, series := range [...]*series{estimator.byKey[key], estimator.byClass[key.Class], &estimator.overall} {
 		if series != nil && series.samples >= estimator.Settings.MinSamples {
 			return Model{series: series}
 		}
 	}
-	return Model{unknown: estimator.Settings.Unknown}
+	return Model{defaultRunTime: estimator.Settings.DefaultRunTime}
 }
 
-// Estimate returns what a task with a declared run time, or zero, is expected to
-// take. Without enough answers it is the declared time.
+// Estimate returns the estimate for a task with the given declared run time, zero when
+// nothing was declared. Without enough answers it is the declared time, or
+// DefaultRunTime when there is none.
 func (model Model) Estimate(declared time.Duration) Estimate {
 	if model.series != nil {
 		return model.series.estimate(declared)
 	}
 	if declared <= 0 {
-		declared = model.unknown
+		declared = model.defaultRunTime
 	}
 	return Estimate{Mean: declared, Typical: declared}
 }
 
-func (estimator *Estimator) prepare() {
+func (estimator *Estimator) initialize() {
 	if estimator.byKey == nil {
 		estimator.byKey = make(map[Key]*series)
 		estimator.byClass = make(map[identifier.ClassName]*series)
 	}
 }
 
-// openSeries returns the series of key, a new one while there is room, or nil.
-func openSeries[K comparable](known map[K]*series, key K, limit int) *series {
+// getOrAddSeries returns the series of key, adding one if the map is below limit. It
+// returns nil otherwise.
+func getOrAddSeries[K comparable](known map[K]*series, key K, limit int) *series {
 	if found := known[key]; found != nil {
 		return found
 	}
--- a/pkg/estimator/estimator_test.go
+++ b/pkg/estimator/estimator_test.go
@@ -17,9 +17,9 @@
 	}
 }
 
-// TestWrongDeclarations: symptom: jobs are refused or ordered by declared run
-// times that are far off (row 15). Sequence: answers come in that run otherwise
-// than declared. Cause: the declaration was believed.
+// TestWrongDeclarations guards against jobs that are refused or ordered by declared run
+// times that are far off. Observed answers differ from the declared times, and the
+// estimates must follow the observed ones.
 func TestWrongDeclarations(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	cases := []struct {
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestDeclarationsThatTellJobsApart: a declared time that is off by a factor, but
-// tells short tasks from long ones, is corrected and kept.
+// TestDeclarationsThatTellJobsApart: declared times that are off by a constant factor,
+// but distinguish short tasks from long ones, are corrected by the factor and used.
 func TestDeclarationsThatTellJobsApart(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	tested := &estimator.Estimator{Settings: estimator.DefaultSettings()}
@@ -58,8 +58,8 @@
 	within(t, "long", model.Estimate(300*time.Millisecond).Mean, 900*time.Millisecond)
 }
 
-// TestStragglersAndChange: one straggler of a thousand times the mean moves the
-// typical run time little, and a lasting change is learned within the memory.
+// TestStragglersAndChange: one straggler of a thousand times the mean hardly changes the
+// typical run time, and a lasting change is learned within a few windows of answers.
 func TestStragglersAndChange(t *testing.T) {
 	tested := &estimator.Estimator{Settings: estimator.DefaultSettings()}
 	key := estimator.Key{Team: "estimates", Class: "counter"}
@@ -75,8 +75,8 @@
 	within(t, "mean after a change", tested.Model(key).Estimate(0).Mean, 400*time.Millisecond)
 }
 
-// TestBoundedAndFallingBack: beyond the bound a new team is answered from its
-// class, and a new class from all tasks; neither is stored.
+// TestBoundedAndFallingBack: beyond the bounds a new team gets the estimate of its
+// class, and a new class the estimate of all tasks. Neither is stored.
 func TestBoundedAndFallingBack(t *testing.T) {
 	tested := &estimator.Estimator{Settings: estimator.DefaultSettings()}
 	tested.Settings.MaxKeys = 1
--- a/pkg/estimator/series.go
+++ b/pkg/estimator/series.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// series is what was learned of one kind of tasks.
+// series holds the statistics of the observed run times of one kind of tasks.
 type series struct {
-	// samples counts answers up to Settings.Memory.
+	// samples counts the observed answers, up to Settings.Window.
 	samples int
-	// mean is the decayed mean run time in nanoseconds.
+	// mean is the moving average of run times in nanoseconds.
 	mean float64
-	// observedSum and declaredSum are decayed sums over the answers with a
-	// declared time; their ratio corrects declared times.
+	// observedSum and declaredSum are the moving averages of the observed and declared
+	// times of answers with a declared time. Their ratio corrects declared times.
 	observedSum float64
 	declaredSum float64
-	// meanError and declaredError are the decayed errors of the two predictors.
+	// meanError and declaredError are the moving averages of the absolute errors of the
+	// two predictors.
 	meanError     float64
 	declaredError float64
 	ratios        ratioHistogram
@@ -27,7 +28,7 @@
 		value = min(value, series.predict(declared)*settings.OutlierFactor)
 		series.ratios.add(value / series.predict(declared))
 	}
-	series.samples = min(series.samples+1, settings.Memory)
+	series.samples = min(series.samples+1, settings.Window)
 	gain := 1 / float64(series.samples)
 	if declared > 0 {
 		corrected := series.corrected(declared)
@@ -39,7 +40,8 @@
 	series.mean += gain * (value - series.mean)
 }
 
-// corrected returns the declared time times the observed ratio.
+// corrected returns the declared time, in nanoseconds, scaled by the ratio of observed
+// to declared times.
 func (series *series) corrected(declared time.Duration) float64 {
 	if series.declaredSum <= 0 {
 		return float64(declared)
@@ -47,7 +49,8 @@
 	return float64(declared) * series.observedSum / series.declaredSum
 }
 
-// predict returns the expected run time by the better predictor, in nanoseconds.
+// predict returns the expected run time in nanoseconds, by the predictor with the
+// smaller error.
 func (series *series) predict(declared time.Duration) float64 {
 	if declared > 0 && series.declaredSum > 0 && series.declaredError < series.meanError {
 		return max(series.corrected(declared), 1)
@@ -62,23 +65,24 @@
 }
 
 const (
-	// ratioBuckets buckets of half a power of two each span 2^-6 to 2^6.
-	ratioBuckets = 24
-	// ratioMemory is the count at which a histogram is halved, which decays it.
-	ratioMemory = 256
+	// ratioBucketCount buckets, each half a power of two wide, span 2^-6 to 2^6.
+	ratioBucketCount = 24
+	// maxRatioCount is the total count at which all counts are halved, so that they decay.
+	maxRatioCount = 256
 )
 
-// ratioHistogram holds observed over predicted, decayed by halving.
+// ratioHistogram counts the ratios of observed to predicted run times. Its counts decay
+// by halving.
 type ratioHistogram struct {
-	counts [ratioBuckets]uint16
+	counts [ratioBucketCount]uint16
 	total  int
 }
 
 func (histogram *ratioHistogram) add(ratio float64) {
-	bucket := int(math.Round(2*math.Log2(ratio))) + ratioBuckets/2
-	histogram.counts[min(max(bucket, 0), ratioBuckets-1)]++
+	bucket := int(math.Round(2*math.Log2(ratio))) + ratioBucketCount/2
+	histogram.counts[min(max(bucket, 0), ratioBucketCount-1)]++
 	histogram.total++
-	if histogram.total < ratioMemory {
+	if histogram.total < maxRatioCount {
 		return
 	}
 	histogram.total = 0
@@ -88,13 +92,13 @@
 	}
 }
 
-// median returns the ratio that half of the answers stay below; 1 when empty.
+// median returns the median ratio, 1 when the histogram is empty.
 func (histogram *ratioHistogram) median() float64 {
 	remaining := histogram.total / 2
 	for index, count := range histogram.counts {
 		remaining -= int(count)
 		if remaining < 0 {
-			return math.Exp2(float64(index-ratioBuckets/2) / 2)
+			return math.Exp2(float64(index-ratioBucketCount/2) / 2)
 		}
 	}
 	return 1
