--- a/pkg/selector/baselines.go
+++ b/pkg/selector/baselines.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// random draws any usable server. A task that finds no free slot there is refused
-// and drawn again.
+// random draws any server in the view. A task that finds no free slot there is refused
+// by the server, and the caller picks again.
 type random[K comparable] struct {
 	view[K]
 	source *rand.Rand
@@ -18,7 +18,7 @@
 	return policy.servers[policy.source.IntN(len(policy.servers))], true
 }
 
-// twoChoices draws two servers and takes the one with more free slots.
+// twoChoices draws two servers at random and picks the one with more free slots.
 type twoChoices[K comparable] struct {
 	view[K]
 	source *rand.Rand
--- a/pkg/selector/policy.go
+++ b/pkg/selector/policy.go
@@ -1,8 +1,8 @@
 // Package selector decides which backend server gets the next task. Each policy
-// keeps an incremental view of the servers, so that one decision costs less than
-// linear time in their number and allocates nothing.
+// keeps an incremental view of the servers, so that a decision takes less than
+// linear time in the number of servers and allocates nothing.
 //
-// It is pure. A policy that needs chance has its own seeded source.
+// It does no I/O. Policies that draw at random use their own seeded source.
 package selector
 
 import (
@@ -18,59 +18,61 @@
 
 // The policies.
 const (
-	// KindLeastLoaded takes a server with the most free slots. It is exact where
-	// one lead starts all tasks of its servers.
+	// KindLeastLoaded picks a server with the most free slots. It is exact when a
+	// single lead starts all tasks of its servers.
 	KindLeastLoaded Kind = iota
-	// KindRandom takes any usable server, whether it is busy or not. It is a
-	// baseline.
+	// KindRandom picks any usable server at random, even a fully busy one. It is a
+	// baseline for comparison.
 	KindRandom
-	// KindTwoChoices takes the freer one of two servers drawn at random. It is a
-	// baseline for leads that share servers and see old loads.
+	// KindTwoChoices picks the one with more free slots of two servers drawn at random
+	// (power of two choices). It is a baseline for leads that share servers and see
+	// stale loads.
 	KindTwoChoices
-	// KindBlend draws by target share and observed state, within bounds.
+	// KindBlend draws by a mixture of the servers' share of all slots and their share of
+	// the free slots, with a limit per server.
 	KindBlend
 )
 
-// Load is what a lead knows of one server.
+// Load is a lead's last known load of one server.
 type Load struct {
-	// Slots is how many tasks the server may run now, by its health.
+	// Slots is how many tasks the server may run concurrently, given its health.
 	Slots identifier.Slots
-	// Busy is how many slots are in use, whoever started the tasks, as far as
-	// known.
+	// Busy is the last known number of slots in use, whichever lead started the tasks.
 	Busy identifier.Slots
-	// Own is how many of the busy slots this lead uses.
+	// Own is how many of the busy slots are used by tasks of this lead.
 	Own identifier.Slots
-	// Slowness is the base 2 logarithm of observed run time over what other
-	// servers take.
+	// Slowness is the base 2 logarithm of the server's run times over those of other
+	// servers.
 	Slowness float64
 	Rack     identifier.RackID
 }
 
-// Free returns how many slots are not in use; it is never negative.
+// Free returns the number of slots that are not in use, never less than 0.
 func (load Load) Free() identifier.Slots { return max(load.Slots-load.Busy, 0) }
 
-// Policy picks servers. K is how the owner names a server.
+// Policy picks servers. K is the key by which the owner identifies a server.
 type Policy[K comparable] interface {
-	// Update puts a usable server into the view or changes its load.
+	// Update adds a usable server to the view or changes its load.
 	Update(server K, load Load)
-	// Remove takes a server out of the view; unknown ones are ignored.
+	// Remove removes a server from the view. Unknown servers are ignored.
 	Remove(server K)
-	// Pick returns the server for the next task. The second result is false when
-	// no server may get one now. The owner tells the new load with Update.
+	// Pick returns the server for the next task. The second result is false when no
+	// server may get one now. Pick leaves loads unchanged; the owner passes the new load
+	// to Update.
 	Pick() (K, bool)
-	// Free returns the free slots of all servers in the view.
+	// Free returns the total number of free slots of the servers in the view.
 	Free() identifier.Slots
 }
 
-// Settings adjusts the policies.
+// Settings configures a policy.
 type Settings struct {
 	Kind Kind
-	// Seed starts the random source of the policies that draw.
+	// Seed initializes the random source of the policies that draw at random.
 	Seed uint64
-	// BalancingRate is b of the blend: 1 draws by target share only, 0 by observed
-	// state only.
+	// BalancingRate is b in KindBlend: 1 draws by the share of all slots only, 0 by the
+	// share of the free slots only.
 	BalancingRate float64
-	// Leads is how many leads share the servers; 1 where each has its own.
+	// Leads is how many leads share the servers, 1 when each lead has its own.
 	Leads int
 }
 
@@ -79,7 +81,7 @@
 	return Settings{Kind: KindLeastLoaded, BalancingRate: 0.25, Leads: 1}
 }
 
-// New returns an empty policy of the wanted kind.
+// New returns a policy of settings.Kind with no servers.
 func New[K comparable](settings Settings) Policy[K] {
 	source := rand.New(rand.NewPCG(settings.Seed, settings.Seed^0x9e3779b97f4a7c15))
 	switch settings.Kind {
--- a/pkg/selector/seed_test.go
+++ b/pkg/selector/seed_test.go
@@ -1,4 +1,4 @@
 package selector_test
 
-// The random tests draw from a fixed seed, so that CI has one verdict.
+// Importing seeder gives the random tests a fixed seed, so that CI runs are repeatable.
 import _ "github.com/stoathitch/stoathitch/pkg/seeder"
--- a/pkg/selector/selector_test.go
+++ b/pkg/selector/selector_test.go
@@ -10,9 +10,10 @@
 	"github.com/stoathitch/stoathitch/pkg/selector"
 )
 
-// TestPoliciesKeepTheirView compares each policy with plain books under random
-// updates: a pick is a known server, one with a free slot unless the policy is
-// blind to it, and there is a pick whenever a slot is free.
+// TestPoliciesKeepTheirView compares each policy with a plain map of loads under random
+// updates. A pick must be a known server and must succeed exactly when a slot is free.
+// The least-loaded policy must pick a server with the most free slots, and the blend one
+// that has a free slot.
 func TestPoliciesKeepTheirView(t *testing.T) {
 	for _, kind := range selector.KindValues() {
 		t.Run(kind.String(), rapid.MakeCheck(func(t *rapid.T) { checkPolicy(t, kind) }))
@@ -66,7 +67,8 @@
 	}
 }
 
-// TestOneJobSpreadsOverRacks takes as many tasks as there are racks.
+// TestOneJobSpreadsOverRacks starts as many tasks as there are racks on equally loaded
+// servers; each rack must get one.
 func TestOneJobSpreadsOverRacks(t *testing.T) {
 	policy := selector.New[int](selector.DefaultSettings())
 	for server := range 12 {
@@ -83,8 +85,8 @@
 	}
 }
 
-// TestBlendBoundsOneLead checks that one of four leads never fills a server alone
-// beyond its share and a third of what is free.
+// TestBlendBoundsOneLead checks that one of four leads that share a server uses no more
+// than its share of the slots plus a third of the free ones.
 func TestBlendBoundsOneLead(t *testing.T) {
 	settings := selector.DefaultSettings()
 	settings.Kind = selector.KindBlend
@@ -112,7 +114,7 @@
 	}
 }
 
-// benchmarkDecision starts a task and ends another at 80 percent load.
+// benchmarkDecision ends one task and starts another at 80 percent load.
 func benchmarkDecision(b *testing.B, kind selector.Kind, servers int) {
 	settings := selector.DefaultSettings()
 	settings.Kind = kind
--- a/pkg/selector/view.go
+++ b/pkg/selector/view.go
@@ -2,7 +2,7 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// view lists servers densely, so that one can be drawn in constant time.
+// view stores servers without gaps, so that one can be drawn at random in constant time.
 type view[K comparable] struct {
 	servers   []K
 	loads     []Load
