--- a/pkg/assessor/assessor.go
+++ b/pkg/assessor/assessor.go
@@ -1,17 +1,21 @@
-// Package assessor judges the health of backend servers from the outcomes of
-// their tasks and says how many tasks each may run at once.
+// Package assessor evaluates the health of backend servers from the outcomes of
+// their tasks and decides how many tasks each server may run concurrently (its
+// allowance).
 //
-// It is pure: time and outcomes come in through Tick, changed allowances go out.
+// It does no I/O and reads no clock: Tick takes the time and the outcomes and
+// returns the allowances that changed.
 //
-// Three thoughts carry it:
-//   - A server is blamed only for failures beyond what the same callers' tasks show
-//     on other servers. A bad job or a bad release fails everywhere and blames no
-//     single server, so it ejects none.
-//   - A server that fails or is slow gets less before it gets nothing. The limit
-//     lies on tasks that run at once, because a server that fails at once is always
-//     free and would draw all tasks otherwise.
-//   - An ejected server proves itself by one task at a time, then two, four and so
-//     on. Ejection never takes more than a share of all slots.
+// The design rests on three rules:
+//   - A server is blamed only for failures in excess of the failure rate that the
+//     same callers' tasks have on other servers. A bad job or a bad release fails on
+//     every server, so it gets no single server ejected.
+//   - The allowance of a failing or slow server shrinks before the server is ejected.
+//     It limits concurrent tasks rather than the rate of starts, because a server
+//     that fails its tasks immediately always has free slots and would otherwise
+//     attract all tasks.
+//   - An ejected server is probed with one task at first, then with two, four and so
+//     on as tasks succeed. The ejected servers never hold more than a fixed fraction
+//     of all slots.
 package assessor
 
 import (
@@ -21,51 +25,51 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// Settings says when a server is blamed and for how long.
+// Settings configures when servers are restricted or ejected, and for how long.
 type Settings struct {
-	// Window is over how many of a server's latest tasks failures are weighed.
+	// Window is about how many of a server's latest tasks its failures are counted over.
 	Window int
-	// EjectAt is the blame, in failed tasks of the window beyond what other servers
-	// show, at which a server is ejected.
+	// EjectAt is the number of failed tasks in the window, in excess of what other
+	// servers show, at which a server is ejected.
 	EjectAt float64
-	// EjectedShare bounds the ejected slots by their share of all slots.
+	// EjectedShare is the largest fraction of all slots that may be ejected.
 	EjectedShare float64
-	// EjectWait is how long the first ejection lasts; each further one without a
-	// full recovery between lasts twice as long, up to EjectWaitMax.
+	// EjectWait is how long the first ejection lasts. Each further ejection before a
+	// full recovery lasts twice as long as the previous one, up to EjectWaitMax.
 	EjectWait    time.Duration
 	EjectWaitMax time.Duration
-	// SlowAt and SlowEjectAt are base 2 logarithms of observed over expected run
-	// time: from the first a server gets less, from the second it is ejected.
-	SlowAt      float64
-	SlowEjectAt float64
-	// SlownessDecay weighs a new ratio of run times against those before.
+	// SlowThreshold and SlowEjectAt are base 2 logarithms of observed over expected
+	// run time. Above the first the allowance shrinks, from the second on the server
+	// is ejected.
+	SlowThreshold float64
+	SlowEjectAt   float64
+	// SlownessDecay is the weight of a new run time ratio in the moving average.
 	SlownessDecay float64
 	// RatioLimit bounds the base 2 logarithm of one task's ratio, so that a single
-	// straggler is not taken for a slow server.
+	// straggler does not make its server count as slow.
 	RatioLimit float64
-	// RampUp is how young a server's process may be to be started on few tasks.
+	// RampUp is the uptime below which a joining server starts with a reduced allowance.
 	RampUp time.Duration
 }
 
 // DefaultSettings returns the settings that the daemon starts from.
 func DefaultSettings() Settings {
 	return Settings{
-		Window:       10,
-		EjectAt:      4.5,
-		EjectedShare: 1.0 / 3,
-		EjectWait:    2 * time.Second,
-		EjectWaitMax: 30 * time.Second,
-		SlowAt:       1,
-		SlowEjectAt:  3,
-		// The last twenty run times count.
+		Window:        10,
+		EjectAt:       4.5,
+		EjectedShare:  1.0 / 3,
+		EjectWait:     2 * time.Second,
+		EjectWaitMax:  30 * time.Second,
+		SlowThreshold: 1,
+		SlowEjectAt:   3,
+		// An average over about the last twenty run times.
 		SlownessDecay: 0.05,
 		RatioLimit:    4,
 		RampUp:        10 * time.Second,
 	}
 }
 
-// Assessor holds what is known of the servers' health. Set Settings before the
-// first Tick.
+// Assessor tracks the health of servers. Set Settings before the first Tick.
 type Assessor struct {
 	Settings Settings
 
@@ -73,26 +77,26 @@
 	servers *tabulator.Table[identifier.BackendServerID, server]
 	origins *tabulator.Table[Origin, origin]
 	timers  *tabulator.Timers[identifier.BackendServerID]
-	// slots counts all slots, ejected those of ejected servers.
+	// slots counts the slots of all servers, ejected those of the ejected servers.
 	slots   identifier.Slots
 	ejected identifier.Slots
-	// slowness sums that of all servers.
+	// slowness sums the slowness of all servers.
 	slowness slownessTotal
 	outputs  []Output
 }
 
-// Tick applies the inputs in order, judges the servers that they are about and
+// Tick applies the inputs in order, re-evaluates the servers whose tasks ended and
 // returns the allowances that have changed.
 func (assessor *Assessor) Tick(now identifier.Moment, inputs []Input) []Output {
 	assessor.prepare(now)
 	for _, input := range inputs {
 		assessor.apply(input)
 	}
-	// Judging comes after all outcomes of the tick, so that a bad job which fails
-	// on many servers at once is seen as one.
+	// Servers are evaluated after all outcomes of the tick are recorded, so that a bad
+	// job that fails on many servers at once is not blamed on the first of them.
 	for _, input := range inputs {
 		if ended, isEnd := input.(*TaskEnded); isEnd {
-			assessor.judge(assessor.servers.Get(ended.Server))
+			assessor.evaluate(assessor.servers.Get(ended.Server))
 		}
 	}
 	assessor.expire()
@@ -122,19 +126,19 @@
 func (assessor *Assessor) apply(input Input) {
 	switch input := input.(type) {
 	case *ServerJoined:
-		assessor.join(input)
+		assessor.addServer(input)
 	case *ServerGone:
-		assessor.leave(input.Server)
+		assessor.removeServer(input.Server)
 	case *TaskEnded:
-		assessor.record(input)
+		assessor.recordOutcome(input)
 	}
 }
 
-// expire lets ejected servers prove themselves.
+// expire starts to probe the servers whose ejection has ended.
 func (assessor *Assessor) expire() {
 	assessor.timers.EachDue(assessor.now, func(id identifier.BackendServerID) {
 		if server := assessor.servers.Get(id); server != nil && server.state == stateEjected {
-			assessor.probe(server)
+			assessor.startProbing(server)
 		}
 	})
 }
--- a/pkg/assessor/assessor_test.go
+++ b/pkg/assessor/assessor_test.go
@@ -13,8 +13,8 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// TestScenarios runs the files under testdata. Each opens with the symptom, the
-// sequence and the cause of the failure that it is about.
+// TestScenarios runs the files in testdata. The head of each file describes the
+// failure that it guards against.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		scenario := &scenario{assessor: &assessor.Assessor{Settings: assessor.DefaultSettings()}}
@@ -22,13 +22,13 @@
 	})
 }
 
-// scenario carries out the commands of one file.
+// scenario runs the commands of one file.
 type scenario struct {
 	assessor *assessor.Assessor
 	now      identifier.Moment
 }
 
-// run knows these commands:
+// run supports these commands:
 //
 //	join servers=(a,b) slots=8 uptime=1h incarnation=1
 //	end servers=(a,b) team=t count=1 failed run=100ms slow=(a) times=4 at-once
@@ -70,8 +70,8 @@
 	}
 }
 
-// end reports outcomes, each round of the servers in a tick of its own unless
-// they all come at once.
+// end reports count rounds of outcomes, one task for each server and round. Each round
+// has its own tick, unless at-once puts all rounds into one tick.
 func (scenario *scenario) end(t *testing.T, data *datadriven.TestData, servers []string) string {
 	team, count := "team", 1
 	data.MaybeScanArgs(t, "team", &team)
@@ -100,7 +100,7 @@
 	return result.String()
 }
 
-// runTime is times as long on the servers that are named as slow.
+// runTime returns the run time of a task, multiplied by times on the servers named as slow.
 func (scenario *scenario) runTime(t *testing.T, data *datadriven.TestData, server string) time.Duration {
 	run := duration(t, data, "run", 100*time.Millisecond)
 	for _, argument := range data.CmdArgs {
--- a/pkg/assessor/messages.go
+++ b/pkg/assessor/messages.go
@@ -9,8 +9,8 @@
 // Input is an event that Tick applies.
 type Input interface{ isAssessorInput() }
 
-// ServerJoined tells that a server can be used, or that its slots have changed. A
-// server that is known keeps its record unless its process is another.
+// ServerJoined reports that a server can be used, or that its slots have changed. A
+// known server keeps its health record unless its incarnation has changed.
 type ServerJoined struct {
 	Server      identifier.BackendServerID
 	Incarnation uint64
@@ -19,20 +19,20 @@
 	Uptime time.Duration
 }
 
-// ServerGone tells that a server was forgotten. A server that is only out of reach
-// is kept, so that its record outlives a lost connection.
+// ServerGone reports that the owner has removed a server. It is not sent for a server
+// that is only unreachable, so that the health record survives a lost connection.
 type ServerGone struct {
 	Server identifier.BackendServerID
 }
 
-// Origin is where a task came from. Tasks of one origin are taken to be alike.
+// Origin identifies who submitted a task. Tasks of one origin are assumed to be alike.
 type Origin struct {
 	Team   identifier.TeamID
 	Caller identifier.CallerID
 }
 
-// TaskEnded tells the outcome of a task that ran to its end. Cancelled tasks are
-// not told: they say nothing about the server.
+// TaskEnded reports the outcome of a task that ran to its end. It is not sent for
+// cancelled tasks, which say nothing about the server's health.
 type TaskEnded struct {
 	Server  identifier.BackendServerID
 	Origin  Origin
@@ -44,10 +44,10 @@
 func (*ServerGone) isAssessorInput()   {}
 func (*TaskEnded) isAssessorInput()    {}
 
-// Output is a decision.
+// Output is a decision that Tick returns.
 type Output interface{ isAssessorOutput() }
 
-// AllowanceChanged tells how many tasks a server may run at once from now on.
+// AllowanceChanged sets how many tasks a server may run concurrently from now on.
 type AllowanceChanged struct {
 	Server  identifier.BackendServerID
 	Slots   identifier.Slots
@@ -60,26 +60,26 @@
 
 //go:generate enumer -type=Cause,state -trimprefix=Cause,state -transform=kebab -text -output=enums_enumer.go
 
-// Cause tells why an allowance is what it is.
+// Cause is the reason for the current allowance of a server.
 type Cause int
 
 // The causes of allowances.
 const (
 	// CauseHealthy means that all slots may be used.
 	CauseHealthy Cause = iota
-	// CauseRampUp means that the server is new or comes back from an ejection.
+	// CauseRampUp means that the server is new or has returned from an ejection.
 	CauseRampUp
-	// CauseFailing means that it fails more than others do.
+	// CauseFailing means that the server fails more tasks than other servers do.
 	CauseFailing
-	// CauseSlow means that it takes longer than others do.
+	// CauseSlow means that the server takes longer than other servers do.
 	CauseSlow
-	// CauseEjected means that it gets nothing for a while.
+	// CauseEjected means that the server gets no tasks until its ejection ends.
 	CauseEjected
-	// CauseProbing means that it gets one task to prove itself.
+	// CauseProbing means that the server gets few tasks, at first one, after an ejection.
 	CauseProbing
 )
 
-// state is where a server stands.
+// state is the stage of a server in the cycle of use, ejection and probing.
 type state int
 
 const (
