--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -178,8 +178,8 @@
 	return duration, true
 }
 
-func scanReport(t *testing.T, data *datadriven.TestData) messenger.ServerCard {
-	report := messenger.ServerCard{
+func scanReport(t *testing.T, data *datadriven.TestData) messenger.ServerReport {
+	report := messenger.ServerReport{
 		Server: scanServer(t, data, "server"), Service: "desk", FailureDomain: "leuven", Sequence: 1,
 	}
 	report.Address = scanString(t, data, "address")
--- a/pkg/allocator/incarnations.go
+++ b/pkg/allocator/incarnations.go
@@ -27,7 +27,7 @@
 
 // sharesAddressOrID reports whether calls to the incarnation of a report would reach this one, or
 // be refused by it.
-func (server *server) sharesAddressOrID(report *messenger.ServerCard) bool {
+func (server *server) sharesAddressOrID(report *messenger.ServerReport) bool {
 	return server.report.Address == report.Address || server.sharesID(report.Server)
 }
 
@@ -50,7 +50,7 @@
 	if known := allocator.servers.Get(answering); known != nil {
 		return known
 	}
-	allocator.join(&messenger.ServerCard{
+	allocator.join(&messenger.ServerReport{
 		Server: answering, Service: called.report.Service, Address: called.report.Address, FailureDomain: called.report.FailureDomain,
 	})
 	return allocator.servers.Get(answering)
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -68,7 +68,7 @@
 	sentAt identifier.Moment
 	// down is set once the server has crashed; another incarnation follows at its address.
 	down   bool
-	report messenger.ServerCard
+	report messenger.ServerReport
 	// fence is the highest fence of a call so far.
 	fence identifier.Epoch
 	// firstReportAt is when the incarnation first reported, startedAt when it first got a start.
@@ -165,7 +165,7 @@
 	if index%3 == 2 {
 		cpu = 24000
 	}
-	report := messenger.ServerCard{
+	report := messenger.ServerReport{
 		Server: id, Service: "desk", Address: string(id), FailureDomain: domainOf(lead), Sequence: 1,
 		Capacity: identifier.Resources{MilliCPU: cpu, Memory: 32 << 30},
 	}
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -27,11 +27,11 @@
 type RunsNamed struct{}
 
 // CardArrived carries the report of a backend server about itself.
-type CardArrived struct{ Card messenger.ServerCard }
+type CardArrived struct{ Card messenger.ServerReport }
 
 // CardRecalled carries the report that a backend server sent before this host started, as the
 // keepers remember it.
-type CardRecalled struct{ Card messenger.ServerCard }
+type CardRecalled struct{ Card messenger.ServerReport }
 
 // RoomRequested carries a request for capacity of a host that supervises a job.
 type RoomRequested struct {
@@ -211,7 +211,7 @@
 type Fenced struct{ Epoch identifier.Epoch }
 
 // ShareCard broadcasts a server's report to the other hosts of the failure domain.
-type ShareCard struct{ Card messenger.ServerCard }
+type ShareCard struct{ Card messenger.ServerReport }
 
 // Decided carries a decision for the log.
 type Decided struct{ Decision messenger.Decision }
--- a/pkg/allocator/reports.go
+++ b/pkg/allocator/reports.go
@@ -11,7 +11,7 @@
 // handleReport handles the report of a backend server, unless a later report of the same
 // incarnation was handled: a server that starts again under its id numbers its reports from the
 // start. A report of an ended incarnation does not bring it back.
-func (allocator *Allocator) handleReport(report *messenger.ServerCard) {
+func (allocator *Allocator) handleReport(report *messenger.ServerReport) {
 	known := allocator.servers.Get(report.Server)
 	if known == nil {
 		if report.Gone && !report.Server.Dated() {
@@ -66,7 +66,7 @@
 }
 
 // ignoreReport logs a report that changes nothing.
-func (allocator *Allocator) ignoreReport(report *messenger.ServerCard, reason string) {
+func (allocator *Allocator) ignoreReport(report *messenger.ServerReport, reason string) {
 	allocator.logDecision(messenger.Decision{Kind: messenger.DecisionHeartbeatPassedOver, Server: report.Server, Reason: reason})
 }
 
@@ -75,14 +75,14 @@
 // incarnation denies the id, so that this one and all its runs would count as over. If the first
 // report was the wrong one, its calls fail, and the right one is accepted once the first is
 // forgotten.
-func sameFixedFields(report, known *messenger.ServerCard) bool {
+func sameFixedFields(report, known *messenger.ServerReport) bool {
 	return report.Address == known.Address && report.Service == known.Service && report.FailureDomain == known.FailureDomain
 }
 
 // recallReport adds a backend server that the keepers remember, unless it has reported itself or
 // another incarnation is known at its address or under its id: that one is newer. It gets no start
 // before it has answered a call.
-func (allocator *Allocator) recallReport(report *messenger.ServerCard) {
+func (allocator *Allocator) recallReport(report *messenger.ServerReport) {
 	if allocator.servers.Get(report.Server) != nil || report.FailureDomain != allocator.FailureDomain {
 		return
 	}
@@ -106,7 +106,7 @@
 // report may have been delayed, and a job's host may name a run on an older incarnation. Taken for
 // the newer one, it would end the incarnation that is there, whose tasks would run twice; the log
 // would show "replaced" for a server that goes on answering. So both are called instead.
-func (allocator *Allocator) join(report *messenger.ServerCard) {
+func (allocator *Allocator) join(report *messenger.ServerReport) {
 	if report.Gone {
 		return
 	}
@@ -163,7 +163,7 @@
 // knew it. Its capacity is unknown, so it gets no start until it has reported itself; it is called
 // to find out what became of the run.
 func (allocator *Allocator) joinUnannounced(job *job, held messenger.HeldRun) *server {
-	allocator.join(&messenger.ServerCard{
+	allocator.join(&messenger.ServerReport{
 		Server: held.Server, Service: job.request.Service, Address: held.Address, FailureDomain: allocator.FailureDomain,
 	})
 	return allocator.servers.Get(held.Server)
@@ -241,8 +241,8 @@
 
 // Cards returns the last reports of the backend servers that have not ended, for a host that has
 // just joined.
-func (allocator *Allocator) Cards() []messenger.ServerCard {
-	var reports []messenger.ServerCard
+func (allocator *Allocator) Cards() []messenger.ServerReport {
+	var reports []messenger.ServerReport
 	if allocator.servers == nil {
 		return nil
 	}
--- a/pkg/allocator/resizing_test.go
+++ b/pkg/allocator/resizing_test.go
@@ -15,7 +15,7 @@
 // each heartbeat is broadcast once.
 func TestRoomThatShrinksIsToldToTheNextLead(t *testing.T) {
 	lead := &allocator.Allocator{FailureDomain: "leuven", Settings: allocator.DefaultSettings()}
-	report := messenger.ServerCard{
+	report := messenger.ServerReport{
 		Server: "s1", Service: "desk", Address: "s1", FailureDomain: "leuven", Sequence: 1, Capacity: identifier.Resources{MilliCPU: 32000},
 	}
 	lead.Tick(0, []allocator.Input{&allocator.LeadTaken{Epoch: 1}, &allocator.CardArrived{Card: report}})
--- a/pkg/allocator/restarts_test.go
+++ b/pkg/allocator/restarts_test.go
@@ -38,7 +38,7 @@
 		if index%3 == 2 {
 			cpu = 24000
 		}
-		created.beginIncarnation(id, index, messenger.ServerCard{
+		created.beginIncarnation(id, index, messenger.ServerReport{
 			Service: "desk", Address: string(id), FailureDomain: domainOf(0), Sequence: lateSequence,
 			Capacity: identifier.Resources{MilliCPU: cpu, Memory: 32 << 30},
 		}, 0)
@@ -70,7 +70,7 @@
 }
 
 // beginIncarnation begins an incarnation of a server, which sends its first report after a delay.
-func (load *load) beginIncarnation(id identifier.BackendServerID, index int, report messenger.ServerCard, speaks time.Duration) *loadServer {
+func (load *load) beginIncarnation(id identifier.BackendServerID, index int, report messenger.ServerReport, speaks time.Duration) *loadServer {
 	restarting := load.restarting
 	restarting.lastDate++
 	report.Server = identifier.UndatedIncarnation(id)
--- a/pkg/allocator/servers.go
+++ b/pkg/allocator/servers.go
@@ -10,7 +10,7 @@
 
 // server is one incarnation of a backend server.
 type server struct {
-	report messenger.ServerCard
+	report messenger.ServerReport
 	// confirmed is set once it has given a complete answer under this lead's epoch: its runs are
 	// known, and no earlier lead can start anything.
 	confirmed bool
--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -89,7 +89,7 @@
 // handleAnnouncedReport processes the report that a backend server sent to this host, and passes it
 // to the lead of the server's cell, or to every entry host of its failure domain while nobody
 // leads.
-func (coordinator *Coordinator) handleAnnouncedReport(report *messenger.ServerCard) {
+func (coordinator *Coordinator) handleAnnouncedReport(report *messenger.ServerReport) {
 	cell := coordinator.cellOfServer(report.Server)
 	if report.FailureDomain == coordinator.Self.FailureDomain {
 		coordinator.notifyAllocator(cell, &allocator.CardArrived{Card: *report})
@@ -97,17 +97,17 @@
 	}
 	lead, _ := coordinator.elector.Lead(report.FailureDomain, cell)
 	if lead != "" {
-		coordinator.sendReports(lead, []messenger.ServerCard{*report})
+		coordinator.sendReports(lead, []messenger.ServerReport{*report})
 		return
 	}
 	for _, host := range coordinator.entryHosts(coordinator.livingIn(report.FailureDomain)) {
-		coordinator.sendReports(host, []messenger.ServerCard{*report})
+		coordinator.sendReports(host, []messenger.ServerReport{*report})
 	}
 }
 
 // handlePeerReport processes a server report from another host. A host that only keeps the log may
 // not know how many cells this failure domain has, so its report is passed on to the right lead.
-func (coordinator *Coordinator) handlePeerReport(from identifier.HostID, report *messenger.ServerCard) {
+func (coordinator *Coordinator) handlePeerReport(from identifier.HostID, report *messenger.ServerReport) {
 	if state, known := coordinator.gossiper.State(from); known && !slices.Contains(state.Member.Roles, gossiper.RoleEntry) {
 		coordinator.handleAnnouncedReport(report)
 		return
@@ -115,7 +115,7 @@
 	coordinator.notifyAllocator(coordinator.cellOfServer(report.Server), &allocator.CardArrived{Card: *report})
 }
 
-func (coordinator *Coordinator) sendReports(to identifier.HostID, reports []messenger.ServerCard) {
+func (coordinator *Coordinator) sendReports(to identifier.HostID, reports []messenger.ServerReport) {
 	if to != coordinator.Self.Host && len(reports) > 0 {
 		coordinator.outputs.toPeer(to, PeerMessage{ServerCards: reports})
 	}
@@ -279,7 +279,7 @@
 	case *allocator.ShareCard:
 		coordinator.cellPersister.markChanged(cell)
 		for _, host := range coordinator.entryHosts(coordinator.livingIn(coordinator.Self.FailureDomain)) {
-			coordinator.sendReports(host, []messenger.ServerCard{output.Card})
+			coordinator.sendReports(host, []messenger.ServerReport{output.Card})
 		}
 	case *allocator.Decided:
 		coordinator.outputs.add(&Decided{Decision: output.Decision})
--- a/pkg/coordinator/calledworld_test.go
+++ b/pkg/coordinator/calledworld_test.go
@@ -56,7 +56,7 @@
 // calledServer runs tasks under leases, on a clock that may run slow.
 type calledServer struct {
 	world  *calledWorld
-	report messenger.ServerCard
+	report messenger.ServerReport
 	// address numbers the server's address; its incarnations follow one another there.
 	address   int
 	startedAt identifier.Moment
@@ -99,7 +99,7 @@
 	server := &calledServer{
 		world: world, address: index, startedAt: world.network.now, clockLag: world.chance("slow", 20),
 		runs: make(map[string]*calledRun), lastRuns: make(map[string]identifier.RunNumber),
-		report: messenger.ServerCard{
+		report: messenger.ServerReport{
 			Server: id, Service: "desk", Address: fmt.Sprintf("address-%d", index), FailureDomain: world.failureDomainOf(index),
 			Capacity: identifier.Resources{MilliCPU: 3000, Memory: 1 << 30},
 		},
--- a/pkg/coordinator/harshworld_test.go
+++ b/pkg/coordinator/harshworld_test.go
@@ -28,7 +28,7 @@
 	// submissions holds the last submission of each unfinished job.
 	submissions map[identifier.JobID]submission
 	// oldReports are the last reports of incarnations that ended less than maxReportDelay ago.
-	oldReports []messenger.ServerCard
+	oldReports []messenger.ServerReport
 }
 
 // harshKinds selects the kinds of faults that not every test has.
@@ -101,7 +101,7 @@
 
 // announceLater delivers a report to a drawn host, sometimes seconds later, as to a paused host or
 // over a connection that loses packets.
-func (harsh *harshFaults) announceLater(server *calledServer, report messenger.ServerCard) {
+func (harsh *harshFaults) announceLater(server *calledServer, report messenger.ServerReport) {
 	world := harsh.world
 	delay := hop
 	if world.chance("late card", 9) == 0 {
@@ -117,7 +117,7 @@
 
 // deliver passes a report to the first host, counted from a given one, that runs and can be
 // reached.
-func (harsh *harshFaults) deliver(address int, report messenger.ServerCard, first int) {
+func (harsh *harshFaults) deliver(address int, report messenger.ServerReport, first int) {
 	network := harsh.world.network
 	for offset := range network.hosts {
 		host := network.hosts[(first+offset)%len(network.hosts)]
@@ -293,7 +293,7 @@
 	harsh.oldReports = append(harsh.oldReports, server.report)
 	harsh.world.network.at(maxReportDelay, func() { harsh.oldReports = harsh.oldReports[1:] })
 	if announced {
-		departure := messenger.ServerCard{Server: server.report.Server, FailureDomain: server.report.FailureDomain, Gone: true}
+		departure := messenger.ServerReport{Server: server.report.Server, FailureDomain: server.report.FailureDomain, Gone: true}
 		if harsh.kinds.sameIDs && harsh.world.chance("undated", 1) == 0 {
 			departure.Server = identifier.UndatedIncarnation(server.report.Server.Server())
 		}
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -284,8 +284,8 @@
 // Delay is a time from now in milliseconds; the maximum value also stands for all longer times.
 type Delay uint16
 
-// ServerCard is what a called backend server reports about itself.
-type ServerCard struct {
+// ServerReport is what a called backend server reports about itself.
+type ServerReport struct {
 	Server        identifier.ServerIncarnation `cbor:"1,keyasint"`
 	Service       identifier.ServiceName       `cbor:"2,keyasint"`
 	Address       string                       `cbor:"3,keyasint"`
@@ -308,5 +308,5 @@
 type CellMemory struct {
 	Cell  CellRef          `cbor:"1,keyasint"`
 	Epoch identifier.Epoch `cbor:"2,keyasint"`
-	Cards []ServerCard     `cbor:"3,keyasint,omitempty"`
+	Cards []ServerReport   `cbor:"3,keyasint,omitempty"`
 }
