--- a/pkg/assembler/cellmemory.go
+++ b/pkg/assembler/cellmemory.go
@@ -24,11 +24,11 @@
 // written aside: no tick waits for it, and only the newest state counts.
 type cellMemory struct {
 	*provider.Common
-	newest chan []messenger.CellMemory
+	newest chan []messenger.StoredCell
 }
 
 func newCellMemory(common *provider.Common) *cellMemory {
-	return &cellMemory{Common: common, newest: make(chan []messenger.CellMemory, 1)}
+	return &cellMemory{Common: common, newest: make(chan []messenger.StoredCell, 1)}
 }
 
 func (memory *cellMemory) path() string {
@@ -37,7 +37,7 @@
 
 // remember takes what is to be written next, in place of what has not been written yet.
 // Only the runner calls it.
-func (memory *cellMemory) remember(cells []messenger.CellMemory) {
+func (memory *cellMemory) remember(cells []messenger.StoredCell) {
 	if memory.Settings.DataFolder == "" {
 		return
 	}
@@ -63,7 +63,7 @@
 	}
 }
 
-func (memory *cellMemory) write(cells []messenger.CellMemory) error {
+func (memory *cellMemory) write(cells []messenger.StoredCell) error {
 	if err := writeChecked(memory.path(), cells); err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 	if memory.Settings.DataFolder == "" {
 		return
 	}
-	var cells []messenger.CellMemory
+	var cells []messenger.StoredCell
 	err := readChecked(memory.path(), &cells)
 	if errors.Is(err, fs.ErrNotExist) {
 		return
--- a/pkg/assembler/cellmemory_test.go
+++ b/pkg/assembler/cellmemory_test.go
@@ -20,14 +20,14 @@
 	settings := loader.Defaults()
 	settings.DataFolder = filepath.Join(t.TempDir(), "made-when-missing")
 	memory := newCellMemory(provider.New(&settings, io.Discard))
-	wanted := []messenger.CellMemory{{
+	wanted := []messenger.StoredCell{{
 		Cell: messenger.CellRef{FailureDomain: "leuven", Cell: 1}, Epoch: 9,
 		Cards: []messenger.ServerReport{{Server: "s1", Address: "10.0.0.1:80", Sequence: 3}},
 	}}
 	if err := memory.write(wanted); err != nil {
 		t.Fatal(err)
 	}
-	var read []messenger.CellMemory
+	var read []messenger.StoredCell
 	if err := readChecked(memory.path(), &read); err != nil || !reflect.DeepEqual(read, wanted) {
 		t.Fatalf("read %+v, %v, want %+v", read, err, wanted)
 	}
@@ -53,7 +53,7 @@
 	settings.DataFolder = t.TempDir()
 	memory := newCellMemory(provider.New(&settings, io.Discard))
 	for count := range 3 {
-		memory.remember(make([]messenger.CellMemory, count))
+		memory.remember(make([]messenger.StoredCell, count))
 	}
 	if newest := <-memory.newest; len(newest) != 2 {
 		t.Errorf("kept to be written: %d cells, want the newest state with 2", len(newest))
--- a/pkg/coordinator/cellpersister.go
+++ b/pkg/coordinator/cellpersister.go
@@ -26,7 +26,7 @@
 type cellPersister struct {
 	coordinator *Coordinator
 	// cells are the cell memories that a keeper stores.
-	cells map[messenger.CellRef]messenger.CellMemory
+	cells map[messenger.CellRef]messenger.StoredCell
 	// changed marks the own cells that have to be sent to the keepers at dueAt.
 	changed []bool
 	dueAt   identifier.Moment
@@ -35,7 +35,7 @@
 func newCellPersister(coordinator *Coordinator) *cellPersister {
 	return &cellPersister{
 		coordinator: coordinator,
-		cells:       make(map[messenger.CellRef]messenger.CellMemory),
+		cells:       make(map[messenger.CellRef]messenger.StoredCell),
 		changed:     make([]bool, coordinator.cells()),
 		dueAt:       identifier.Never,
 	}
@@ -66,20 +66,20 @@
 }
 
 // ownCell returns the memory of a cell, and false if this host doesn't lead it.
-func (cellPersister *cellPersister) ownCell(cell messenger.CellNumber) (messenger.CellMemory, bool) {
+func (cellPersister *cellPersister) ownCell(cell messenger.CellNumber) (messenger.StoredCell, bool) {
 	coordinator := cellPersister.coordinator
 	cellAllocator := coordinator.allocators[cell]
 	if !cellAllocator.allocator.Leads() {
-		return messenger.CellMemory{}, false
+		return messenger.StoredCell{}, false
 	}
 	domain := coordinator.Self.FailureDomain
 	_, epoch := coordinator.elector.Lead(domain, cell)
-	return messenger.CellMemory{
+	return messenger.StoredCell{
 		Cell: messenger.CellRef{FailureDomain: domain, Cell: cell}, Epoch: epoch, Cards: cellAllocator.allocator.Cards(),
 	}, true
 }
 
-func (cellPersister *cellPersister) sendToKeepers(memory *messenger.CellMemory) {
+func (cellPersister *cellPersister) sendToKeepers(memory *messenger.StoredCell) {
 	coordinator := cellPersister.coordinator
 	if len(memory.Cards) == 0 {
 		return
@@ -119,7 +119,7 @@
 
 // handleMemory processes the memory of a cell from another host: a keeper stores it, an entry host
 // of the cell's failure domain uses it.
-func (cellPersister *cellPersister) handleMemory(memory *messenger.CellMemory) {
+func (cellPersister *cellPersister) handleMemory(memory *messenger.StoredCell) {
 	coordinator := cellPersister.coordinator
 	if coordinator.keeper != nil {
 		cellPersister.store(memory)
@@ -135,12 +135,12 @@
 }
 
 // store stores a memory, unless a lead with a higher epoch has already sent one for the cell.
-func (cellPersister *cellPersister) store(memory *messenger.CellMemory) {
+func (cellPersister *cellPersister) store(memory *messenger.StoredCell) {
 	if cellPersister.cells[memory.Cell].Epoch > memory.Epoch {
 		return
 	}
 	cellPersister.cells[memory.Cell] = *memory
-	all := make([]messenger.CellMemory, 0, len(cellPersister.cells))
+	all := make([]messenger.StoredCell, 0, len(cellPersister.cells))
 	for _, known := range cellPersister.cells {
 		all = append(all, known)
 	}
@@ -148,7 +148,7 @@
 }
 
 // restore loads the memories that this keeper had on its disk at startup.
-func (cellPersister *cellPersister) restore(cells []messenger.CellMemory) {
+func (cellPersister *cellPersister) restore(cells []messenger.StoredCell) {
 	for _, memory := range cells {
 		if cellPersister.cells[memory.Cell].Epoch <= memory.Epoch {
 			cellPersister.cells[memory.Cell] = memory
--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -56,7 +56,7 @@
 type ConfigRemembered struct{ Version configurer.Version }
 
 // CellsRemembered carries the cell memories that this keeper had stored before it restarted.
-type CellsRemembered struct{ Cells []messenger.CellMemory }
+type CellsRemembered struct{ Cells []messenger.StoredCell }
 
 // OperatorRequest carries an operator's command for the keepers.
 type OperatorRequest struct {
@@ -170,7 +170,7 @@
 
 // RememberCells requests that everything known of the cells be stored on disk. The write is best
 // effort: it is not in the journal and nothing waits for it.
-type RememberCells struct{ Cells []messenger.CellMemory }
+type RememberCells struct{ Cells []messenger.StoredCell }
 
 // ConfigHistory answers a ConfigHistoryWanted.
 type ConfigHistory struct {
@@ -306,7 +306,7 @@
 	TaskDone    *messenger.TaskDone      `cbor:"55,keyasint,omitempty"`
 	RoomNotice  *messenger.RoomNotice    `cbor:"56,keyasint,omitempty"`
 	ServerCards []messenger.ServerReport `cbor:"57,keyasint,omitempty"`
-	CellMemory  *messenger.CellMemory    `cbor:"58,keyasint,omitempty"`
+	CellMemory  *messenger.StoredCell    `cbor:"58,keyasint,omitempty"`
 	// LeadFollowed is sent after the capacity requests that name runs.
 	LeadFollowed    *messenger.LeadFollowed    `cbor:"59,keyasint,omitempty"`
 	StartOrder      *messenger.StartOrder      `cbor:"60,keyasint,omitempty"`
--- a/pkg/coordinator/network_test.go
+++ b/pkg/coordinator/network_test.go
@@ -93,7 +93,7 @@
 	joinsKeepers bool
 	disk         fakeDisk
 	// cells are the cells that the keeper has stored on its disk.
-	cells []messenger.CellMemory
+	cells []messenger.StoredCell
 	// inForce are the configuration revisions that the process has applied, in order.
 	inForce []identifier.ConfigRevision
 }
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -302,10 +302,10 @@
 	Gone bool `cbor:"10,keyasint,omitempty"`
 }
 
-// CellMemory is what the keepers store about a cell for hosts that start without state: the
+// StoredCell is what the keepers store about a cell for hosts that start without state: the
 // backend servers that its lead last reported, and the lead's epoch. It may be out of date;
 // each server is called before anything is placed on it.
-type CellMemory struct {
+type StoredCell struct {
 	Cell  CellRef          `cbor:"1,keyasint"`
 	Epoch identifier.Epoch `cbor:"2,keyasint"`
 	Cards []ServerReport   `cbor:"3,keyasint,omitempty"`
