--- a/pkg/assembler/cellmemory_test.go
+++ b/pkg/assembler/cellmemory_test.go
@@ -22,7 +22,7 @@
 	memory := newCellMemory(provider.New(&settings, io.Discard))
 	wanted := []messenger.StoredCell{{
 		Cell: messenger.CellRef{FailureDomain: "leuven", Cell: 1}, Epoch: 9,
-		Cards: []messenger.ServerReport{{Server: "s1", Address: "10.0.0.1:80", Sequence: 3}},
+		Reports: []messenger.ServerReport{{Server: "s1", Address: "10.0.0.1:80", Sequence: 3}},
 	}}
 	if err := memory.write(wanted); err != nil {
 		t.Fatal(err)
--- a/pkg/coordinator/cellpersister.go
+++ b/pkg/coordinator/cellpersister.go
@@ -75,13 +75,13 @@
 	domain := coordinator.Self.FailureDomain
 	_, epoch := coordinator.elector.Lead(domain, cell)
 	return messenger.StoredCell{
-		Cell: messenger.CellRef{FailureDomain: domain, Cell: cell}, Epoch: epoch, Cards: cellAllocator.allocator.Cards(),
+		Cell: messenger.CellRef{FailureDomain: domain, Cell: cell}, Epoch: epoch, Reports: cellAllocator.allocator.Cards(),
 	}, true
 }
 
 func (cellPersister *cellPersister) sendToKeepers(memory *messenger.StoredCell) {
 	coordinator := cellPersister.coordinator
-	if len(memory.Cards) == 0 {
+	if len(memory.Reports) == 0 {
 		return
 	}
 	for _, state := range coordinator.gossiper.Members() {
@@ -102,7 +102,7 @@
 	}
 	if slices.Contains(state.Member.Roles, gossiper.RoleKeeper) {
 		for cell := range cellPersister.changed {
-			if memory, leads := cellPersister.ownCell(messenger.CellNumber(cell)); leads && len(memory.Cards) > 0 {
+			if memory, leads := cellPersister.ownCell(messenger.CellNumber(cell)); leads && len(memory.Reports) > 0 {
 				coordinator.outputs.toPeer(host, PeerMessage{CellMemory: &memory})
 			}
 		}
@@ -128,8 +128,8 @@
 		return
 	}
 	coordinator.notifyElector(elector.EpochSeen{Cell: memory.Cell.Cell, Epoch: memory.Epoch})
-	for index := range memory.Cards {
-		report := &memory.Cards[index]
+	for index := range memory.Reports {
+		report := &memory.Reports[index]
 		coordinator.notifyAllocator(coordinator.cellOfServer(report.Server), &allocator.CardRecalled{Card: *report})
 	}
 }
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -306,7 +306,7 @@
 // backend servers that its lead last reported, and the lead's epoch. It may be out of date;
 // each server is called before anything is placed on it.
 type StoredCell struct {
-	Cell  CellRef          `cbor:"1,keyasint"`
-	Epoch identifier.Epoch `cbor:"2,keyasint"`
-	Cards []ServerReport   `cbor:"3,keyasint,omitempty"`
+	Cell    CellRef          `cbor:"1,keyasint"`
+	Epoch   identifier.Epoch `cbor:"2,keyasint"`
+	Reports []ServerReport   `cbor:"3,keyasint,omitempty"`
 }
