--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -200,8 +200,8 @@
 
 // scanRequest reads a request for tasks=N of 14 cores and ms=N each, with the runs that the job
 // still has as held=TASK/RUN@SERVER, at held-address or an address of their own.
-func scanRequest(t *testing.T, data *datadriven.TestData) messenger.RoomRequest {
-	request := messenger.RoomRequest{
+func scanRequest(t *testing.T, data *datadriven.TestData) messenger.CapacityRequest {
+	request := messenger.CapacityRequest{
 		Job: identifier.JobID(scanString(t, data, "job")), Service: "desk", Queue: "quick", Attempts: 2, Stretch: 1.6,
 		Allowance: 60 * time.Millisecond, Remaining: 2 * time.Second, HandedOver: data.HasArg("handed-over"), Part: data.HasArg("part"),
 		Near: scanString(t, data, "near"),
--- a/pkg/allocator/jobs.go
+++ b/pkg/allocator/jobs.go
@@ -12,7 +12,7 @@
 
 // job is a job that a host has requested capacity for.
 type job struct {
-	request messenger.RoomRequest
+	request messenger.CapacityRequest
 	from    identifier.HostID
 	tasks   []task
 	// arrivedAt is when the caller submitted the job, on this host's clock.
@@ -154,7 +154,7 @@
 }
 
 // lastRunOf is the highest number that a run of a job may have had.
-func (allocator *Allocator) lastRunOf(request *messenger.RoomRequest) identifier.RunNumber {
+func (allocator *Allocator) lastRunOf(request *messenger.CapacityRequest) identifier.RunNumber {
 	if last := allocator.lastRuns.Get(request.Job); last != nil {
 		return max(request.RunsBelow, *last)
 	}
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -45,7 +45,7 @@
 }
 
 type loadJob struct {
-	request   messenger.RoomRequest
+	request   messenger.CapacityRequest
 	queue     identifier.QueueName
 	tasksLeft int
 	arrivedAt identifier.Moment
@@ -383,7 +383,7 @@
 		drawn -= kind.share
 	}
 	load.next++
-	request := messenger.RoomRequest{
+	request := messenger.CapacityRequest{
 		Job: identifier.JobID(fmt.Sprintf("j%d", load.next)), Service: "desk", Queue: chosen.queue, Attempts: 3, Stretch: 1.6,
 		Allowance: 60 * time.Millisecond, Remaining: 5 * time.Second,
 	}
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -36,7 +36,7 @@
 // RoomRequested carries a request for capacity of a host that supervises a job.
 type RoomRequested struct {
 	From    identifier.HostID
-	Request messenger.RoomRequest
+	Request messenger.CapacityRequest
 }
 
 // JobGoesElsewhere reports that another cell is about to grant capacity to tasks of a job whose
--- a/pkg/allocator/unclaimed.go
+++ b/pkg/allocator/unclaimed.go
@@ -70,7 +70,7 @@
 }
 
 // unclaimedRunsOf lists the unclaimed runs of a job that a request doesn't name, one for each task.
-func (allocator *Allocator) unclaimedRunsOf(request *messenger.RoomRequest) []*run {
+func (allocator *Allocator) unclaimedRunsOf(request *messenger.CapacityRequest) []*run {
 	if allocator.unclaimedRuns == 0 {
 		return nil
 	}
@@ -89,11 +89,11 @@
 
 // hasUnclaimedRuns reports whether a job has runs that no job here has requested.
 func (allocator *Allocator) hasUnclaimedRuns(id identifier.JobID) bool {
-	return len(allocator.unclaimedRunsOf(&messenger.RoomRequest{Job: id})) > 0
+	return len(allocator.unclaimedRunsOf(&messenger.CapacityRequest{Job: id})) > 0
 }
 
 // namesRun reports whether a request names a run.
-func namesRun(request *messenger.RoomRequest, run *run) bool {
+func namesRun(request *messenger.CapacityRequest, run *run) bool {
 	return slices.ContainsFunc(request.Held, func(held messenger.HeldRun) bool {
 		return held.RoomTask.Task == run.key.Task && held.Run == run.key.Run && held.Server == run.server
 	})
--- a/pkg/coordinator/inquiring.go
+++ b/pkg/coordinator/inquiring.go
@@ -12,7 +12,7 @@
 // requestCapacity passes a request on to the allocator of a cell. If the job was not referred by
 // the lead of its home and the allocator doesn't have it, the request first waits until the other
 // hosts of its home have been queried.
-func (coordinator *Coordinator) requestCapacity(from identifier.HostID, request *messenger.RoomRequest) {
+func (coordinator *Coordinator) requestCapacity(from identifier.HostID, request *messenger.CapacityRequest) {
 	if !request.Unvouched || !coordinator.isUnknownJob(request) {
 		coordinator.notifyAllocator(request.Cell, &allocator.RoomRequested{From: from, Request: *request})
 		return
@@ -24,7 +24,7 @@
 }
 
 // isUnknownJob reports whether this host leads the requested cell and doesn't have the job there.
-func (coordinator *Coordinator) isUnknownJob(request *messenger.RoomRequest) bool {
+func (coordinator *Coordinator) isUnknownJob(request *messenger.CapacityRequest) bool {
 	if int(request.Cell) >= len(coordinator.allocators) {
 		return false
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-func (coordinator *Coordinator) answerCapacityRequest(to identifier.HostID, request *messenger.RoomRequest, kind messenger.RoomAnswerKind) {
+func (coordinator *Coordinator) answerCapacityRequest(to identifier.HostID, request *messenger.CapacityRequest, kind messenger.RoomAnswerKind) {
 	answer := messenger.RoomAnswer{Job: request.Job, Kind: kind, Cell: request.Cell, Ask: request.Ask}
 	coordinator.send(to, PeerMessage{RoomAnswer: &answer})
 }
--- a/pkg/inquirer/inquirer.go
+++ b/pkg/inquirer/inquirer.go
@@ -137,7 +137,7 @@
 	}
 }
 
-func tasksOf(request *messenger.RoomRequest) []messenger.TaskIndex {
+func tasksOf(request *messenger.CapacityRequest) []messenger.TaskIndex {
 	tasks := make([]messenger.TaskIndex, len(request.Tasks))
 	for index := range request.Tasks {
 		tasks[index] = request.Tasks[index].Task
--- a/pkg/inquirer/messages.go
+++ b/pkg/inquirer/messages.go
@@ -11,7 +11,7 @@
 // RoomRequested delivers a request that the lead of the job's home has not referred to this cell.
 type RoomRequested struct {
 	From    identifier.HostID
-	Request messenger.RoomRequest
+	Request messenger.CapacityRequest
 	// Home is the failure domain of the job's home.
 	Home identifier.FailureDomain
 	// Peers are the live entry hosts of the job's home other than From.
@@ -61,20 +61,20 @@
 // this lead as silent.
 type RequestHeld struct {
 	From    identifier.HostID
-	Request messenger.RoomRequest
+	Request messenger.CapacityRequest
 }
 
 // RequestCleared passes on a request whose job is not known to any other host.
 type RequestCleared struct {
 	From    identifier.HostID
-	Request messenger.RoomRequest
+	Request messenger.CapacityRequest
 }
 
 // RequestDenied rejects a request because an earlier submission of its job may have runs, or
 // because a later one has replaced it.
 type RequestDenied struct {
 	From    identifier.HostID
-	Request messenger.RoomRequest
+	Request messenger.CapacityRequest
 }
 
 // Decided carries a decision for the log.
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -17,9 +17,9 @@
 	Run  identifier.RunNumber `cbor:"3,keyasint"`
 }
 
-// RoomRequest asks a lead for capacity on called backend servers for the tasks of one job. It
+// CapacityRequest asks a lead for capacity on called backend servers for the tasks of one job. It
 // has no payload, since the requesting host starts the runs itself.
-type RoomRequest struct {
+type CapacityRequest struct {
 	Job identifier.JobID `cbor:"1,keyasint"`
 	// Cell is the cell of the lead's failure domain in which capacity is requested.
 	Cell    CellNumber             `cbor:"16,keyasint,omitempty"`
--- a/pkg/supervisor/groups.go
+++ b/pkg/supervisor/groups.go
@@ -147,8 +147,8 @@
 }
 
 // newRequest builds the request to the lead of a cell for everything that a group still needs.
-func (supervisor *Supervisor) newRequest(job *job, group *group, cell messenger.CellRef) messenger.RoomRequest {
-	request := messenger.RoomRequest{
+func (supervisor *Supervisor) newRequest(job *job, group *group, cell messenger.CellRef) messenger.CapacityRequest {
+	request := messenger.CapacityRequest{
 		Job: job.spec.Job, Cell: cell.Cell, Service: job.spec.Service, Queue: job.spec.Queue, Urgency: job.spec.Urgency,
 		Attempts: job.spec.Attempts, Label: job.spec.Label, Near: job.spec.Near, PerServer: job.spec.PerServer,
 		Elapsed: supervisor.now.Sub(job.arrivedAt), Stretch: job.spec.Stretch, Allowance: job.spec.Allowance,
--- a/pkg/supervisor/messages.go
+++ b/pkg/supervisor/messages.go
@@ -104,7 +104,7 @@
 // AskRoom sends a lead a request for capacity.
 type AskRoom struct {
 	To      identifier.HostID
-	Request messenger.RoomRequest
+	Request messenger.CapacityRequest
 }
 
 // ReleaseRoom notifies a lead that a job needs no more capacity.
