--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -210,7 +210,7 @@
 	data.MaybeScanArgs(t, "tasks", &tasks)
 	data.MaybeScanArgs(t, "ms", &milliseconds)
 	data.MaybeScanArgs(t, "cpu", &cpu)
-	task := messenger.RoomTask{
+	task := messenger.TaskRequest{
 		Needs:    identifier.Resources{MilliCPU: identifier.MilliCPU(cpu), Memory: 64 << 20},
 		Declared: time.Duration(milliseconds) * time.Millisecond,
 	}
--- a/pkg/allocator/crashes.go
+++ b/pkg/allocator/crashes.go
@@ -67,7 +67,7 @@
 
 // accountOf returns the account of a requested task, merged from what its host sent and what was
 // recorded here for an earlier submission of the job.
-func (allocator *Allocator) accountOf(id identifier.JobID, requested messenger.RoomTask) budgeter.Account {
+func (allocator *Allocator) accountOf(id identifier.JobID, requested messenger.TaskRequest) budgeter.Account {
 	account := requested.Account
 	if known := allocator.accounts.Get(id); known != nil {
 		account.Merge((*known)[requested.Task])
--- a/pkg/allocator/jobs.go
+++ b/pkg/allocator/jobs.go
@@ -43,7 +43,7 @@
 
 // task is one task of a job.
 type task struct {
-	requested messenger.RoomTask
+	requested messenger.TaskRequest
 	run       *run
 	done      bool
 	// queued is set while the task waits for capacity.
@@ -115,7 +115,7 @@
 }
 
 // requeueTasks queues tasks of a job that were requested from another cell's lead in vain.
-func (allocator *Allocator) requeueTasks(job *job, tasks []messenger.RoomTask) {
+func (allocator *Allocator) requeueTasks(job *job, tasks []messenger.TaskRequest) {
 	for _, requested := range tasks {
 		if !slices.ContainsFunc(job.tasks, func(task task) bool { return task.requested.Task == requested.Task }) {
 			job.tasks = append(job.tasks, task{requested: requested, account: requested.Account})
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -397,7 +397,7 @@
 		runTime := time.Duration(float64(work) * max(0.3, 1+0.15*load.random.NormFloat64()))
 		job.runTimes = append(job.runTimes, runTime)
 		longest = max(longest, runTime)
-		request.Tasks = append(request.Tasks, messenger.RoomTask{
+		request.Tasks = append(request.Tasks, messenger.TaskRequest{
 			Task: messenger.TaskIndex(index), Needs: identifier.Resources{MilliCPU: cpu, Memory: 64 << 20}, Declared: declared,
 		})
 	}
--- a/pkg/allocator/notices_test.go
+++ b/pkg/allocator/notices_test.go
@@ -32,7 +32,7 @@
 	tick(2*time.Millisecond, &allocator.HoldReturned{Server: "s1", Sequence: 1})
 	tick(3*time.Millisecond, &allocator.RoomRequested{From: "host-b", Request: messenger.CapacityRequest{
 		Job: "j", Service: "desk", Queue: "slow", Attempts: 2, Stretch: 1.6, Remaining: time.Hour,
-		Tasks: []messenger.RoomTask{{Needs: needs, Declared: 2 * time.Minute}},
+		Tasks: []messenger.TaskRequest{{Needs: needs, Declared: 2 * time.Minute}},
 	}})
 	tick(time.Second)
 	if lastNotice == nil || lastNotice.Spots != 0 || len(lastNotice.Openings) != 1 || lastNotice.Openings[0] != math.MaxUint16 {
--- a/pkg/allocator/servers_test.go
+++ b/pkg/allocator/servers_test.go
@@ -42,7 +42,7 @@
 	}
 	outputs := tick(4*time.Millisecond, &allocator.RoomRequested{From: "host-b", Request: messenger.CapacityRequest{
 		Job: "j", Service: "desk", Queue: "quick", Attempts: 2, Stretch: 1.6, Remaining: time.Second,
-		Tasks: []messenger.RoomTask{{Needs: needs, Declared: 60 * time.Millisecond}},
+		Tasks: []messenger.TaskRequest{{Needs: needs, Declared: 60 * time.Millisecond}},
 	}})
 	granted := false
 	for _, output := range outputs {
--- a/pkg/allocator/unclaimed.go
+++ b/pkg/allocator/unclaimed.go
@@ -112,7 +112,7 @@
 	for _, unclaimed := range unclaimed {
 		allocator.assignRun(unclaimed, earlier)
 		earlier.lastRun = max(earlier.lastRun, unclaimed.key.Run)
-		earlier.tasks = append(earlier.tasks, task{requested: messenger.RoomTask{Task: unclaimed.key.Task, Needs: unclaimed.needs}, run: unclaimed})
+		earlier.tasks = append(earlier.tasks, task{requested: messenger.TaskRequest{Task: unclaimed.key.Task, Needs: unclaimed.needs}, run: unclaimed})
 	}
 	allocator.jobs.Put(input.Request.Job, earlier)
 	allocator.timers.Set(timerKey{kind: timerJobDeadline, job: input.Request.Job}, earlier.deadline)
--- a/pkg/coordinator/calledworld_test.go
+++ b/pkg/coordinator/calledworld_test.go
@@ -426,7 +426,7 @@
 	world.lastWaiter++
 	job := supervisor.Job{Job: id, Service: "desk", Queue: "quick", Attempts: 3, Stretch: 1.6, Allowance: time.Second}
 	for index := range tasks {
-		job.Tasks = append(job.Tasks, messenger.RoomTask{
+		job.Tasks = append(job.Tasks, messenger.TaskRequest{
 			Task: messenger.TaskIndex(index), Needs: identifier.Resources{MilliCPU: 1000, Memory: 1 << 20}, Declared: 100 * time.Millisecond,
 		})
 	}
--- a/pkg/inquirer/inquirer_test.go
+++ b/pkg/inquirer/inquirer_test.go
@@ -35,7 +35,7 @@
 	switch data.Cmd {
 	case "request":
 		requested := &inquirer.RoomRequested{From: host, Home: "leuven", Request: messenger.CapacityRequest{
-			Job: job, Remaining: time.Second, Tasks: []messenger.RoomTask{{Task: 0}, {Task: 1}},
+			Job: job, Remaining: time.Second, Tasks: []messenger.TaskRequest{{Task: 0}, {Task: 1}},
 		}}
 		for _, peer := range strings.Fields(data.Input) {
 			requested.Peers = append(requested.Peers, identifier.HostID(peer))
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -27,8 +27,8 @@
 	// Queue groups similar jobs for estimates.
 	Queue identifier.QueueName `cbor:"3,keyasint"`
 	// Urgency is the queue's priority; 0 is the highest.
-	Urgency int        `cbor:"4,keyasint,omitempty"`
-	Tasks   []RoomTask `cbor:"5,keyasint"`
+	Urgency int           `cbor:"4,keyasint,omitempty"`
+	Tasks   []TaskRequest `cbor:"5,keyasint"`
 	// Attempts is how many runs of one task may fail.
 	Attempts int `cbor:"6,keyasint"`
 	// Label is a label that the backend server must have; empty for none.
@@ -64,8 +64,8 @@
 	Held []HeldRun `cbor:"15,keyasint,omitempty"`
 }
 
-// RoomTask is one task that needs capacity.
-type RoomTask struct {
+// TaskRequest is one task that needs capacity.
+type TaskRequest struct {
 	Task     TaskIndex            `cbor:"1,keyasint,omitempty"`
 	Needs    identifier.Resources `cbor:"2,keyasint"`
 	Declared time.Duration        `cbor:"3,keyasint,omitempty"`
@@ -75,7 +75,7 @@
 
 // HeldRun is a run that an earlier lead granted.
 type HeldRun struct {
-	RoomTask RoomTask                     `cbor:"1,keyasint"`
+	RoomTask TaskRequest                  `cbor:"1,keyasint"`
 	Run      identifier.RunNumber         `cbor:"2,keyasint"`
 	Server   identifier.ServerIncarnation `cbor:"3,keyasint"`
 	Address  string                       `cbor:"4,keyasint"`
--- a/pkg/supervisor/messages.go
+++ b/pkg/supervisor/messages.go
@@ -28,7 +28,7 @@
 	PerServer int
 	// Payload is the input of every task.
 	Payload string
-	Tasks   []messenger.RoomTask
+	Tasks   []messenger.TaskRequest
 }
 
 // Input is a message or event that Tick applies.
--- a/pkg/supervisor/supervisor_test.go
+++ b/pkg/supervisor/supervisor_test.go
@@ -124,7 +124,7 @@
 	}
 	job := supervisor.Job{Job: id, Service: "desk", Queue: "quick", Attempts: 2, Stretch: 1.6, Payload: "payload"}
 	for index := range tasks {
-		job.Tasks = append(job.Tasks, messenger.RoomTask{Task: messenger.TaskIndex(index), Declared: declared})
+		job.Tasks = append(job.Tasks, messenger.TaskRequest{Task: messenger.TaskIndex(index), Declared: declared})
 	}
 	return &supervisor.JobArrived{Waiter: waiter, Job: job, Deadline: scenario.now.Add(2 * time.Second)}
 }
