--- a/pkg/allocator/admission.go
+++ b/pkg/allocator/admission.go
@@ -149,8 +149,8 @@
 // started the run there since. The task would run twice, and the log would show a run that was
 // adopted as "not listed" and ends well.
 func (allocator *Allocator) adopt(job *job, held messenger.HeldRun) {
-	key := messenger.RunKey{Job: job.request.Job, Task: held.RoomTask.Task, Run: held.Run}
-	task := job.task(held.RoomTask.Task)
+	key := messenger.RunKey{Job: job.request.Job, Task: held.TaskRequest.Task, Run: held.Run}
+	task := job.task(held.TaskRequest.Task)
 	if end := allocator.unmatchedEnds.Get(unmatchedEnd{server: held.Server, run: key}); end != nil {
 		allocator.logAdopted(key, held.Server, "ended: "+end.String())
 		if *end == EndDone {
@@ -173,9 +173,9 @@
 		server.runs[key] = known
 		allocator.assumeOtherLeases(server)
 	}
-	known.needs = held.RoomTask.Needs
+	known.needs = held.TaskRequest.Needs
 	allocator.assignRun(known, job)
-	known.setExpectedTime(allocator.now, allocator.estimates.expectedRunTime(job.request.Queue, held.RoomTask.Declared))
+	known.setExpectedTime(allocator.now, allocator.estimates.expectedRunTime(job.request.Queue, held.TaskRequest.Declared))
 	allocator.timers.Set(overdueTimer(known), allocator.now.Add(known.overdueAfter(slowAfter)))
 	server.used = server.used.Add(known.needs)
 	if task.account.IsSuspect() {
--- a/pkg/allocator/jobs.go
+++ b/pkg/allocator/jobs.go
@@ -137,7 +137,7 @@
 		created.tasks = append(created.tasks, task{requested: requested, account: allocator.accountOf(request.Job, requested)})
 	}
 	for _, held := range request.Held {
-		created.tasks = append(created.tasks, task{requested: held.RoomTask, account: allocator.accountOf(request.Job, held.RoomTask)})
+		created.tasks = append(created.tasks, task{requested: held.TaskRequest, account: allocator.accountOf(request.Job, held.TaskRequest)})
 		created.lastRun = max(created.lastRun, held.Run)
 	}
 	allocator.schedule(created)
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -75,10 +75,10 @@
 
 // HeldRun is a run that an earlier lead granted.
 type HeldRun struct {
-	RoomTask TaskRequest                  `cbor:"1,keyasint"`
-	Run      identifier.RunNumber         `cbor:"2,keyasint"`
-	Server   identifier.ServerIncarnation `cbor:"3,keyasint"`
-	Address  string                       `cbor:"4,keyasint"`
+	TaskRequest TaskRequest                  `cbor:"1,keyasint"`
+	Run         identifier.RunNumber         `cbor:"2,keyasint"`
+	Server      identifier.ServerIncarnation `cbor:"3,keyasint"`
+	Address     string                       `cbor:"4,keyasint"`
 }
 
 // Grant assigns capacity to tasks of a job; the requesting host starts them.
--- a/pkg/supervisor/groups.go
+++ b/pkg/supervisor/groups.go
@@ -162,7 +162,7 @@
 		case task.done || task.group != group:
 		case task.start != nil:
 			request.Held = append(request.Held, messenger.HeldRun{
-				RoomTask: job.spec.Tasks[index], Run: task.start.Run.Run, Server: task.start.Server, Address: task.start.Address,
+				TaskRequest: job.spec.Tasks[index], Run: task.start.Run.Run, Server: task.start.Server, Address: task.start.Address,
 			})
 		default:
 			request.Tasks = append(request.Tasks, job.spec.Tasks[index])
