--- a/pkg/coordinator/inquiring.go
+++ b/pkg/coordinator/inquiring.go
@@ -46,7 +46,7 @@
 }
 
 // releaseCapacity passes on that a host needs no more capacity for a job.
-func (coordinator *Coordinator) releaseCapacity(from identifier.HostID, release *messenger.RoomRelease) {
+func (coordinator *Coordinator) releaseCapacity(from identifier.HostID, release *messenger.CapacityRelease) {
 	coordinator.notifyInquirer(&inquirer.RoomReleased{From: from, Job: release.Job, Cell: release.Cell})
 	coordinator.notifyAllocator(release.Cell, &allocator.RoomReleased{From: from, Job: release.Job})
 }
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -174,8 +174,8 @@
 	Tasks []TaskIndex `cbor:"3,keyasint,omitempty"`
 }
 
-// RoomRelease notifies a lead that a job needs no more capacity.
-type RoomRelease struct {
+// CapacityRelease notifies a lead that a job needs no more capacity.
+type CapacityRelease struct {
 	Job  identifier.JobID `cbor:"1,keyasint"`
 	Cell CellNumber       `cbor:"2,keyasint,omitempty"`
 }
--- a/pkg/supervisor/messages.go
+++ b/pkg/supervisor/messages.go
@@ -110,7 +110,7 @@
 // ReleaseRoom notifies a lead that a job needs no more capacity.
 type ReleaseRoom struct {
 	To      identifier.HostID
-	Release messenger.RoomRelease
+	Release messenger.CapacityRelease
 }
 
 // ReportStart reports to a lead a start that was not accepted.
