--- a/pkg/allocator/allocator.go
+++ b/pkg/allocator/allocator.go
@@ -65,7 +65,7 @@
 	assessor      *assessor.Assessor
 	healthInputs  []assessor.Input
 	remotes       *tabulator.Table[messenger.CellRef, remote]
-	lastNotice    messenger.RoomNotice
+	lastNotice    messenger.CapacityNotice
 	noticeSentAt  identifier.Moment
 	timers        *tabulator.Timers[timerKey]
 	outputs       []Output
--- a/pkg/allocator/evacuating_test.go
+++ b/pkg/allocator/evacuating_test.go
@@ -127,7 +127,7 @@
 	}{{nil, true}, {messenger.Evacuated{domainOf(0)}, false}, {nil, true}} {
 		load.now = load.now.Add(2 * time.Second)
 		load.leads[0].Tick(load.now, []allocator.Input{&allocator.EvacuationsKnown{Evacuated: want.evacuated}})
-		var lastNotice *messenger.RoomNotice
+		var lastNotice *messenger.CapacityNotice
 		for _, output := range load.leads[0].Tick(load.now.Add(time.Second), nil) {
 			if notice, isNotice := output.(*allocator.TellNotice); isNotice {
 				lastNotice = &notice.Notice
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -70,7 +70,7 @@
 }
 
 // NoticeArrived carries the notice of another cell's free capacity.
-type NoticeArrived struct{ Notice messenger.RoomNotice }
+type NoticeArrived struct{ Notice messenger.CapacityNotice }
 
 //go:generate enumer -type=CallOutcome,EndKind -trimprefix=Call,End -transform=kebab -text -output=messages_enumer.go
 
@@ -178,7 +178,7 @@
 // TellNotice sends another lead a notice of the free capacity here.
 type TellNotice struct {
 	To     identifier.HostID
-	Notice messenger.RoomNotice
+	Notice messenger.CapacityNotice
 }
 
 // HoldServer is a long-poll call to a backend server: it renews the lease of all that runs there,
--- a/pkg/allocator/notices.go
+++ b/pkg/allocator/notices.go
@@ -43,7 +43,7 @@
 	return messenger.CellRef{FailureDomain: allocator.FailureDomain, Cell: allocator.Cell}
 }
 
-func (allocator *Allocator) handleNotice(notice *messenger.RoomNotice) {
+func (allocator *Allocator) handleNotice(notice *messenger.CapacityNotice) {
 	known := allocator.remotes.Get(notice.From)
 	if known == nil {
 		return
@@ -67,8 +67,8 @@
 const maxNoticeReleases = 24
 
 // notice reports the capacity here beyond what the waiting tasks take.
-func (allocator *Allocator) notice() messenger.RoomNotice {
-	notice := messenger.RoomNotice{From: allocator.ref()}
+func (allocator *Allocator) notice() messenger.CapacityNotice {
+	notice := messenger.CapacityNotice{From: allocator.ref()}
 	freeSlots := allocator.freeSlots()
 	if spare := freeSlots - allocator.waitingTasks; spare >= maxNoticeReleases {
 		notice.Spots = spare
--- a/pkg/allocator/notices_test.go
+++ b/pkg/allocator/notices_test.go
@@ -16,7 +16,7 @@
 // hold must not come out as a short one.
 func TestNoticeOfLongRuns(t *testing.T) {
 	lead := &allocator.Allocator{FailureDomain: "leuven", Settings: allocator.DefaultSettings()}
-	var lastNotice *messenger.RoomNotice
+	var lastNotice *messenger.CapacityNotice
 	tick := func(at time.Duration, inputs ...allocator.Input) {
 		for _, output := range lead.Tick(identifier.Moment(at), inputs) {
 			if notice, isNotice := output.(*allocator.TellNotice); isNotice {
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -271,8 +271,8 @@
 	RunKey RunKey `cbor:"1,keyasint"`
 }
 
-// RoomNotice reports the free capacity of a cell to other leads.
-type RoomNotice struct {
+// CapacityNotice reports the free capacity of a cell to other leads.
+type CapacityNotice struct {
 	From CellRef `cbor:"1,keyasint"`
 	// Spots is how many tasks of the usual size could start at once in addition to the waiting ones.
 	Spots int `cbor:"2,keyasint,omitempty"`
