--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -100,7 +100,7 @@
 		inputs = append(inputs, &allocator.RemoteLeadKnown{Cell: geel, Host: "host-g"})
 		var freeSlots int
 		data.ScanArgs(t, "spots", &freeSlots)
-		inputs = append(inputs, &allocator.NoticeArrived{Notice: messenger.CapacityNotice{From: geel, Spots: freeSlots}})
+		inputs = append(inputs, &allocator.NoticeArrived{Notice: messenger.CapacityNotice{From: geel, FreeSlots: freeSlots}})
 	case "evacuate":
 		inputs = append(inputs, &allocator.EvacuationsKnown{Evacuated: domainsNamed(scanStrings(t, data, "domains"))})
 	case "wait":
--- a/pkg/allocator/notices.go
+++ b/pkg/allocator/notices.go
@@ -53,8 +53,8 @@
 		// What waits here may be handed off there now.
 		allocator.retryPlacement = true
 	}
-	known.releases = make([]identifier.Moment, 0, notice.Spots+len(notice.Openings))
-	for range notice.Spots {
+	known.releases = make([]identifier.Moment, 0, notice.FreeSlots+len(notice.Openings))
+	for range notice.FreeSlots {
 		known.releases = append(known.releases, allocator.now)
 	}
 	for _, delay := range notice.Openings {
@@ -71,13 +71,13 @@
 	notice := messenger.CapacityNotice{From: allocator.ref()}
 	freeSlots := allocator.freeSlots()
 	if spare := freeSlots - allocator.waitingTasks; spare >= maxNoticeReleases {
-		notice.Spots = spare
+		notice.FreeSlots = spare
 		return notice
 	}
 	releases := allocator.expectedReleases(freeSlots, allocator.waitingTasks)
 	for _, release := range releases[:min(len(releases), maxNoticeReleases)] {
 		if release.Due(allocator.now) {
-			notice.Spots++
+			notice.FreeSlots++
 			continue
 		}
 		delay := min(release.Sub(allocator.now).Milliseconds(), math.MaxUint16)
@@ -102,7 +102,7 @@
 		return
 	}
 	notice := allocator.notice()
-	quiet := notice.Spots == allocator.lastNotice.Spots && len(notice.Openings) == 0 && len(allocator.lastNotice.Openings) == 0
+	quiet := notice.FreeSlots == allocator.lastNotice.FreeSlots && len(notice.Openings) == 0 && len(allocator.lastNotice.Openings) == 0
 	if quiet && allocator.now.Before(allocator.noticeSentAt.Add(allocator.Settings.NoticeAge/2)) {
 		allocator.timers.Set(timer, allocator.noticeSentAt.Add(allocator.Settings.NoticeAge/2))
 		return
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -274,8 +274,8 @@
 // CapacityNotice reports the free capacity of a cell to other leads.
 type CapacityNotice struct {
 	From CellRef `cbor:"1,keyasint"`
-	// Spots is how many tasks of the usual size could start at once in addition to the waiting ones.
-	Spots int `cbor:"2,keyasint,omitempty"`
+	// FreeSlots is how many tasks of the usual size could start at once in addition to the waiting ones.
+	FreeSlots int `cbor:"2,keyasint,omitempty"`
 	// Openings are the expected times until capacity for one more task each becomes free, the
 	// earliest first: in addition to the waiting tasks, and counted from the sending of the notice.
 	Openings []Delay `cbor:"4,keyasint,omitempty"`
