--- a/pkg/allocator/evacuating_test.go
+++ b/pkg/allocator/evacuating_test.go
@@ -133,7 +133,7 @@
 				lastNotice = &notice.Notice
 			}
 		}
-		if lastNotice == nil || (lastNotice.FreeSlots > 0) != want.room || len(lastNotice.Openings) > 0 && !want.room {
+		if lastNotice == nil || (lastNotice.FreeSlots > 0) != want.room || len(lastNotice.ExpectedReleases) > 0 && !want.room {
 			t.Errorf("evacuated %v: the last notice is %+v", want.evacuated, lastNotice)
 		}
 	}
--- a/pkg/allocator/notices.go
+++ b/pkg/allocator/notices.go
@@ -53,11 +53,11 @@
 		// What waits here may be handed off there now.
 		allocator.retryPlacement = true
 	}
-	known.releases = make([]identifier.Moment, 0, notice.FreeSlots+len(notice.Openings))
+	known.releases = make([]identifier.Moment, 0, notice.FreeSlots+len(notice.ExpectedReleases))
 	for range notice.FreeSlots {
 		known.releases = append(known.releases, allocator.now)
 	}
-	for _, delay := range notice.Openings {
+	for _, delay := range notice.ExpectedReleases {
 		known.releases = append(known.releases, allocator.now.Add(time.Duration(delay)*time.Millisecond))
 	}
 }
@@ -81,7 +81,7 @@
 			continue
 		}
 		delay := min(release.Sub(allocator.now).Milliseconds(), math.MaxUint16)
-		notice.Openings = append(notice.Openings, messenger.Delay(delay))
+		notice.ExpectedReleases = append(notice.ExpectedReleases, messenger.Delay(delay))
 	}
 	return notice
 }
@@ -102,7 +102,7 @@
 		return
 	}
 	notice := allocator.notice()
-	quiet := notice.FreeSlots == allocator.lastNotice.FreeSlots && len(notice.Openings) == 0 && len(allocator.lastNotice.Openings) == 0
+	quiet := notice.FreeSlots == allocator.lastNotice.FreeSlots && len(notice.ExpectedReleases) == 0 && len(allocator.lastNotice.ExpectedReleases) == 0
 	if quiet && allocator.now.Before(allocator.noticeSentAt.Add(allocator.Settings.NoticeAge/2)) {
 		allocator.timers.Set(timer, allocator.noticeSentAt.Add(allocator.Settings.NoticeAge/2))
 		return
--- a/pkg/allocator/notices_test.go
+++ b/pkg/allocator/notices_test.go
@@ -35,7 +35,7 @@
 		Tasks: []messenger.TaskRequest{{Needs: needs, Declared: 2 * time.Minute}},
 	}})
 	tick(time.Second)
-	if lastNotice == nil || lastNotice.FreeSlots != 0 || len(lastNotice.Openings) != 1 || lastNotice.Openings[0] != math.MaxUint16 {
+	if lastNotice == nil || lastNotice.FreeSlots != 0 || len(lastNotice.ExpectedReleases) != 1 || lastNotice.ExpectedReleases[0] != math.MaxUint16 {
 		t.Errorf("the notice is %+v, want one expected release at the longest time that a notice holds", lastNotice)
 	}
 }
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -276,9 +276,9 @@
 	From CellRef `cbor:"1,keyasint"`
 	// FreeSlots is how many tasks of the usual size could start at once in addition to the waiting ones.
 	FreeSlots int `cbor:"2,keyasint,omitempty"`
-	// Openings are the expected times until capacity for one more task each becomes free, the
+	// ExpectedReleases are the expected times until capacity for one more task each becomes free, the
 	// earliest first: in addition to the waiting tasks, and counted from the sending of the notice.
-	Openings []Delay `cbor:"4,keyasint,omitempty"`
+	ExpectedReleases []Delay `cbor:"4,keyasint,omitempty"`
 }
 
 // Delay is a time from now in milliseconds; the maximum value also stands for all longer times.
