--- a/pkg/allocator/handoffs.go
+++ b/pkg/allocator/handoffs.go
@@ -73,7 +73,7 @@
 	allocator.removeTasks(job, handedOff.tasks)
 	// The other tasks start there, and the job's answer waits for those that wait here.
 	allocator.markGranted(job)
-	allocator.answerJob(job, messenger.RoomAnswer{
+	allocator.answerJob(job, messenger.CapacityAnswer{
 		Job: job.request.Job, Kind: messenger.RoomAnswerAskOther, Other: handedOff.cell, Tasks: handedOff.tasks, Accounts: accounts,
 		Unvouched: !allocator.runsReported,
 	})
--- a/pkg/allocator/jobs.go
+++ b/pkg/allocator/jobs.go
@@ -81,7 +81,7 @@
 // handleRequest handles a host's request for capacity.
 func (allocator *Allocator) handleRequest(input *RoomRequested) {
 	if !allocator.Leads() {
-		allocator.answer(input.From, messenger.RoomAnswer{Job: input.Request.Job, Kind: messenger.RoomAnswerNotLed, Ask: input.Request.Ask})
+		allocator.answer(input.From, messenger.CapacityAnswer{Job: input.Request.Job, Kind: messenger.RoomAnswerNotLed, Ask: input.Request.Ask})
 		return
 	}
 	known := allocator.jobs.Get(input.Request.Job)
@@ -108,7 +108,7 @@
 	earlier.successor = input
 	allocator.close(earlier, "sent again")
 	if earlier.successor == input {
-		allocator.answer(input.From, messenger.RoomAnswer{
+		allocator.answer(input.From, messenger.CapacityAnswer{
 			Job: input.Request.Job, Kind: messenger.RoomAnswerWaiting, Ask: input.Request.Ask, Begun: earlier.lastRun > 0,
 		})
 	}
@@ -257,13 +257,13 @@
 }
 
 // answerJob sends an answer to the host of a job, with the number of the request that it answers.
-func (allocator *Allocator) answerJob(job *job, answer messenger.RoomAnswer) {
+func (allocator *Allocator) answerJob(job *job, answer messenger.CapacityAnswer) {
 	answer.Ask = job.request.Ask
 	answer.Begun = job.grantedBefore
 	allocator.answer(job.from, answer)
 }
 
-func (allocator *Allocator) answer(to identifier.HostID, answer messenger.RoomAnswer) {
+func (allocator *Allocator) answer(to identifier.HostID, answer messenger.CapacityAnswer) {
 	answer.Cell = allocator.Cell
 	allocator.emit(&AnswerRoom{To: to, Answer: answer})
 }
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -277,7 +277,7 @@
 }
 
 // handleAnswer does what a job's host does with an answer, such as requesting elsewhere.
-func (load *load) handleAnswer(answer *messenger.RoomAnswer) {
+func (load *load) handleAnswer(answer *messenger.CapacityAnswer) {
 	job := load.open[answer.Job]
 	switch {
 	case job == nil:
@@ -295,7 +295,7 @@
 }
 
 // requestFrom requests some tasks of a job from the lead at an index.
-func (load *load) requestFrom(job *loadJob, answer *messenger.RoomAnswer, lead int) {
+func (load *load) requestFrom(job *loadJob, answer *messenger.CapacityAnswer, lead int) {
 	request := job.request
 	request.HandedOver, request.Part = true, true
 	request.Elapsed = load.now.Sub(job.arrivedAt)
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -166,7 +166,7 @@
 // AnswerRoom answers a host's request for capacity where it is not granted.
 type AnswerRoom struct {
 	To     identifier.HostID
-	Answer messenger.RoomAnswer
+	Answer messenger.CapacityAnswer
 }
 
 // TellDone notifies a host that a task has done its work.
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -107,8 +107,8 @@
 	Fence identifier.Epoch `cbor:"7,keyasint,omitempty"`
 }
 
-// RoomAnswer is the answer to a request for capacity that isn't granted at once.
-type RoomAnswer struct {
+// CapacityAnswer is the answer to a request for capacity that isn't granted at once.
+type CapacityAnswer struct {
 	Job  identifier.JobID `cbor:"1,keyasint"`
 	Kind RoomAnswerKind   `cbor:"2,keyasint"`
 	// Reason is why a job is rejected or has failed.
--- a/pkg/supervisor/groups.go
+++ b/pkg/supervisor/groups.go
@@ -172,7 +172,7 @@
 }
 
 // followReferral sends a group, or some of its tasks, to the cell that its lead refers it to.
-func (supervisor *Supervisor) followReferral(job *job, group *group, answer *messenger.RoomAnswer) {
+func (supervisor *Supervisor) followReferral(job *job, group *group, answer *messenger.CapacityAnswer) {
 	lead := supervisor.leadOf(answer.Other)
 	if lead == "" {
 		supervisor.refuse(job, messenger.ReasonNoBackendServer, "the lead that has room is gone", answer.RetryAfter)
@@ -203,7 +203,7 @@
 
 // moveFromEvacuated requests capacity elsewhere for the tasks that a lead returns because its
 // failure domain is evacuated and nothing starts there.
-func (supervisor *Supervisor) moveFromEvacuated(job *job, group *group, answer *messenger.RoomAnswer) {
+func (supervisor *Supervisor) moveFromEvacuated(job *job, group *group, answer *messenger.CapacityAnswer) {
 	moving := supervisor.splitOff(job, group, answer)
 	moving.tried[group.cell] = true
 	home := supervisor.homeCell(job)
@@ -248,7 +248,7 @@
 
 // splitOff creates a new group for the tasks that a lead refers elsewhere; the lead has no runs of
 // them any more. The old group is dropped if it has no tasks left, as its lead keeps nothing of it.
-func (supervisor *Supervisor) splitOff(job *job, from *group, answer *messenger.RoomAnswer) *group {
+func (supervisor *Supervisor) splitOff(job *job, from *group, answer *messenger.CapacityAnswer) *group {
 	created := job.addGroup()
 	created.answered = true
 	for _, index := range answer.Tasks {
--- a/pkg/supervisor/messages.go
+++ b/pkg/supervisor/messages.go
@@ -65,7 +65,7 @@
 // AnswerArrived delivers a lead's answer, other than a grant, to a request for capacity.
 type AnswerArrived struct {
 	From   identifier.HostID
-	Answer messenger.RoomAnswer
+	Answer messenger.CapacityAnswer
 }
 
 // DoneArrived reports that a task has completed.
--- a/pkg/supervisor/supervisor_test.go
+++ b/pkg/supervisor/supervisor_test.go
@@ -81,7 +81,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		inputs = append(inputs, &supervisor.AnswerArrived{From: from, Answer: messenger.RoomAnswer{
+		inputs = append(inputs, &supervisor.AnswerArrived{From: from, Answer: messenger.CapacityAnswer{
 			Job: id, Kind: kind, Other: messenger.CellRef{FailureDomain: identifier.FailureDomain(scanString(t, data, "other"))},
 			Tasks: scanTasks(t, data), Ask: scenario.requestNumber(data, from, id), Begun: data.HasArg("begun"),
 		}})
