--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -109,8 +109,8 @@
 
 // CapacityAnswer is the answer to a request for capacity that isn't granted at once.
 type CapacityAnswer struct {
-	Job  identifier.JobID `cbor:"1,keyasint"`
-	Kind RoomAnswerKind   `cbor:"2,keyasint"`
+	Job  identifier.JobID   `cbor:"1,keyasint"`
+	Kind CapacityAnswerKind `cbor:"2,keyasint"`
 	// Reason is why a job is rejected or has failed.
 	Reason Reason `cbor:"3,keyasint,omitempty"`
 	Detail string `cbor:"4,keyasint,omitempty"`
@@ -182,13 +182,13 @@
 
 //go:generate enumer -type=RoomAnswerKind,StartOutcome -trimprefix=RoomAnswer,Start -transform=kebab -text -output=room_enumer.go
 
-// RoomAnswerKind is the kind of an answer to a request for capacity.
-type RoomAnswerKind int
+// CapacityAnswerKind is the kind of an answer to a request for capacity.
+type CapacityAnswerKind int
 
 // The kinds of answers to a request for capacity.
 const (
 	// RoomAnswerWaiting means that the job waits for capacity.
-	RoomAnswerWaiting RoomAnswerKind = iota
+	RoomAnswerWaiting CapacityAnswerKind = iota
 	// RoomAnswerTurnedAway means that the job is rejected and that this lead has granted no
 	// run of it.
 	RoomAnswerTurnedAway
--- a/pkg/messenger/room_enumer.go
+++ b/pkg/messenger/room_enumer.go
@@ -13,8 +13,8 @@
 
 const _RoomAnswerKindLowerName = "waitingturned-awayask-otherfailednot-ledevacuatedknown-elsewhere"
 
-func (i RoomAnswerKind) String() string {
-	if i < 0 || i >= RoomAnswerKind(len(_RoomAnswerKindIndex)-1) {
+func (i CapacityAnswerKind) String() string {
+	if i < 0 || i >= CapacityAnswerKind(len(_RoomAnswerKindIndex)-1) {
 		return fmt.Sprintf("RoomAnswerKind(%d)", i)
 	}
 	return _RoomAnswerKindName[_RoomAnswerKindIndex[i]:_RoomAnswerKindIndex[i+1]]
@@ -33,9 +33,9 @@
 	_ = x[RoomAnswerKnownElsewhere-(6)]
 }
 
-var _RoomAnswerKindValues = []RoomAnswerKind{RoomAnswerWaiting, RoomAnswerTurnedAway, RoomAnswerAskOther, RoomAnswerFailed, RoomAnswerNotLed, RoomAnswerEvacuated, RoomAnswerKnownElsewhere}
+var _RoomAnswerKindValues = []CapacityAnswerKind{RoomAnswerWaiting, RoomAnswerTurnedAway, RoomAnswerAskOther, RoomAnswerFailed, RoomAnswerNotLed, RoomAnswerEvacuated, RoomAnswerKnownElsewhere}
 
-var _RoomAnswerKindNameToValueMap = map[string]RoomAnswerKind{
+var _RoomAnswerKindNameToValueMap = map[string]CapacityAnswerKind{
 	_RoomAnswerKindName[0:7]:   RoomAnswerWaiting,
 	_RoomAnswerKindName[7:18]:  RoomAnswerTurnedAway,
 	_RoomAnswerKindName[18:27]: RoomAnswerAskOther,
@@ -45,7 +45,7 @@
 	_RoomAnswerKindName[49:64]: RoomAnswerKnownElsewhere,
 }
 
-var _RoomAnswerKindLowerNameToValueMap = map[string]RoomAnswerKind{
+var _RoomAnswerKindLowerNameToValueMap = map[string]CapacityAnswerKind{
 	_RoomAnswerKindLowerName[0:7]:   RoomAnswerWaiting,
 	_RoomAnswerKindLowerName[7:18]:  RoomAnswerTurnedAway,
 	_RoomAnswerKindLowerName[18:27]: RoomAnswerAskOther,
@@ -67,7 +67,7 @@
 
 // RoomAnswerKindString retrieves an enum value from the enum constants string name.
 // Throws an error if the param is not part of the enum.
-func RoomAnswerKindString(s string) (RoomAnswerKind, error) {
+func RoomAnswerKindString(s string) (CapacityAnswerKind, error) {
 	if val, ok := _RoomAnswerKindNameToValueMap[s]; ok {
 		return val, nil
 	}
@@ -79,7 +79,7 @@
 }
 
 // RoomAnswerKindValues returns all values of the enum
-func RoomAnswerKindValues() []RoomAnswerKind {
+func RoomAnswerKindValues() []CapacityAnswerKind {
 	return _RoomAnswerKindValues
 }
 
@@ -91,7 +91,7 @@
 }
 
 // IsARoomAnswerKind returns "true" if the value is listed in the enum definition. "false" otherwise
-func (i RoomAnswerKind) IsARoomAnswerKind() bool {
+func (i CapacityAnswerKind) IsARoomAnswerKind() bool {
 	for _, v := range _RoomAnswerKindValues {
 		if i == v {
 			return true
@@ -101,12 +101,12 @@
 }
 
 // MarshalText implements the encoding.TextMarshaler interface for RoomAnswerKind
-func (i RoomAnswerKind) MarshalText() ([]byte, error) {
+func (i CapacityAnswerKind) MarshalText() ([]byte, error) {
 	return []byte(i.String()), nil
 }
 
 // UnmarshalText implements the encoding.TextUnmarshaler interface for RoomAnswerKind
-func (i *RoomAnswerKind) UnmarshalText(text []byte) error {
+func (i *CapacityAnswerKind) UnmarshalText(text []byte) error {
 	var err error
 	*i, err = RoomAnswerKindString(string(text))
 	return err
