--- a/pkg/allocator/admission.go
+++ b/pkg/allocator/admission.go
@@ -54,7 +54,7 @@
 	case job.hasBlockedTask():
 		// Without an answer its host would assume that this lead is down and request from another
 		// cell, which knows nothing of the task.
-		allocator.answerJob(job, messenger.CapacityAnswer{Job: job.request.Job, Kind: messenger.RoomAnswerWaiting})
+		allocator.answerJob(job, messenger.CapacityAnswer{Job: job.request.Job, Kind: messenger.CapacityAnswerWaiting})
 	case len(job.tasks) == 0:
 		job.closed = true
 		allocator.dropIfOver(job)
@@ -64,7 +64,7 @@
 // notifyWaiting notifies the host that the job waits, and has the job rejected when it cannot be in
 // time any more and nothing of it has started.
 func (allocator *Allocator) notifyWaiting(job *job, predicted time.Duration) {
-	allocator.answerJob(job, messenger.CapacityAnswer{Job: job.request.Job, Kind: messenger.RoomAnswerWaiting})
+	allocator.answerJob(job, messenger.CapacityAnswer{Job: job.request.Job, Kind: messenger.CapacityAnswerWaiting})
 	allocator.logDecision(messenger.Decision{
 		Kind: messenger.DecisionWaits, Job: job.request.Job, Tasks: job.queued, Predicted: predicted, Spots: allocator.freeSlots(),
 	})
--- a/pkg/allocator/evacuating.go
+++ b/pkg/allocator/evacuating.go
@@ -36,7 +36,7 @@
 		allocator.queueTask(job, &job.tasks[index])
 	}
 	if job.hasBlockedTask() {
-		allocator.answerJob(job, messenger.CapacityAnswer{Job: job.request.Job, Kind: messenger.RoomAnswerWaiting})
+		allocator.answerJob(job, messenger.CapacityAnswer{Job: job.request.Job, Kind: messenger.CapacityAnswerWaiting})
 	}
 	allocator.evacuateJob(job)
 }
--- a/pkg/allocator/jobs.go
+++ b/pkg/allocator/jobs.go
@@ -109,7 +109,7 @@
 	allocator.close(earlier, "sent again")
 	if earlier.successor == input {
 		allocator.answer(input.From, messenger.CapacityAnswer{
-			Job: input.Request.Job, Kind: messenger.RoomAnswerWaiting, Ask: input.Request.Ask, Begun: earlier.lastRun > 0,
+			Job: input.Request.Job, Kind: messenger.CapacityAnswerWaiting, Ask: input.Request.Ask, Begun: earlier.lastRun > 0,
 		})
 	}
 }
--- a/pkg/coordinator/inquiring.go
+++ b/pkg/coordinator/inquiring.go
@@ -94,7 +94,7 @@
 	case *inquirer.RequestDenied:
 		coordinator.answerCapacityRequest(output.From, &output.Request, messenger.RoomAnswerKnownElsewhere)
 	case *inquirer.RequestHeld:
-		coordinator.answerCapacityRequest(output.From, &output.Request, messenger.RoomAnswerWaiting)
+		coordinator.answerCapacityRequest(output.From, &output.Request, messenger.CapacityAnswerWaiting)
 	case *inquirer.Decided:
 		coordinator.outputs.add(&Decided{Decision: output.Decision})
 	}
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -187,8 +187,8 @@
 
 // The kinds of answers to a request for capacity.
 const (
-	// RoomAnswerWaiting means that the job waits for capacity.
-	RoomAnswerWaiting CapacityAnswerKind = iota
+	// CapacityAnswerWaiting means that the job waits for capacity.
+	CapacityAnswerWaiting CapacityAnswerKind = iota
 	// RoomAnswerTurnedAway means that the job is rejected and that this lead has granted no
 	// run of it.
 	RoomAnswerTurnedAway
--- a/pkg/messenger/room_enumer.go
+++ b/pkg/messenger/room_enumer.go
@@ -24,7 +24,7 @@
 // Re-run the stringer command to generate them again.
 func _RoomAnswerKindNoOp() {
 	var x [1]struct{}
-	_ = x[RoomAnswerWaiting-(0)]
+	_ = x[CapacityAnswerWaiting-(0)]
 	_ = x[RoomAnswerTurnedAway-(1)]
 	_ = x[RoomAnswerAskOther-(2)]
 	_ = x[RoomAnswerFailed-(3)]
@@ -33,10 +33,10 @@
 	_ = x[RoomAnswerKnownElsewhere-(6)]
 }
 
-var _RoomAnswerKindValues = []CapacityAnswerKind{RoomAnswerWaiting, RoomAnswerTurnedAway, RoomAnswerAskOther, RoomAnswerFailed, RoomAnswerNotLed, RoomAnswerEvacuated, RoomAnswerKnownElsewhere}
+var _RoomAnswerKindValues = []CapacityAnswerKind{CapacityAnswerWaiting, RoomAnswerTurnedAway, RoomAnswerAskOther, RoomAnswerFailed, RoomAnswerNotLed, RoomAnswerEvacuated, RoomAnswerKnownElsewhere}
 
 var _RoomAnswerKindNameToValueMap = map[string]CapacityAnswerKind{
-	_RoomAnswerKindName[0:7]:   RoomAnswerWaiting,
+	_RoomAnswerKindName[0:7]:   CapacityAnswerWaiting,
 	_RoomAnswerKindName[7:18]:  RoomAnswerTurnedAway,
 	_RoomAnswerKindName[18:27]: RoomAnswerAskOther,
 	_RoomAnswerKindName[27:33]: RoomAnswerFailed,
@@ -46,7 +46,7 @@
 }
 
 var _RoomAnswerKindLowerNameToValueMap = map[string]CapacityAnswerKind{
-	_RoomAnswerKindLowerName[0:7]:   RoomAnswerWaiting,
+	_RoomAnswerKindLowerName[0:7]:   CapacityAnswerWaiting,
 	_RoomAnswerKindLowerName[7:18]:  RoomAnswerTurnedAway,
 	_RoomAnswerKindLowerName[18:27]: RoomAnswerAskOther,
 	_RoomAnswerKindLowerName[27:33]: RoomAnswerFailed,
--- a/pkg/supervisor/jobs.go
+++ b/pkg/supervisor/jobs.go
@@ -157,7 +157,7 @@
 	group.answered = true
 	job.earlierMayHaveStarted = job.earlierMayHaveStarted || answer.Begun
 	switch answer.Kind {
-	case messenger.RoomAnswerWaiting:
+	case messenger.CapacityAnswerWaiting:
 	case messenger.RoomAnswerTurnedAway:
 		supervisor.refuse(job, answer.Reason, answer.Detail, answer.RetryAfter)
 	case messenger.RoomAnswerAskOther:
