--- a/pkg/allocator/admission.go
+++ b/pkg/allocator/admission.go
@@ -82,7 +82,7 @@
 // reject notifies a host that its job gets no capacity; none of its runs was granted here.
 func (allocator *Allocator) reject(job *job, reason messenger.Reason, detail string, wait time.Duration) {
 	allocator.answerJob(job, messenger.CapacityAnswer{
-		Job: job.request.Job, Kind: messenger.RoomAnswerTurnedAway, Reason: reason, Detail: detail, RetryAfter: wait,
+		Job: job.request.Job, Kind: messenger.CapacityAnswerTurnedAway, Reason: reason, Detail: detail, RetryAfter: wait,
 	})
 	allocator.logDecision(messenger.Decision{
 		Kind: messenger.DecisionTurnedAway, Job: job.request.Job, Reason: detail, Tasks: len(job.tasks),
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -284,7 +284,7 @@
 	case answer.Kind == messenger.RoomAnswerFailed:
 		load.crashing.failed(job)
 		delete(load.open, answer.Job)
-	case answer.Kind == messenger.RoomAnswerTurnedAway:
+	case answer.Kind == messenger.CapacityAnswerTurnedAway:
 		load.rejected++
 		delete(load.open, answer.Job)
 	case answer.Kind == messenger.RoomAnswerAskOther:
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -189,9 +189,9 @@
 const (
 	// CapacityAnswerWaiting means that the job waits for capacity.
 	CapacityAnswerWaiting CapacityAnswerKind = iota
-	// RoomAnswerTurnedAway means that the job is rejected and that this lead has granted no
+	// CapacityAnswerTurnedAway means that the job is rejected and that this lead has granted no
 	// run of it.
-	RoomAnswerTurnedAway
+	CapacityAnswerTurnedAway
 	// RoomAnswerAskOther means that the lead of another cell has capacity.
 	RoomAnswerAskOther
 	// RoomAnswerFailed means that the job can no longer be completed.
--- a/pkg/supervisor/jobs.go
+++ b/pkg/supervisor/jobs.go
@@ -158,7 +158,7 @@
 	job.earlierMayHaveStarted = job.earlierMayHaveStarted || answer.Begun
 	switch answer.Kind {
 	case messenger.CapacityAnswerWaiting:
-	case messenger.RoomAnswerTurnedAway:
+	case messenger.CapacityAnswerTurnedAway:
 		supervisor.refuse(job, answer.Reason, answer.Detail, answer.RetryAfter)
 	case messenger.RoomAnswerAskOther:
 		supervisor.followReferral(job, group, answer)
