--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -287,7 +287,7 @@
 	case answer.Kind == messenger.CapacityAnswerTurnedAway:
 		load.rejected++
 		delete(load.open, answer.Job)
-	case answer.Kind == messenger.RoomAnswerAskOther:
+	case answer.Kind == messenger.CapacityAnswerAskOther:
 		load.requestFrom(job, answer, load.leadNamed(identifier.HostID(answer.Other.FailureDomain)))
 	case answer.Kind == messenger.RoomAnswerEvacuated:
 		load.requestFrom(job, answer, len(load.leads)-1)
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -192,8 +192,8 @@
 	// CapacityAnswerTurnedAway means that the job is rejected and that this lead has granted no
 	// run of it.
 	CapacityAnswerTurnedAway
-	// RoomAnswerAskOther means that the lead of another cell has capacity.
-	RoomAnswerAskOther
+	// CapacityAnswerAskOther means that the lead of another cell has capacity.
+	CapacityAnswerAskOther
 	// RoomAnswerFailed means that the job can no longer be completed.
 	RoomAnswerFailed
 	// RoomAnswerNotLed means that the host doesn't lead the cell.
--- a/pkg/supervisor/jobs.go
+++ b/pkg/supervisor/jobs.go
@@ -160,7 +160,7 @@
 	case messenger.CapacityAnswerWaiting:
 	case messenger.CapacityAnswerTurnedAway:
 		supervisor.refuse(job, answer.Reason, answer.Detail, answer.RetryAfter)
-	case messenger.RoomAnswerAskOther:
+	case messenger.CapacityAnswerAskOther:
 		supervisor.followReferral(job, group, answer)
 	case messenger.RoomAnswerFailed:
 		supervisor.end(job, JobEnded{Outcome: OutcomeFailed, Reason: answer.Reason, Detail: answer.Detail})
