--- a/pkg/allocator/closing.go
+++ b/pkg/allocator/closing.go
@@ -45,7 +45,7 @@
 // failJob notifies the host that its job cannot be completed, and closes the job.
 func (allocator *Allocator) failJob(job *job, reason messenger.Reason, detail string) {
 	allocator.answerJob(job, messenger.CapacityAnswer{
-		Job: job.request.Job, Kind: messenger.RoomAnswerFailed, Reason: reason, Detail: detail,
+		Job: job.request.Job, Kind: messenger.CapacityAnswerFailed, Reason: reason, Detail: detail,
 	})
 	allocator.close(job, detail)
 }
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -281,7 +281,7 @@
 	job := load.open[answer.Job]
 	switch {
 	case job == nil:
-	case answer.Kind == messenger.RoomAnswerFailed:
+	case answer.Kind == messenger.CapacityAnswerFailed:
 		load.crashing.failed(job)
 		delete(load.open, answer.Job)
 	case answer.Kind == messenger.CapacityAnswerTurnedAway:
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -194,8 +194,8 @@
 	CapacityAnswerTurnedAway
 	// CapacityAnswerAskOther means that the lead of another cell has capacity.
 	CapacityAnswerAskOther
-	// RoomAnswerFailed means that the job can no longer be completed.
-	RoomAnswerFailed
+	// CapacityAnswerFailed means that the job can no longer be completed.
+	CapacityAnswerFailed
 	// RoomAnswerNotLed means that the host doesn't lead the cell.
 	RoomAnswerNotLed
 	// RoomAnswerEvacuated means that nothing starts in the lead's failure domain: capacity for
--- a/pkg/supervisor/jobs.go
+++ b/pkg/supervisor/jobs.go
@@ -162,7 +162,7 @@
 		supervisor.refuse(job, answer.Reason, answer.Detail, answer.RetryAfter)
 	case messenger.CapacityAnswerAskOther:
 		supervisor.followReferral(job, group, answer)
-	case messenger.RoomAnswerFailed:
+	case messenger.CapacityAnswerFailed:
 		supervisor.end(job, JobEnded{Outcome: OutcomeFailed, Reason: answer.Reason, Detail: answer.Detail})
 	case messenger.RoomAnswerEvacuated:
 		supervisor.moveFromEvacuated(job, group, answer)
