--- a/pkg/allocator/jobs.go
+++ b/pkg/allocator/jobs.go
@@ -81,7 +81,7 @@
 // handleRequest handles a host's request for capacity.
 func (allocator *Allocator) handleRequest(input *RoomRequested) {
 	if !allocator.Leads() {
-		allocator.answer(input.From, messenger.CapacityAnswer{Job: input.Request.Job, Kind: messenger.RoomAnswerNotLed, Ask: input.Request.Ask})
+		allocator.answer(input.From, messenger.CapacityAnswer{Job: input.Request.Job, Kind: messenger.CapacityAnswerNotLed, Ask: input.Request.Ask})
 		return
 	}
 	known := allocator.jobs.Get(input.Request.Job)
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -196,8 +196,8 @@
 	CapacityAnswerAskOther
 	// CapacityAnswerFailed means that the job can no longer be completed.
 	CapacityAnswerFailed
-	// RoomAnswerNotLed means that the host doesn't lead the cell.
-	RoomAnswerNotLed
+	// CapacityAnswerNotLed means that the host doesn't lead the cell.
+	CapacityAnswerNotLed
 	// RoomAnswerEvacuated means that nothing starts in the lead's failure domain: capacity for
 	// Tasks must be requested elsewhere.
 	RoomAnswerEvacuated
--- a/pkg/messenger/room_enumer.go
+++ b/pkg/messenger/room_enumer.go
@@ -28,19 +28,19 @@
 	_ = x[CapacityAnswerTurnedAway-(1)]
 	_ = x[CapacityAnswerAskOther-(2)]
 	_ = x[CapacityAnswerFailed-(3)]
-	_ = x[RoomAnswerNotLed-(4)]
+	_ = x[CapacityAnswerNotLed-(4)]
 	_ = x[RoomAnswerEvacuated-(5)]
 	_ = x[RoomAnswerKnownElsewhere-(6)]
 }
 
-var _RoomAnswerKindValues = []CapacityAnswerKind{CapacityAnswerWaiting, CapacityAnswerTurnedAway, CapacityAnswerAskOther, CapacityAnswerFailed, RoomAnswerNotLed, RoomAnswerEvacuated, RoomAnswerKnownElsewhere}
+var _RoomAnswerKindValues = []CapacityAnswerKind{CapacityAnswerWaiting, CapacityAnswerTurnedAway, CapacityAnswerAskOther, CapacityAnswerFailed, CapacityAnswerNotLed, RoomAnswerEvacuated, RoomAnswerKnownElsewhere}
 
 var _RoomAnswerKindNameToValueMap = map[string]CapacityAnswerKind{
 	_RoomAnswerKindName[0:7]:   CapacityAnswerWaiting,
 	_RoomAnswerKindName[7:18]:  CapacityAnswerTurnedAway,
 	_RoomAnswerKindName[18:27]: CapacityAnswerAskOther,
 	_RoomAnswerKindName[27:33]: CapacityAnswerFailed,
-	_RoomAnswerKindName[33:40]: RoomAnswerNotLed,
+	_RoomAnswerKindName[33:40]: CapacityAnswerNotLed,
 	_RoomAnswerKindName[40:49]: RoomAnswerEvacuated,
 	_RoomAnswerKindName[49:64]: RoomAnswerKnownElsewhere,
 }
@@ -50,7 +50,7 @@
 	_RoomAnswerKindLowerName[7:18]:  CapacityAnswerTurnedAway,
 	_RoomAnswerKindLowerName[18:27]: CapacityAnswerAskOther,
 	_RoomAnswerKindLowerName[27:33]: CapacityAnswerFailed,
-	_RoomAnswerKindLowerName[33:40]: RoomAnswerNotLed,
+	_RoomAnswerKindLowerName[33:40]: CapacityAnswerNotLed,
 	_RoomAnswerKindLowerName[40:49]: RoomAnswerEvacuated,
 	_RoomAnswerKindLowerName[49:64]: RoomAnswerKnownElsewhere,
 }
--- a/pkg/supervisor/jobs.go
+++ b/pkg/supervisor/jobs.go
@@ -166,7 +166,7 @@
 		supervisor.end(job, JobEnded{Outcome: OutcomeFailed, Reason: answer.Reason, Detail: answer.Detail})
 	case messenger.RoomAnswerEvacuated:
 		supervisor.moveFromEvacuated(job, group, answer)
-	case messenger.RoomAnswerNotLed:
+	case messenger.CapacityAnswerNotLed:
 		group.answered = false
 		if !supervisor.requestElsewhere(job, group) {
 			group.lead = ""
