--- a/pkg/allocator/evacuating.go
+++ b/pkg/allocator/evacuating.go
@@ -83,7 +83,7 @@
 // returnToHost has the host of a job request the tasks that wait here elsewhere. The cell that
 // handed them off may be evacuated itself, and only the host knows which cells were asked already.
 func (allocator *Allocator) returnToHost(job *job) {
-	answer := messenger.CapacityAnswer{Job: job.request.Job, Kind: messenger.RoomAnswerEvacuated}
+	answer := messenger.CapacityAnswer{Job: job.request.Job, Kind: messenger.CapacityAnswerEvacuated}
 	for _, task := range job.pending() {
 		answer.Tasks = append(answer.Tasks, task.requested.Task)
 	}
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -289,7 +289,7 @@
 		delete(load.open, answer.Job)
 	case answer.Kind == messenger.CapacityAnswerAskOther:
 		load.requestFrom(job, answer, load.leadNamed(identifier.HostID(answer.Other.FailureDomain)))
-	case answer.Kind == messenger.RoomAnswerEvacuated:
+	case answer.Kind == messenger.CapacityAnswerEvacuated:
 		load.requestFrom(job, answer, len(load.leads)-1)
 	}
 }
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -198,9 +198,9 @@
 	CapacityAnswerFailed
 	// CapacityAnswerNotLed means that the host doesn't lead the cell.
 	CapacityAnswerNotLed
-	// RoomAnswerEvacuated means that nothing starts in the lead's failure domain: capacity for
+	// CapacityAnswerEvacuated means that nothing starts in the lead's failure domain: capacity for
 	// Tasks must be requested elsewhere.
-	RoomAnswerEvacuated
+	CapacityAnswerEvacuated
 	// RoomAnswerKnownElsewhere means that an earlier submission of the job may have runs
 	// elsewhere: only the lead of its home may continue it.
 	RoomAnswerKnownElsewhere
--- a/pkg/messenger/room_enumer.go
+++ b/pkg/messenger/room_enumer.go
@@ -29,11 +29,11 @@
 	_ = x[CapacityAnswerAskOther-(2)]
 	_ = x[CapacityAnswerFailed-(3)]
 	_ = x[CapacityAnswerNotLed-(4)]
-	_ = x[RoomAnswerEvacuated-(5)]
+	_ = x[CapacityAnswerEvacuated-(5)]
 	_ = x[RoomAnswerKnownElsewhere-(6)]
 }
 
-var _RoomAnswerKindValues = []CapacityAnswerKind{CapacityAnswerWaiting, CapacityAnswerTurnedAway, CapacityAnswerAskOther, CapacityAnswerFailed, CapacityAnswerNotLed, RoomAnswerEvacuated, RoomAnswerKnownElsewhere}
+var _RoomAnswerKindValues = []CapacityAnswerKind{CapacityAnswerWaiting, CapacityAnswerTurnedAway, CapacityAnswerAskOther, CapacityAnswerFailed, CapacityAnswerNotLed, CapacityAnswerEvacuated, RoomAnswerKnownElsewhere}
 
 var _RoomAnswerKindNameToValueMap = map[string]CapacityAnswerKind{
 	_RoomAnswerKindName[0:7]:   CapacityAnswerWaiting,
@@ -41,7 +41,7 @@
 	_RoomAnswerKindName[18:27]: CapacityAnswerAskOther,
 	_RoomAnswerKindName[27:33]: CapacityAnswerFailed,
 	_RoomAnswerKindName[33:40]: CapacityAnswerNotLed,
-	_RoomAnswerKindName[40:49]: RoomAnswerEvacuated,
+	_RoomAnswerKindName[40:49]: CapacityAnswerEvacuated,
 	_RoomAnswerKindName[49:64]: RoomAnswerKnownElsewhere,
 }
 
@@ -51,7 +51,7 @@
 	_RoomAnswerKindLowerName[18:27]: CapacityAnswerAskOther,
 	_RoomAnswerKindLowerName[27:33]: CapacityAnswerFailed,
 	_RoomAnswerKindLowerName[33:40]: CapacityAnswerNotLed,
-	_RoomAnswerKindLowerName[40:49]: RoomAnswerEvacuated,
+	_RoomAnswerKindLowerName[40:49]: CapacityAnswerEvacuated,
 	_RoomAnswerKindLowerName[49:64]: RoomAnswerKnownElsewhere,
 }
 
--- a/pkg/supervisor/jobs.go
+++ b/pkg/supervisor/jobs.go
@@ -164,7 +164,7 @@
 		supervisor.followReferral(job, group, answer)
 	case messenger.CapacityAnswerFailed:
 		supervisor.end(job, JobEnded{Outcome: OutcomeFailed, Reason: answer.Reason, Detail: answer.Detail})
-	case messenger.RoomAnswerEvacuated:
+	case messenger.CapacityAnswerEvacuated:
 		supervisor.moveFromEvacuated(job, group, answer)
 	case messenger.CapacityAnswerNotLed:
 		group.answered = false
