--- a/pkg/coordinator/inquiring.go
+++ b/pkg/coordinator/inquiring.go
@@ -92,7 +92,7 @@
 	case *inquirer.RequestCleared:
 		coordinator.notifyAllocator(output.Request.Cell, &allocator.RoomRequested{From: output.From, Request: output.Request})
 	case *inquirer.RequestDenied:
-		coordinator.answerCapacityRequest(output.From, &output.Request, messenger.RoomAnswerKnownElsewhere)
+		coordinator.answerCapacityRequest(output.From, &output.Request, messenger.CapacityAnswerKnownElsewhere)
 	case *inquirer.RequestHeld:
 		coordinator.answerCapacityRequest(output.From, &output.Request, messenger.CapacityAnswerWaiting)
 	case *inquirer.Decided:
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -201,9 +201,9 @@
 	// CapacityAnswerEvacuated means that nothing starts in the lead's failure domain: capacity for
 	// Tasks must be requested elsewhere.
 	CapacityAnswerEvacuated
-	// RoomAnswerKnownElsewhere means that an earlier submission of the job may have runs
+	// CapacityAnswerKnownElsewhere means that an earlier submission of the job may have runs
 	// elsewhere: only the lead of its home may continue it.
-	RoomAnswerKnownElsewhere
+	CapacityAnswerKnownElsewhere
 )
 
 // StartOutcome is the result of a call that starts a run.
--- a/pkg/messenger/room_enumer.go
+++ b/pkg/messenger/room_enumer.go
@@ -30,10 +30,10 @@
 	_ = x[CapacityAnswerFailed-(3)]
 	_ = x[CapacityAnswerNotLed-(4)]
 	_ = x[CapacityAnswerEvacuated-(5)]
-	_ = x[RoomAnswerKnownElsewhere-(6)]
+	_ = x[CapacityAnswerKnownElsewhere-(6)]
 }
 
-var _RoomAnswerKindValues = []CapacityAnswerKind{CapacityAnswerWaiting, CapacityAnswerTurnedAway, CapacityAnswerAskOther, CapacityAnswerFailed, CapacityAnswerNotLed, CapacityAnswerEvacuated, RoomAnswerKnownElsewhere}
+var _RoomAnswerKindValues = []CapacityAnswerKind{CapacityAnswerWaiting, CapacityAnswerTurnedAway, CapacityAnswerAskOther, CapacityAnswerFailed, CapacityAnswerNotLed, CapacityAnswerEvacuated, CapacityAnswerKnownElsewhere}
 
 var _RoomAnswerKindNameToValueMap = map[string]CapacityAnswerKind{
 	_RoomAnswerKindName[0:7]:   CapacityAnswerWaiting,
@@ -42,7 +42,7 @@
 	_RoomAnswerKindName[27:33]: CapacityAnswerFailed,
 	_RoomAnswerKindName[33:40]: CapacityAnswerNotLed,
 	_RoomAnswerKindName[40:49]: CapacityAnswerEvacuated,
-	_RoomAnswerKindName[49:64]: RoomAnswerKnownElsewhere,
+	_RoomAnswerKindName[49:64]: CapacityAnswerKnownElsewhere,
 }
 
 var _RoomAnswerKindLowerNameToValueMap = map[string]CapacityAnswerKind{
@@ -52,7 +52,7 @@
 	_RoomAnswerKindLowerName[27:33]: CapacityAnswerFailed,
 	_RoomAnswerKindLowerName[33:40]: CapacityAnswerNotLed,
 	_RoomAnswerKindLowerName[40:49]: CapacityAnswerEvacuated,
-	_RoomAnswerKindLowerName[49:64]: RoomAnswerKnownElsewhere,
+	_RoomAnswerKindLowerName[49:64]: CapacityAnswerKnownElsewhere,
 }
 
 var _RoomAnswerKindNames = []string{
--- a/pkg/supervisor/jobs.go
+++ b/pkg/supervisor/jobs.go
@@ -171,7 +171,7 @@
 		if !supervisor.requestElsewhere(job, group) {
 			group.lead = ""
 		}
-	case messenger.RoomAnswerKnownElsewhere:
+	case messenger.CapacityAnswerKnownElsewhere:
 		supervisor.awaitHome(job, group)
 	}
 }
