--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -51,7 +51,7 @@
 	HandedOver bool `cbor:"13,keyasint,omitempty"`
 	// Ask numbers the requests of a host for one job. Grants and answers repeat it, so that a
 	// late one for an earlier request to the same lead isn't applied to this request.
-	Ask AskNumber `cbor:"19,keyasint,omitempty"`
+	Ask RequestNumber `cbor:"19,keyasint,omitempty"`
 	// Unvouched means that no lead that knows the job has referred it to this cell, so an
 	// earlier submission of it may have runs elsewhere.
 	Unvouched bool `cbor:"20,keyasint,omitempty"`
@@ -87,11 +87,11 @@
 	Epoch identifier.Epoch `cbor:"2,keyasint"`
 	Runs  []GrantedRun     `cbor:"3,keyasint"`
 	Cell  CellNumber       `cbor:"4,keyasint,omitempty"`
-	Ask   AskNumber        `cbor:"5,keyasint,omitempty"`
+	Ask   RequestNumber    `cbor:"5,keyasint,omitempty"`
 }
 
-// AskNumber numbers the requests of a host for capacity for one job, starting at 1.
-type AskNumber uint32
+// RequestNumber numbers the requests of a host for capacity for one job, starting at 1.
+type RequestNumber uint32
 
 // GrantedRun is the capacity that is granted to one run.
 type GrantedRun struct {
@@ -119,8 +119,8 @@
 	// Cell is the cell of the answering lead.
 	Cell CellNumber `cbor:"7,keyasint,omitempty"`
 	// Other is the cell to send the request to instead of this one.
-	Other CellRef   `cbor:"6,keyasint,omitzero"`
-	Ask   AskNumber `cbor:"9,keyasint,omitempty"`
+	Other CellRef       `cbor:"6,keyasint,omitzero"`
+	Ask   RequestNumber `cbor:"9,keyasint,omitempty"`
 	// Tasks are the tasks to request from Other; the rest stays here. None means all.
 	Tasks []TaskIndex `cbor:"8,keyasint,omitempty"`
 	// Accounts are the accounts of those Tasks that were started before.
--- a/pkg/supervisor/groups.go
+++ b/pkg/supervisor/groups.go
@@ -20,7 +20,7 @@
 	lead identifier.HostID
 	cell messenger.CellRef
 	// requestNumber is the number of the request that the lead has.
-	requestNumber messenger.AskNumber
+	requestNumber messenger.RequestNumber
 	// answered is set once the lead has answered the request.
 	answered bool
 	// awaitingSince is the start of the period without any message from the lead, after which
@@ -73,7 +73,7 @@
 // groupForAnswer returns the group that a lead's answer belongs to, or nil if the answer is to an
 // earlier request. A slow lead may answer a withdrawn request after it has received a new one. If
 // that answer counted, a task could be in two groups and run twice.
-func (supervisor *Supervisor) groupForAnswer(id identifier.JobID, from identifier.HostID, cell messenger.CellNumber, number messenger.AskNumber) (*job, *group) {
+func (supervisor *Supervisor) groupForAnswer(id identifier.JobID, from identifier.HostID, cell messenger.CellNumber, number messenger.RequestNumber) (*job, *group) {
 	job, group := supervisor.groupAt(id, from, cell)
 	if group != nil && group.requestNumber != number {
 		return job, nil
--- a/pkg/supervisor/supervisor.go
+++ b/pkg/supervisor/supervisor.go
@@ -88,7 +88,7 @@
 	groups      []*group
 	lastGroup   groupNumber
 	lastRun     identifier.RunNumber
-	lastRequest messenger.AskNumber
+	lastRequest messenger.RequestNumber
 	// startedInDropped is set if a start call may have been sent for a group that was dropped.
 	startedInDropped bool
 	// earlierMayHaveStarted is set if runs of an earlier submission of the job may have started.
--- a/pkg/supervisor/supervisor_test.go
+++ b/pkg/supervisor/supervisor_test.go
@@ -21,7 +21,7 @@
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		scenario := &scenario{supervisor: &supervisor.Supervisor{
 			FailureDomain: "leuven", Settings: supervisor.DefaultSettings(),
-		}, requestNumbers: make(map[string]messenger.AskNumber), t: t}
+		}, requestNumbers: make(map[string]messenger.RequestNumber), t: t}
 		datadriven.RunTest(t, path, scenario.run)
 	})
 }
@@ -31,16 +31,16 @@
 	supervisor *supervisor.Supervisor
 	now        identifier.Moment
 	// requestNumbers holds the number of the last request to each lead for each job.
-	requestNumbers map[string]messenger.AskNumber
+	requestNumbers map[string]messenger.RequestNumber
 	t              *testing.T
 }
 
 // requestNumber returns the number of the request that a lead answers: that of the last request,
 // unless the command names an earlier one in its argument ask.
-func (scenario *scenario) requestNumber(data *datadriven.TestData, from identifier.HostID, job identifier.JobID) messenger.AskNumber {
+func (scenario *scenario) requestNumber(data *datadriven.TestData, from identifier.HostID, job identifier.JobID) messenger.RequestNumber {
 	number := int(scenario.requestNumbers[string(from)+" "+string(job)])
 	data.MaybeScanArgs(scenario.t, "ask", &number)
-	return messenger.AskNumber(number)
+	return messenger.RequestNumber(number)
 }
 
 func (scenario *scenario) run(t *testing.T, data *datadriven.TestData) string {
