--- a/pkg/allocator/jobs.go
+++ b/pkg/allocator/jobs.go
@@ -81,7 +81,7 @@
 // handleRequest handles a host's request for capacity.
 func (allocator *Allocator) handleRequest(input *RoomRequested) {
 	if !allocator.Leads() {
-		allocator.answer(input.From, messenger.CapacityAnswer{Job: input.Request.Job, Kind: messenger.CapacityAnswerNotLed, Ask: input.Request.Ask})
+		allocator.answer(input.From, messenger.CapacityAnswer{Job: input.Request.Job, Kind: messenger.CapacityAnswerNotLed, Ask: input.Request.Number})
 		return
 	}
 	known := allocator.jobs.Get(input.Request.Job)
@@ -109,7 +109,7 @@
 	allocator.close(earlier, "sent again")
 	if earlier.successor == input {
 		allocator.answer(input.From, messenger.CapacityAnswer{
-			Job: input.Request.Job, Kind: messenger.CapacityAnswerWaiting, Ask: input.Request.Ask, Begun: earlier.lastRun > 0,
+			Job: input.Request.Job, Kind: messenger.CapacityAnswerWaiting, Ask: input.Request.Number, Begun: earlier.lastRun > 0,
 		})
 	}
 }
@@ -150,7 +150,7 @@
 // isSameRequest reports whether a request belongs to the one that the job has, for more of its
 // tasks.
 func (job *job) isSameRequest(input *RoomRequested) bool {
-	return job.from == input.From && job.request.Ask == input.Request.Ask
+	return job.from == input.From && job.request.Number == input.Request.Number
 }
 
 // lastRunOf is the highest number that a run of a job may have had.
@@ -258,7 +258,7 @@
 
 // answerJob sends an answer to the host of a job, with the number of the request that it answers.
 func (allocator *Allocator) answerJob(job *job, answer messenger.CapacityAnswer) {
-	answer.Ask = job.request.Ask
+	answer.Ask = job.request.Number
 	answer.Begun = job.grantedBefore
 	allocator.answer(job.from, answer)
 }
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -49,9 +49,9 @@
 	// HandedOver means that another lead handed the job off to this one, which doesn't hand it
 	// off again.
 	HandedOver bool `cbor:"13,keyasint,omitempty"`
-	// Ask numbers the requests of a host for one job. Grants and answers repeat it, so that a
+	// Number numbers the requests of a host for one job. Grants and answers repeat it, so that a
 	// late one for an earlier request to the same lead isn't applied to this request.
-	Ask RequestNumber `cbor:"19,keyasint,omitempty"`
+	Number RequestNumber `cbor:"19,keyasint,omitempty"`
 	// Unvouched means that no lead that knows the job has referred it to this cell, so an
 	// earlier submission of it may have runs elsewhere.
 	Unvouched bool `cbor:"20,keyasint,omitempty"`
--- a/pkg/supervisor/groups.go
+++ b/pkg/supervisor/groups.go
@@ -153,7 +153,7 @@
 		Attempts: job.spec.Attempts, Label: job.spec.Label, Near: job.spec.Near, PerServer: job.spec.PerServer,
 		Elapsed: supervisor.now.Sub(job.arrivedAt), Stretch: job.spec.Stretch, Allowance: job.spec.Allowance,
 		Remaining: job.deadline.Sub(supervisor.now), HandedOver: cell != supervisor.homeCell(job) || len(group.tried) > 1, Part: len(job.groups) > 1,
-		RunsBelow: job.lastRun, Ask: group.requestNumber,
+		RunsBelow: job.lastRun, Number: group.requestNumber,
 		Unvouched: cell != supervisor.homeCell(job) && cell != group.referredTo && !group.granted,
 	}
 	for index := range job.tasks {
@@ -236,7 +236,7 @@
 // merge moves the tasks of a group to another group, whose lead then treats both as one request.
 func (supervisor *Supervisor) merge(job *job, moving, to *group) {
 	request := supervisor.newRequest(job, moving, to.cell)
-	request.Ask = to.requestNumber
+	request.Number = to.requestNumber
 	supervisor.emit(&AskRoom{To: to.lead, Request: request})
 	for index := range job.tasks {
 		if task := &job.tasks[index]; task.group == moving {
--- a/pkg/supervisor/supervisor_test.go
+++ b/pkg/supervisor/supervisor_test.go
@@ -105,7 +105,7 @@
 	outputs := scenario.supervisor.Tick(scenario.now, inputs)
 	for _, output := range outputs {
 		if request, isRequest := output.(*supervisor.AskRoom); isRequest {
-			scenario.requestNumbers[string(request.To)+" "+string(request.Request.Job)] = request.Request.Ask
+			scenario.requestNumbers[string(request.To)+" "+string(request.Request.Job)] = request.Request.Number
 		}
 	}
 	return show(outputs)
