--- a/pkg/allocator/placing.go
+++ b/pkg/allocator/placing.go
@@ -71,7 +71,7 @@
 	if allocator.superseded {
 		return false
 	}
-	grant := messenger.Grant{Job: job.request.Job, Epoch: allocator.epoch, Cell: allocator.Cell, Ask: job.request.Number}
+	grant := messenger.Grant{Job: job.request.Job, Epoch: allocator.epoch, Cell: allocator.Cell, RequestNumber: job.request.Number}
 	for index := range job.tasks {
 		task := &job.tasks[index]
 		if !task.queued {
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -83,11 +83,11 @@
 
 // Grant assigns capacity to tasks of a job; the requesting host starts them.
 type Grant struct {
-	Job   identifier.JobID `cbor:"1,keyasint"`
-	Epoch identifier.Epoch `cbor:"2,keyasint"`
-	Runs  []GrantedRun     `cbor:"3,keyasint"`
-	Cell  CellNumber       `cbor:"4,keyasint,omitempty"`
-	Ask   RequestNumber    `cbor:"5,keyasint,omitempty"`
+	Job           identifier.JobID `cbor:"1,keyasint"`
+	Epoch         identifier.Epoch `cbor:"2,keyasint"`
+	Runs          []GrantedRun     `cbor:"3,keyasint"`
+	Cell          CellNumber       `cbor:"4,keyasint,omitempty"`
+	RequestNumber RequestNumber    `cbor:"5,keyasint,omitempty"`
 }
 
 // RequestNumber numbers the requests of a host for capacity for one job, starting at 1.
--- a/pkg/supervisor/jobs.go
+++ b/pkg/supervisor/jobs.go
@@ -38,7 +38,7 @@
 
 // handleGrant starts the granted runs. A lead whose request was withdrawn gets its capacity back.
 func (supervisor *Supervisor) handleGrant(input *GrantArrived) {
-	job, group := supervisor.groupForAnswer(input.Grant.Job, input.From, input.Grant.Cell, input.Grant.Ask)
+	job, group := supervisor.groupForAnswer(input.Grant.Job, input.From, input.Grant.Cell, input.Grant.RequestNumber)
 	if group == nil {
 		// A lead that has received a newer request got its release before that request.
 		if _, pending := supervisor.groupAt(input.Grant.Job, input.From, input.Grant.Cell); pending == nil {
--- a/pkg/supervisor/supervisor_test.go
+++ b/pkg/supervisor/supervisor_test.go
@@ -74,7 +74,7 @@
 	case "grant":
 		granted := messenger.GrantedRun{Task: key.Task, Run: key.Run, Server: "s1", Address: "address of s1", LeaseEnd: 1000}
 		inputs = append(inputs, &supervisor.GrantArrived{From: from, Grant: messenger.Grant{
-			Job: id, Epoch: identifier.Epoch(epoch), Runs: []messenger.GrantedRun{granted}, Ask: scenario.requestNumber(data, from, id),
+			Job: id, Epoch: identifier.Epoch(epoch), Runs: []messenger.GrantedRun{granted}, RequestNumber: scenario.requestNumber(data, from, id),
 		}})
 	case "answer":
 		kind, err := messenger.RoomAnswerKindString(scanString(t, data, "kind"))
