--- a/pkg/allocator/jobs.go
+++ b/pkg/allocator/jobs.go
@@ -81,7 +81,7 @@
 // handleRequest handles a host's request for capacity.
 func (allocator *Allocator) handleRequest(input *RoomRequested) {
 	if !allocator.Leads() {
-		allocator.answer(input.From, messenger.CapacityAnswer{Job: input.Request.Job, Kind: messenger.CapacityAnswerNotLed, Ask: input.Request.Number})
+		allocator.answer(input.From, messenger.CapacityAnswer{Job: input.Request.Job, Kind: messenger.CapacityAnswerNotLed, RequestNumber: input.Request.Number})
 		return
 	}
 	known := allocator.jobs.Get(input.Request.Job)
@@ -109,7 +109,7 @@
 	allocator.close(earlier, "sent again")
 	if earlier.successor == input {
 		allocator.answer(input.From, messenger.CapacityAnswer{
-			Job: input.Request.Job, Kind: messenger.CapacityAnswerWaiting, Ask: input.Request.Number, Begun: earlier.lastRun > 0,
+			Job: input.Request.Job, Kind: messenger.CapacityAnswerWaiting, RequestNumber: input.Request.Number, Begun: earlier.lastRun > 0,
 		})
 	}
 }
@@ -258,7 +258,7 @@
 
 // answerJob sends an answer to the host of a job, with the number of the request that it answers.
 func (allocator *Allocator) answerJob(job *job, answer messenger.CapacityAnswer) {
-	answer.Ask = job.request.Number
+	answer.RequestNumber = job.request.Number
 	answer.Begun = job.grantedBefore
 	allocator.answer(job.from, answer)
 }
--- a/pkg/coordinator/inquiring.go
+++ b/pkg/coordinator/inquiring.go
@@ -101,6 +101,6 @@
 }
 
 func (coordinator *Coordinator) answerCapacityRequest(to identifier.HostID, request *messenger.CapacityRequest, kind messenger.CapacityAnswerKind) {
-	answer := messenger.CapacityAnswer{Job: request.Job, Kind: kind, Cell: request.Cell, Ask: request.Number}
+	answer := messenger.CapacityAnswer{Job: request.Job, Kind: kind, Cell: request.Cell, RequestNumber: request.Number}
 	coordinator.send(to, PeerMessage{RoomAnswer: &answer})
 }
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -119,8 +119,8 @@
 	// Cell is the cell of the answering lead.
 	Cell CellNumber `cbor:"7,keyasint,omitempty"`
 	// Other is the cell to send the request to instead of this one.
-	Other CellRef       `cbor:"6,keyasint,omitzero"`
-	Ask   RequestNumber `cbor:"9,keyasint,omitempty"`
+	Other         CellRef       `cbor:"6,keyasint,omitzero"`
+	RequestNumber RequestNumber `cbor:"9,keyasint,omitempty"`
 	// Tasks are the tasks to request from Other; the rest stays here. None means all.
 	Tasks []TaskIndex `cbor:"8,keyasint,omitempty"`
 	// Accounts are the accounts of those Tasks that were started before.
--- a/pkg/supervisor/jobs.go
+++ b/pkg/supervisor/jobs.go
@@ -150,7 +150,7 @@
 
 func (supervisor *Supervisor) handleAnswer(input *AnswerArrived) {
 	answer := &input.Answer
-	job, group := supervisor.groupForAnswer(answer.Job, input.From, answer.Cell, answer.Ask)
+	job, group := supervisor.groupForAnswer(answer.Job, input.From, answer.Cell, answer.RequestNumber)
 	if group == nil {
 		return
 	}
