--- a/pkg/allocator/admission.go
+++ b/pkg/allocator/admission.go
@@ -24,7 +24,7 @@
 		allocator.reject(job, messenger.ReasonNeverRunnable, reason, 0)
 		return
 	}
-	if job.request.Part {
+	if job.request.Partial {
 		job.granted = true
 		allocator.placeOrQueue(job, 0)
 		return
--- a/pkg/allocator/jobs.go
+++ b/pkg/allocator/jobs.go
@@ -85,7 +85,7 @@
 		return
 	}
 	known := allocator.jobs.Get(input.Request.Job)
-	if known != nil && known.isSameRequest(input) && input.Request.Part && !known.closed {
+	if known != nil && known.isSameRequest(input) && input.Request.Partial && !known.closed {
 		allocator.requeueTasks(known, input.Request.Tasks)
 		return
 	}
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -55,9 +55,9 @@
 	// Unvouched means that no lead that knows the job has referred it to this cell, so an
 	// earlier submission of it may have runs elsewhere.
 	Unvouched bool `cbor:"20,keyasint,omitempty"`
-	// Part means that other tasks of the job are requested from other leads: the tasks of this
+	// Partial means that other tasks of the job are requested from other leads: the tasks of this
 	// request are accepted however long they must wait, since the job's answer waits for them.
-	Part bool `cbor:"18,keyasint,omitempty"`
+	Partial bool `cbor:"18,keyasint,omitempty"`
 	// RunsBelow is a run number; every new run must have a higher one.
 	RunsBelow identifier.RunNumber `cbor:"14,keyasint,omitempty"`
 	// Held are the runs that an earlier lead granted and that have not ended.
