--- a/pkg/allocator/evacuating.go
+++ b/pkg/allocator/evacuating.go
@@ -51,7 +51,7 @@
 func (allocator *Allocator) evacuateJob(job *job) {
 	switch {
 	case job.queued == 0:
-	case job.request.HandedOver:
+	case job.request.HandedOff:
 		allocator.returnToHost(job)
 	case job.granted || allocator.plan(job, job.pending(), true).inTime:
 		allocator.handOffTasks(job)
--- a/pkg/allocator/handoffs.go
+++ b/pkg/allocator/handoffs.go
@@ -22,7 +22,7 @@
 // Tasks are handed off once the job's first task starts. While nothing of the job has begun it can
 // still be rejected; with an earlier handoff, jobs that become late would go on.
 func (allocator *Allocator) handOffTasks(job *job) {
-	if job.request.HandedOver || job.queued == 0 || allocator.remotes.Len() == 0 {
+	if job.request.HandedOff || job.queued == 0 || allocator.remotes.Len() == 0 {
 		return
 	}
 	tasks := job.pending()
@@ -97,7 +97,7 @@
 // at the same time.
 func (allocator *Allocator) repeatHandoffs(job *job) {
 	before := allocator.handoffs.Get(job.request.Job)
-	if before == nil || job.request.HandedOver {
+	if before == nil || job.request.HandedOff {
 		return
 	}
 	for _, handedOff := range *before {
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -297,7 +297,7 @@
 // requestFrom requests some tasks of a job from the lead at an index.
 func (load *load) requestFrom(job *loadJob, answer *messenger.CapacityAnswer, lead int) {
 	request := job.request
-	request.HandedOver, request.Partial = true, true
+	request.HandedOff, request.Partial = true, true
 	request.Elapsed = load.now.Sub(job.arrivedAt)
 	request.Tasks = nil
 	for _, index := range answer.Tasks {
--- a/pkg/allocator/planning.go
+++ b/pkg/allocator/planning.go
@@ -88,7 +88,7 @@
 	for _, at := range here {
 		releases = append(releases, expectedRelease{at: at})
 	}
-	if !job.request.HandedOver {
+	if !job.request.HandedOff {
 		releases = append(releases, allocator.remoteReleases(count)...)
 		if len(releases) < count && allocator.evacuated() {
 			releases = append(releases, allocator.assumedRemoteReleases(job, count)...)
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -46,9 +46,9 @@
 	Allowance time.Duration `cbor:"11,keyasint,omitempty"`
 	// Remaining is the time until the caller stops waiting.
 	Remaining time.Duration `cbor:"12,keyasint"`
-	// HandedOver means that another lead handed the job off to this one, which doesn't hand it
+	// HandedOff means that another lead handed the job off to this one, which doesn't hand it
 	// off again.
-	HandedOver bool `cbor:"13,keyasint,omitempty"`
+	HandedOff bool `cbor:"13,keyasint,omitempty"`
 	// Number numbers the requests of a host for one job. Grants and answers repeat it, so that a
 	// late one for an earlier request to the same lead isn't applied to this request.
 	Number RequestNumber `cbor:"19,keyasint,omitempty"`
--- a/pkg/supervisor/groups.go
+++ b/pkg/supervisor/groups.go
@@ -152,7 +152,7 @@
 		Job: job.spec.Job, Cell: cell.Cell, Service: job.spec.Service, Queue: job.spec.Queue, Urgency: job.spec.Urgency,
 		Attempts: job.spec.Attempts, Label: job.spec.Label, Near: job.spec.Near, PerServer: job.spec.PerServer,
 		Elapsed: supervisor.now.Sub(job.arrivedAt), Stretch: job.spec.Stretch, Allowance: job.spec.Allowance,
-		Remaining: job.deadline.Sub(supervisor.now), HandedOver: cell != supervisor.homeCell(job) || len(group.tried) > 1, Partial: len(job.groups) > 1,
+		Remaining: job.deadline.Sub(supervisor.now), HandedOff: cell != supervisor.homeCell(job) || len(group.tried) > 1, Partial: len(job.groups) > 1,
 		RunsBelow: job.lastRun, Number: group.requestNumber,
 		Unvouched: cell != supervisor.homeCell(job) && cell != group.referredTo && !group.granted,
 	}
--- a/pkg/supervisor/supervisor_test.go
+++ b/pkg/supervisor/supervisor_test.go
@@ -158,7 +158,7 @@
 		switch output := output.(type) {
 		case *supervisor.AskRoom:
 			fmt.Fprintf(&lines, "ask %s for %s: %d tasks, %d held, runs above %d, handed over %v\n", output.To, output.Request.Job,
-				len(output.Request.Tasks), len(output.Request.Held), output.Request.RunsBelow, output.Request.HandedOver)
+				len(output.Request.Tasks), len(output.Request.Held), output.Request.RunsBelow, output.Request.HandedOff)
 		case *supervisor.ReleaseRoom:
 			fmt.Fprintf(&lines, "release %s at %s\n", output.Release.Job, output.To)
 		case *supervisor.ReportStart:
