--- a/pkg/coordinator/inquiring.go
+++ b/pkg/coordinator/inquiring.go
@@ -13,7 +13,7 @@
 // the lead of its home and the allocator doesn't have it, the request first waits until the other
 // hosts of its home have been queried.
 func (coordinator *Coordinator) requestCapacity(from identifier.HostID, request *messenger.CapacityRequest) {
-	if !request.Unvouched || !coordinator.isUnknownJob(request) {
+	if !request.Unreferred || !coordinator.isUnknownJob(request) {
 		coordinator.notifyAllocator(request.Cell, &allocator.RoomRequested{From: from, Request: *request})
 		return
 	}
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -52,9 +52,9 @@
 	// Number numbers the requests of a host for one job. Grants and answers repeat it, so that a
 	// late one for an earlier request to the same lead isn't applied to this request.
 	Number RequestNumber `cbor:"19,keyasint,omitempty"`
-	// Unvouched means that no lead that knows the job has referred it to this cell, so an
+	// Unreferred means that no lead that knows the job has referred it to this cell, so an
 	// earlier submission of it may have runs elsewhere.
-	Unvouched bool `cbor:"20,keyasint,omitempty"`
+	Unreferred bool `cbor:"20,keyasint,omitempty"`
 	// Partial means that other tasks of the job are requested from other leads: the tasks of this
 	// request are accepted however long they must wait, since the job's answer waits for them.
 	Partial bool `cbor:"18,keyasint,omitempty"`
--- a/pkg/supervisor/groups.go
+++ b/pkg/supervisor/groups.go
@@ -154,7 +154,7 @@
 		Elapsed: supervisor.now.Sub(job.arrivedAt), Stretch: job.spec.Stretch, Allowance: job.spec.Allowance,
 		Remaining: job.deadline.Sub(supervisor.now), HandedOff: cell != supervisor.homeCell(job) || len(group.tried) > 1, Partial: len(job.groups) > 1,
 		RunsBelow: job.lastRun, Number: group.requestNumber,
-		Unvouched: cell != supervisor.homeCell(job) && cell != group.referredTo && !group.granted,
+		Unreferred: cell != supervisor.homeCell(job) && cell != group.referredTo && !group.granted,
 	}
 	for index := range job.tasks {
 		task := &job.tasks[index]
