--- a/pkg/allocator/handoffs.go
+++ b/pkg/allocator/handoffs.go
@@ -75,7 +75,7 @@
 	allocator.markGranted(job)
 	allocator.answerJob(job, messenger.CapacityAnswer{
 		Job: job.request.Job, Kind: messenger.CapacityAnswerAskOther, Other: handedOff.cell, Tasks: handedOff.tasks, Accounts: accounts,
-		Unvouched: !allocator.runsReported,
+		Unreferred: !allocator.runsReported,
 	})
 	allocator.logDecision(messenger.Decision{
 		Kind: messenger.DecisionHandedOver, Job: job.request.Job, Host: allocator.leadOf(handedOff.cell),
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -127,8 +127,8 @@
 	Accounts []TaskAccount `cbor:"10,keyasint,omitempty"`
 	// Begun means that runs of an earlier submission of the job were granted.
 	Begun bool `cbor:"12,keyasint,omitempty"`
-	// Unvouched means that the answering lead may not know all runs of the job yet.
-	Unvouched bool `cbor:"11,keyasint,omitempty"`
+	// Unreferred means that the answering lead may not know all runs of the job yet.
+	Unreferred bool `cbor:"11,keyasint,omitempty"`
 }
 
 // TaskAccount is what is known of earlier runs of one task.
--- a/pkg/supervisor/groups.go
+++ b/pkg/supervisor/groups.go
@@ -185,7 +185,7 @@
 		supervisor.merge(job, group, other)
 		return
 	}
-	if !answer.Unvouched {
+	if !answer.Unreferred {
 		group.referredTo = answer.Other
 	}
 	supervisor.sendRequest(job, group, lead, answer.Other)
