--- a/pkg/allocator/jobs.go
+++ b/pkg/allocator/jobs.go
@@ -109,7 +109,7 @@
 	allocator.close(earlier, "sent again")
 	if earlier.successor == input {
 		allocator.answer(input.From, messenger.CapacityAnswer{
-			Job: input.Request.Job, Kind: messenger.CapacityAnswerWaiting, RequestNumber: input.Request.Number, Begun: earlier.lastRun > 0,
+			Job: input.Request.Job, Kind: messenger.CapacityAnswerWaiting, RequestNumber: input.Request.Number, GrantedBefore: earlier.lastRun > 0,
 		})
 	}
 }
@@ -259,7 +259,7 @@
 // answerJob sends an answer to the host of a job, with the number of the request that it answers.
 func (allocator *Allocator) answerJob(job *job, answer messenger.CapacityAnswer) {
 	answer.RequestNumber = job.request.Number
-	answer.Begun = job.grantedBefore
+	answer.GrantedBefore = job.grantedBefore
 	allocator.answer(job.from, answer)
 }
 
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -125,8 +125,8 @@
 	Tasks []TaskIndex `cbor:"8,keyasint,omitempty"`
 	// Accounts are the accounts of those Tasks that were started before.
 	Accounts []TaskAccount `cbor:"10,keyasint,omitempty"`
-	// Begun means that runs of an earlier submission of the job were granted.
-	Begun bool `cbor:"12,keyasint,omitempty"`
+	// GrantedBefore means that runs of an earlier submission of the job were granted.
+	GrantedBefore bool `cbor:"12,keyasint,omitempty"`
 	// Unreferred means that the answering lead may not know all runs of the job yet.
 	Unreferred bool `cbor:"11,keyasint,omitempty"`
 }
--- a/pkg/supervisor/jobs.go
+++ b/pkg/supervisor/jobs.go
@@ -155,7 +155,7 @@
 		return
 	}
 	group.answered = true
-	job.earlierMayHaveStarted = job.earlierMayHaveStarted || answer.Begun
+	job.earlierMayHaveStarted = job.earlierMayHaveStarted || answer.GrantedBefore
 	switch answer.Kind {
 	case messenger.CapacityAnswerWaiting:
 	case messenger.CapacityAnswerTurnedAway:
--- a/pkg/supervisor/supervisor_test.go
+++ b/pkg/supervisor/supervisor_test.go
@@ -83,7 +83,7 @@
 		}
 		inputs = append(inputs, &supervisor.AnswerArrived{From: from, Answer: messenger.CapacityAnswer{
 			Job: id, Kind: kind, Other: messenger.CellRef{FailureDomain: identifier.FailureDomain(scanString(t, data, "other"))},
-			Tasks: scanTasks(t, data), RequestNumber: scenario.requestNumber(data, from, id), Begun: data.HasArg("begun"),
+			Tasks: scanTasks(t, data), RequestNumber: scenario.requestNumber(data, from, id), GrantedBefore: data.HasArg("begun"),
 		}})
 	case "done":
 		inputs = append(inputs, &supervisor.DoneArrived{From: from, Done: messenger.TaskDone{RunKey: key}})
