--- a/pkg/allocator/admission.go
+++ b/pkg/allocator/admission.go
@@ -66,7 +66,7 @@
 func (allocator *Allocator) notifyWaiting(job *job, predicted time.Duration) {
 	allocator.answerJob(job, messenger.CapacityAnswer{Job: job.request.Job, Kind: messenger.CapacityAnswerWaiting})
 	allocator.logDecision(messenger.Decision{
-		Kind: messenger.DecisionWaits, Job: job.request.Job, Tasks: job.queued, Predicted: predicted, Spots: allocator.freeSlots(),
+		Kind: messenger.DecisionWaits, Job: job.request.Job, Tasks: job.queued, Predicted: predicted, FreeSlots: allocator.freeSlots(),
 	})
 	if !job.granted {
 		allocator.timers.Set(timerKey{kind: timerJobStart, job: job.request.Job}, job.startBy)
@@ -86,7 +86,7 @@
 	})
 	allocator.logDecision(messenger.Decision{
 		Kind: messenger.DecisionTurnedAway, Job: job.request.Job, Reason: detail, Tasks: len(job.tasks),
-		Elapsed: allocator.now.Sub(job.arrivedAt), Predicted: wait, Spots: allocator.freeSlots(),
+		Elapsed: allocator.now.Sub(job.arrivedAt), Predicted: wait, FreeSlots: allocator.freeSlots(),
 	})
 	allocator.unqueue(job)
 	job.closed = true
--- a/pkg/allocator/handoffs.go
+++ b/pkg/allocator/handoffs.go
@@ -79,7 +79,7 @@
 	})
 	allocator.logDecision(messenger.Decision{
 		Kind: messenger.DecisionHandedOver, Job: job.request.Job, Host: allocator.leadOf(handedOff.cell),
-		Reason: string(handedOff.cell.FailureDomain), Tasks: len(handedOff.tasks), Spots: allocator.freeSlots(),
+		Reason: string(handedOff.cell.FailureDomain), Tasks: len(handedOff.tasks), FreeSlots: allocator.freeSlots(),
 	})
 }
 
--- a/pkg/messenger/decision.go
+++ b/pkg/messenger/decision.go
@@ -89,8 +89,8 @@
 	Elapsed time.Duration
 	// Predicted is how long the job is estimated to wait.
 	Predicted time.Duration
-	// Spots is the number of free task slots that the lead knew of.
-	Spots int
+	// FreeSlots is the number of free task slots that the lead knew of.
+	FreeSlots int
 	// Epoch is the epoch of the lead.
 	Epoch identifier.Epoch
 }
