--- a/pkg/dispatcher/takeover.go
+++ b/pkg/dispatcher/takeover.go
@@ -100,7 +100,7 @@
 		dispatcher.mergeRecord(cell, input.From, record)
 	}
 	dispatcher.adoptAnswers(cell, input.Reply.Records)
-	for _, host := range input.Reply.Emptied {
+	for _, host := range input.Reply.HostsWithoutState {
 		dispatcher.countHostWithoutState(cell, host)
 	}
 	dispatcher.queryGuests(cell)
--- a/pkg/messenger/peer.go
+++ b/pkg/messenger/peer.go
@@ -93,9 +93,9 @@
 	Cell    CellNumber       `cbor:"1,keyasint"`
 	Epoch   identifier.Epoch `cbor:"2,keyasint"`
 	Records []CopyRecord     `cbor:"3,keyasint,omitempty"`
-	// Emptied are the other hosts that the sender has recently seen restart without state.
+	// HostsWithoutState are the other hosts that the sender has recently seen restart without state.
 	// A host that has itself just started can't know this of the others.
-	Emptied []identifier.HostID `cbor:"4,keyasint,omitempty"`
+	HostsWithoutState []identifier.HostID `cbor:"4,keyasint,omitempty"`
 	// Uptime is how long the sender's process has been making decisions; zero means unknown.
 	Uptime time.Duration `cbor:"5,keyasint,omitempty"`
 	// Servers are the backend servers that the sender's process has seen.
