--- a/pkg/allocator/allocator.go
+++ b/pkg/allocator/allocator.go
@@ -158,7 +158,7 @@
 		allocator.handleRunsReported()
 	case *EvacuationsKnown:
 		allocator.handleEvacuations(input)
-	case *CardArrived:
+	case *ReportArrived:
 		allocator.handleReport(&input.Card)
 	case *CardRecalled:
 		allocator.recallReport(&input.Card)
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -26,8 +26,8 @@
 // RunsNamed reports that every living host has reported the runs that its jobs still have.
 type RunsNamed struct{}
 
-// CardArrived carries the report of a backend server about itself.
-type CardArrived struct{ Card messenger.ServerReport }
+// ReportArrived carries the report of a backend server about itself.
+type ReportArrived struct{ Card messenger.ServerReport }
 
 // CardRecalled carries the report that a backend server sent before this host started, as the
 // keepers remember it.
@@ -142,7 +142,7 @@
 func (*OthersFollow) isAllocatorInput()     {}
 func (*EvacuationsKnown) isAllocatorInput() {}
 func (*RunsNamed) isAllocatorInput()        {}
-func (*CardArrived) isAllocatorInput()      {}
+func (*ReportArrived) isAllocatorInput()    {}
 func (*CardRecalled) isAllocatorInput()     {}
 func (*RoomRequested) isAllocatorInput()    {}
 func (*JobGoesElsewhere) isAllocatorInput() {}
