--- a/pkg/allocator/allocator.go
+++ b/pkg/allocator/allocator.go
@@ -159,7 +159,7 @@
 	case *EvacuationsKnown:
 		allocator.handleEvacuations(input)
 	case *ReportArrived:
-		allocator.handleReport(&input.Card)
+		allocator.handleReport(&input.Report)
 	case *CardRecalled:
 		allocator.recallReport(&input.Card)
 	case *RoomRequested:
--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -81,7 +81,7 @@
 	case "lead-lost":
 		inputs = append(inputs, &allocator.LeadLost{})
 	case "card":
-		inputs = append(inputs, &allocator.ReportArrived{Card: scanReport(t, data)})
+		inputs = append(inputs, &allocator.ReportArrived{Report: scanReport(t, data)})
 	case "recall":
 		inputs = append(inputs, &allocator.CardRecalled{Card: scanReport(t, data)})
 	case "request":
--- a/pkg/allocator/crashes_test.go
+++ b/pkg/allocator/crashes_test.go
@@ -73,7 +73,7 @@
 		reborn.id = server.id + "+"
 		reborn.report.Server = reborn.id
 		load.servers[reborn.id] = reborn
-		return []allocator.Input{&allocator.ReportArrived{Card: reborn.report}}
+		return []allocator.Input{&allocator.ReportArrived{Report: reborn.report}}
 	})
 	if server.pendingPoll == nil {
 		return nil
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -170,7 +170,7 @@
 		Capacity: identifier.Resources{MilliCPU: cpu, Memory: 32 << 30},
 	}
 	load.servers[id] = &loadServer{id: id, lead: lead, index: index, running: make(map[messenger.RunKey]bool), report: report}
-	load.tick(lead, &allocator.ReportArrived{Card: report})
+	load.tick(lead, &allocator.ReportArrived{Report: report})
 }
 
 func (load *load) at(lead int, delay time.Duration, run func() []allocator.Input) {
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -27,7 +27,7 @@
 type RunsNamed struct{}
 
 // ReportArrived carries the report of a backend server about itself.
-type ReportArrived struct{ Card messenger.ServerReport }
+type ReportArrived struct{ Report messenger.ServerReport }
 
 // CardRecalled carries the report that a backend server sent before this host started, as the
 // keepers remember it.
--- a/pkg/allocator/resizing_test.go
+++ b/pkg/allocator/resizing_test.go
@@ -18,12 +18,12 @@
 	report := messenger.ServerReport{
 		Server: "s1", Service: "desk", Address: "s1", FailureDomain: "leuven", Sequence: 1, Capacity: identifier.Resources{MilliCPU: 32000},
 	}
-	lead.Tick(0, []allocator.Input{&allocator.LeadTaken{Epoch: 1}, &allocator.ReportArrived{Card: report}})
+	lead.Tick(0, []allocator.Input{&allocator.LeadTaken{Epoch: 1}, &allocator.ReportArrived{Report: report}})
 	var broadcast []identifier.MilliCPU
 	for _, cpu := range []identifier.MilliCPU{32000, 16000, 32000, 16000, 24000, 8000, 32000} {
 		report.Sequence++
 		report.Capacity.MilliCPU = cpu
-		for _, output := range lead.Tick(1, []allocator.Input{&allocator.ReportArrived{Card: report}}) {
+		for _, output := range lead.Tick(1, []allocator.Input{&allocator.ReportArrived{Report: report}}) {
 			if shared, isShared := output.(*allocator.ShareCard); isShared {
 				broadcast = append(broadcast, shared.Card.Capacity.MilliCPU)
 			}
--- a/pkg/allocator/restarts_test.go
+++ b/pkg/allocator/restarts_test.go
@@ -81,7 +81,7 @@
 	load.servers[server.id], restarting.current[id] = server, server
 	load.at(0, speaks, func() []allocator.Input {
 		server.firstReportAt = load.now
-		return []allocator.Input{&allocator.ReportArrived{Card: report}}
+		return []allocator.Input{&allocator.ReportArrived{Report: report}}
 	})
 	return server
 }
--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -92,7 +92,7 @@
 func (coordinator *Coordinator) handleAnnouncedReport(report *messenger.ServerReport) {
 	cell := coordinator.cellOfServer(report.Server)
 	if report.FailureDomain == coordinator.Self.FailureDomain {
-		coordinator.notifyAllocator(cell, &allocator.ReportArrived{Card: *report})
+		coordinator.notifyAllocator(cell, &allocator.ReportArrived{Report: *report})
 		coordinator.recordServerContact()
 	}
 	lead, _ := coordinator.elector.Lead(report.FailureDomain, cell)
@@ -112,7 +112,7 @@
 		coordinator.handleAnnouncedReport(report)
 		return
 	}
-	coordinator.notifyAllocator(coordinator.cellOfServer(report.Server), &allocator.ReportArrived{Card: *report})
+	coordinator.notifyAllocator(coordinator.cellOfServer(report.Server), &allocator.ReportArrived{Report: *report})
 }
 
 func (coordinator *Coordinator) sendReports(to identifier.HostID, reports []messenger.ServerReport) {
