--- a/pkg/allocator/allocator.go
+++ b/pkg/allocator/allocator.go
@@ -160,7 +160,7 @@
 		allocator.handleEvacuations(input)
 	case *ReportArrived:
 		allocator.handleReport(&input.Report)
-	case *CardRecalled:
+	case *ReportRecalled:
 		allocator.recallReport(&input.Card)
 	case *RoomRequested:
 		allocator.handleRequest(input)
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -29,9 +29,9 @@
 // ReportArrived carries the report of a backend server about itself.
 type ReportArrived struct{ Report messenger.ServerReport }
 
-// CardRecalled carries the report that a backend server sent before this host started, as the
+// ReportRecalled carries the report that a backend server sent before this host started, as the
 // keepers remember it.
-type CardRecalled struct{ Card messenger.ServerReport }
+type ReportRecalled struct{ Card messenger.ServerReport }
 
 // RoomRequested carries a request for capacity of a host that supervises a job.
 type RoomRequested struct {
@@ -143,7 +143,7 @@
 func (*EvacuationsKnown) isAllocatorInput() {}
 func (*RunsNamed) isAllocatorInput()        {}
 func (*ReportArrived) isAllocatorInput()    {}
-func (*CardRecalled) isAllocatorInput()     {}
+func (*ReportRecalled) isAllocatorInput()   {}
 func (*RoomRequested) isAllocatorInput()    {}
 func (*JobGoesElsewhere) isAllocatorInput() {}
 func (*RoomReleased) isAllocatorInput()     {}
