--- a/pkg/allocator/allocator.go
+++ b/pkg/allocator/allocator.go
@@ -161,7 +161,7 @@
 	case *ReportArrived:
 		allocator.handleReport(&input.Report)
 	case *ReportRecalled:
-		allocator.recallReport(&input.Card)
+		allocator.recallReport(&input.Report)
 	case *RoomRequested:
 		allocator.handleRequest(input)
 	case *JobGoesElsewhere:
--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -83,7 +83,7 @@
 	case "card":
 		inputs = append(inputs, &allocator.ReportArrived{Report: scanReport(t, data)})
 	case "recall":
-		inputs = append(inputs, &allocator.ReportRecalled{Card: scanReport(t, data)})
+		inputs = append(inputs, &allocator.ReportRecalled{Report: scanReport(t, data)})
 	case "request":
 		inputs = append(inputs, &allocator.RoomRequested{From: "host-b", Request: scanRequest(t, data)})
 	case "release":
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -31,7 +31,7 @@
 
 // ReportRecalled carries the report that a backend server sent before this host started, as the
 // keepers remember it.
-type ReportRecalled struct{ Card messenger.ServerReport }
+type ReportRecalled struct{ Report messenger.ServerReport }
 
 // RoomRequested carries a request for capacity of a host that supervises a job.
 type RoomRequested struct {
--- a/pkg/coordinator/cellpersister.go
+++ b/pkg/coordinator/cellpersister.go
@@ -130,7 +130,7 @@
 	coordinator.notifyElector(elector.EpochSeen{Cell: memory.Cell.Cell, Epoch: memory.Epoch})
 	for index := range memory.Reports {
 		report := &memory.Reports[index]
-		coordinator.notifyAllocator(coordinator.cellOfServer(report.Server), &allocator.ReportRecalled{Card: *report})
+		coordinator.notifyAllocator(coordinator.cellOfServer(report.Server), &allocator.ReportRecalled{Report: *report})
 	}
 }
 
