--- a/pkg/allocator/allocator.go
+++ b/pkg/allocator/allocator.go
@@ -162,7 +162,7 @@
 		allocator.handleReport(&input.Report)
 	case *ReportRecalled:
 		allocator.recallReport(&input.Report)
-	case *RoomRequested:
+	case *CapacityRequested:
 		allocator.handleRequest(input)
 	case *JobGoesElsewhere:
 		allocator.recordHandoff(input)
--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -85,7 +85,7 @@
 	case "recall":
 		inputs = append(inputs, &allocator.ReportRecalled{Report: scanReport(t, data)})
 	case "request":
-		inputs = append(inputs, &allocator.RoomRequested{From: "host-b", Request: scanRequest(t, data)})
+		inputs = append(inputs, &allocator.CapacityRequested{From: "host-b", Request: scanRequest(t, data)})
 	case "release":
 		inputs = append(inputs, &allocator.RoomReleased{From: "host-b", Job: identifier.JobID(scanString(t, data, "job"))})
 	case "report":
--- a/pkg/allocator/evacuating_test.go
+++ b/pkg/allocator/evacuating_test.go
@@ -105,7 +105,7 @@
 	lead := &allocator.Allocator{FailureDomain: "leuven", Settings: allocator.DefaultSettings()}
 	lead.Tick(0, []allocator.Input{&allocator.LeadTaken{Epoch: 7}, &allocator.EvacuationsKnown{Evacuated: messenger.Evacuated{"leuven"}}})
 	task := messenger.TaskRequest{Needs: identifier.Resources{MilliCPU: 1000}, Declared: time.Second, Account: budgeter.Account{Crashes: 3}}
-	outputs := lead.Tick(1, []allocator.Input{&allocator.RoomRequested{From: "host-b", Request: messenger.CapacityRequest{
+	outputs := lead.Tick(1, []allocator.Input{&allocator.CapacityRequested{From: "host-b", Request: messenger.CapacityRequest{
 		Job: "j", Service: "desk", Queue: "quick", Attempts: 3, Stretch: 1.6, Remaining: time.Hour, HandedOff: true, Tasks: []messenger.TaskRequest{task},
 	}}})
 	if len(outputs) != 1 {
--- a/pkg/allocator/jobs.go
+++ b/pkg/allocator/jobs.go
@@ -38,7 +38,7 @@
 	// handoffs are the tasks that were handed to other cells.
 	handoffs []handoff
 	// successor is a resubmission that waits until the runs are over.
-	successor *RoomRequested
+	successor *CapacityRequested
 }
 
 // task is one task of a job.
@@ -79,7 +79,7 @@
 }
 
 // handleRequest handles a host's request for capacity.
-func (allocator *Allocator) handleRequest(input *RoomRequested) {
+func (allocator *Allocator) handleRequest(input *CapacityRequested) {
 	if !allocator.Leads() {
 		allocator.answer(input.From, messenger.CapacityAnswer{Job: input.Request.Job, Kind: messenger.CapacityAnswerNotLed, RequestNumber: input.Request.Number})
 		return
@@ -104,7 +104,7 @@
 // another, and no longer waits for. Its runs must be over first. The requesting host is notified of
 // this: otherwise it would assume that this lead is down and request from another cell, which knows
 // of no run.
-func (allocator *Allocator) supersede(earlier *job, input *RoomRequested) {
+func (allocator *Allocator) supersede(earlier *job, input *CapacityRequested) {
 	earlier.successor = input
 	allocator.close(earlier, "sent again")
 	if earlier.successor == input {
@@ -128,7 +128,7 @@
 	}
 }
 
-func (allocator *Allocator) newJob(input *RoomRequested) *job {
+func (allocator *Allocator) newJob(input *CapacityRequested) *job {
 	request := &input.Request
 	created := &job{request: *request, from: input.From, arrivedAt: allocator.now.Add(-request.Elapsed), lastRun: allocator.lastRunOf(request)}
 	created.grantedBefore = created.lastRun > 0
@@ -149,7 +149,7 @@
 
 // isSameRequest reports whether a request belongs to the one that the job has, for more of its
 // tasks.
-func (job *job) isSameRequest(input *RoomRequested) bool {
+func (job *job) isSameRequest(input *CapacityRequested) bool {
 	return job.from == input.From && job.request.Number == input.Request.Number
 }
 
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -303,7 +303,7 @@
 	for _, index := range answer.Tasks {
 		request.Tasks = append(request.Tasks, job.request.Tasks[index])
 	}
-	load.deliver(lead, 2*domainDelay, &allocator.RoomRequested{From: "host-b", Request: request})
+	load.deliver(lead, 2*domainDelay, &allocator.CapacityRequested{From: "host-b", Request: request})
 }
 
 // runTime returns how long a run takes on a server, and whether it ever ends.
@@ -409,7 +409,7 @@
 	if !job.crashes {
 		load.arrived[chosen.queue]++
 	}
-	return []allocator.Input{&allocator.RoomRequested{From: "host-b", Request: request}}
+	return []allocator.Input{&allocator.CapacityRequested{From: "host-b", Request: request}}
 }
 
 // simulate submits jobs at a rate for a time, and runs until all events are handled or 5 s have
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -33,8 +33,8 @@
 // keepers remember it.
 type ReportRecalled struct{ Report messenger.ServerReport }
 
-// RoomRequested carries a request for capacity of a host that supervises a job.
-type RoomRequested struct {
+// CapacityRequested carries a request for capacity of a host that supervises a job.
+type CapacityRequested struct {
 	From    identifier.HostID
 	Request messenger.CapacityRequest
 }
@@ -137,22 +137,22 @@
 	Outcome CallOutcome
 }
 
-func (*LeadTaken) isAllocatorInput()        {}
-func (*LeadLost) isAllocatorInput()         {}
-func (*OthersFollow) isAllocatorInput()     {}
-func (*EvacuationsKnown) isAllocatorInput() {}
-func (*RunsNamed) isAllocatorInput()        {}
-func (*ReportArrived) isAllocatorInput()    {}
-func (*ReportRecalled) isAllocatorInput()   {}
-func (*RoomRequested) isAllocatorInput()    {}
-func (*JobGoesElsewhere) isAllocatorInput() {}
-func (*RoomReleased) isAllocatorInput()     {}
-func (*StartReported) isAllocatorInput()    {}
-func (*HostGone) isAllocatorInput()         {}
-func (*RemoteLeadKnown) isAllocatorInput()  {}
-func (*NoticeArrived) isAllocatorInput()    {}
-func (*HoldReturned) isAllocatorInput()     {}
-func (*StopReturned) isAllocatorInput()     {}
+func (*LeadTaken) isAllocatorInput()         {}
+func (*LeadLost) isAllocatorInput()          {}
+func (*OthersFollow) isAllocatorInput()      {}
+func (*EvacuationsKnown) isAllocatorInput()  {}
+func (*RunsNamed) isAllocatorInput()         {}
+func (*ReportArrived) isAllocatorInput()     {}
+func (*ReportRecalled) isAllocatorInput()    {}
+func (*CapacityRequested) isAllocatorInput() {}
+func (*JobGoesElsewhere) isAllocatorInput()  {}
+func (*RoomReleased) isAllocatorInput()      {}
+func (*StartReported) isAllocatorInput()     {}
+func (*HostGone) isAllocatorInput()          {}
+func (*RemoteLeadKnown) isAllocatorInput()   {}
+func (*NoticeArrived) isAllocatorInput()     {}
+func (*HoldReturned) isAllocatorInput()      {}
+func (*StopReturned) isAllocatorInput()      {}
 
 // Output is a message, call or log entry that the owner of the allocator carries out.
 type Output interface{ isAllocatorOutput() }
--- a/pkg/allocator/servers_test.go
+++ b/pkg/allocator/servers_test.go
@@ -40,7 +40,7 @@
 		reports[0].FailureDomain != want.FailureDomain || reports[0].Sequence != want.Sequence {
 		t.Fatalf("the known backend servers are %+v, want %+v", reports, want)
 	}
-	outputs := tick(4*time.Millisecond, &allocator.RoomRequested{From: "host-b", Request: messenger.CapacityRequest{
+	outputs := tick(4*time.Millisecond, &allocator.CapacityRequested{From: "host-b", Request: messenger.CapacityRequest{
 		Job: "j", Service: "desk", Queue: "quick", Attempts: 2, Stretch: 1.6, Remaining: time.Second,
 		Tasks: []messenger.TaskRequest{{Needs: needs, Declared: 60 * time.Millisecond}},
 	}})
--- a/pkg/allocator/unclaimed.go
+++ b/pkg/allocator/unclaimed.go
@@ -106,7 +106,7 @@
 // endEarlierSubmission makes a request wait until the unclaimed runs of its job are over: its
 // caller has resubmitted the job, and the host of the first submission is gone or requests no more.
 // Placed at once, a task would run beside its unclaimed run.
-func (allocator *Allocator) endEarlierSubmission(input *RoomRequested, unclaimed []*run) {
+func (allocator *Allocator) endEarlierSubmission(input *CapacityRequested, unclaimed []*run) {
 	earlier := &job{request: input.Request, from: input.From, lastRun: allocator.lastRunOf(&input.Request)}
 	earlier.deadline = allocator.now.Add(input.Request.Remaining)
 	for _, unclaimed := range unclaimed {
