--- a/pkg/allocator/allocator.go
+++ b/pkg/allocator/allocator.go
@@ -166,7 +166,7 @@
 		allocator.handleRequest(input)
 	case *JobGoesElsewhere:
 		allocator.recordHandoff(input)
-	case *RoomReleased:
+	case *CapacityReleased:
 		allocator.handleRelease(input.From, input.Job)
 	case *StartReported:
 		allocator.handleStartReport(input)
--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -87,7 +87,7 @@
 	case "request":
 		inputs = append(inputs, &allocator.CapacityRequested{From: "host-b", Request: scanRequest(t, data)})
 	case "release":
-		inputs = append(inputs, &allocator.RoomReleased{From: "host-b", Job: identifier.JobID(scanString(t, data, "job"))})
+		inputs = append(inputs, &allocator.CapacityReleased{From: "host-b", Job: identifier.JobID(scanString(t, data, "job"))})
 	case "report":
 		inputs = append(inputs, scenario.scanStartReport(t, data))
 	case "hold":
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -47,8 +47,8 @@
 	Tasks []messenger.TaskIndex
 }
 
-// RoomReleased reports that a host wants no more capacity for a job: its runs are stopped.
-type RoomReleased struct {
+// CapacityReleased reports that a host wants no more capacity for a job: its runs are stopped.
+type CapacityReleased struct {
 	From identifier.HostID
 	Job  identifier.JobID
 }
@@ -146,7 +146,7 @@
 func (*ReportRecalled) isAllocatorInput()    {}
 func (*CapacityRequested) isAllocatorInput() {}
 func (*JobGoesElsewhere) isAllocatorInput()  {}
-func (*RoomReleased) isAllocatorInput()      {}
+func (*CapacityReleased) isAllocatorInput()  {}
 func (*StartReported) isAllocatorInput()     {}
 func (*HostGone) isAllocatorInput()          {}
 func (*RemoteLeadKnown) isAllocatorInput()   {}
--- a/pkg/coordinator/inquiring.go
+++ b/pkg/coordinator/inquiring.go
@@ -48,7 +48,7 @@
 // releaseCapacity passes on that a host needs no more capacity for a job.
 func (coordinator *Coordinator) releaseCapacity(from identifier.HostID, release *messenger.CapacityRelease) {
 	coordinator.notifyInquirer(&inquirer.RoomReleased{From: from, Job: release.Job, Cell: release.Cell})
-	coordinator.notifyAllocator(release.Cell, &allocator.RoomReleased{From: from, Job: release.Job})
+	coordinator.notifyAllocator(release.Cell, &allocator.CapacityReleased{From: from, Job: release.Job})
 }
 
 // handleInquiry replies to the lead of another cell whether this host knows a job.
