--- a/pkg/allocator/allocator.go
+++ b/pkg/allocator/allocator.go
@@ -164,7 +164,7 @@
 		allocator.recallReport(&input.Report)
 	case *CapacityRequested:
 		allocator.handleRequest(input)
-	case *JobGoesElsewhere:
+	case *JobHandedOff:
 		allocator.recordHandoff(input)
 	case *CapacityReleased:
 		allocator.handleRelease(input.From, input.Job)
--- a/pkg/allocator/inquiries.go
+++ b/pkg/allocator/inquiries.go
@@ -9,7 +9,7 @@
 
 // recordHandoff remembers that another cell grants capacity to tasks of a job, for a submission
 // that comes to this cell later.
-func (allocator *Allocator) recordHandoff(input *JobGoesElsewhere) {
+func (allocator *Allocator) recordHandoff(input *JobHandedOff) {
 	var handoffs []handoff
 	if before := allocator.handoffs.Get(input.Job); before != nil {
 		handoffs = *before
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -39,9 +39,9 @@
 	Request messenger.CapacityRequest
 }
 
-// JobGoesElsewhere reports that another cell is about to grant capacity to tasks of a job whose
+// JobHandedOff reports that another cell is about to grant capacity to tasks of a job whose
 // home is this cell, and which this cell doesn't know.
-type JobGoesElsewhere struct {
+type JobHandedOff struct {
 	Job   identifier.JobID
 	Cell  messenger.CellRef
 	Tasks []messenger.TaskIndex
@@ -145,7 +145,7 @@
 func (*ReportArrived) isAllocatorInput()     {}
 func (*ReportRecalled) isAllocatorInput()    {}
 func (*CapacityRequested) isAllocatorInput() {}
-func (*JobGoesElsewhere) isAllocatorInput()  {}
+func (*JobHandedOff) isAllocatorInput()      {}
 func (*CapacityReleased) isAllocatorInput()  {}
 func (*StartReported) isAllocatorInput()     {}
 func (*HostGone) isAllocatorInput()          {}
