--- a/pkg/allocator/allocator.go
+++ b/pkg/allocator/allocator.go
@@ -154,7 +154,7 @@
 		allocator.handleLeadLost()
 	case *OthersFollow:
 		allocator.handleOthersFollow(input.Following)
-	case *RunsNamed:
+	case *RunsReported:
 		allocator.handleRunsReported()
 	case *EvacuationsKnown:
 		allocator.handleEvacuations(input)
--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -77,7 +77,7 @@
 	case "follow":
 		inputs = append(inputs, &allocator.OthersFollow{Following: !data.HasArg("not")})
 	case "named":
-		inputs = append(inputs, &allocator.RunsNamed{})
+		inputs = append(inputs, &allocator.RunsReported{})
 	case "lead-lost":
 		inputs = append(inputs, &allocator.LeadLost{})
 	case "card":
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -23,8 +23,8 @@
 // EvacuationsKnown reports in which failure domains nothing is started from now on.
 type EvacuationsKnown struct{ Evacuated messenger.Evacuated }
 
-// RunsNamed reports that every living host has reported the runs that its jobs still have.
-type RunsNamed struct{}
+// RunsReported reports that every living host has reported the runs that its jobs still have.
+type RunsReported struct{}
 
 // ReportArrived carries the report of a backend server about itself.
 type ReportArrived struct{ Report messenger.ServerReport }
@@ -141,7 +141,7 @@
 func (*LeadLost) isAllocatorInput()          {}
 func (*OthersFollow) isAllocatorInput()      {}
 func (*EvacuationsKnown) isAllocatorInput()  {}
-func (*RunsNamed) isAllocatorInput()         {}
+func (*RunsReported) isAllocatorInput()      {}
 func (*ReportArrived) isAllocatorInput()     {}
 func (*ReportRecalled) isAllocatorInput()    {}
 func (*CapacityRequested) isAllocatorInput() {}
--- a/pkg/coordinator/followertracker.go
+++ b/pkg/coordinator/followertracker.go
@@ -134,7 +134,7 @@
 	}
 	coordinator.notifyAllocator(cell, &allocator.OthersFollow{Following: allFollow})
 	if allNamed {
-		coordinator.notifyAllocator(cell, &allocator.RunsNamed{})
+		coordinator.notifyAllocator(cell, &allocator.RunsReported{})
 	}
 }
 
