--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -148,7 +148,7 @@
 			lines.WriteByte('\n')
 		case *allocator.TellDone:
 			fmt.Fprintf(&lines, "done %s task %d run %d\n", output.Done.RunKey.Job, output.Done.RunKey.Task, output.Done.RunKey.Run)
-		case *allocator.HoldServer:
+		case *allocator.PollServer:
 			scenario.lastSequence[output.Server] = output.Sequence
 			fmt.Fprintf(&lines, "hold %s lease %d cursor %d wait %v\n", output.Server, output.LeaseEnd, output.Cursor, output.Wait)
 		case *allocator.StopRun:
--- a/pkg/allocator/crashes_test.go
+++ b/pkg/allocator/crashes_test.go
@@ -83,7 +83,7 @@
 	return []allocator.Input{unansweredPoll(waiting)}
 }
 
-func unansweredPoll(call *allocator.HoldServer) *allocator.HoldReturned {
+func unansweredPoll(call *allocator.PollServer) *allocator.HoldReturned {
 	return &allocator.HoldReturned{Server: call.Server, Sequence: call.Sequence, Outcome: allocator.CallUnanswered}
 }
 
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -63,7 +63,7 @@
 	running     map[messenger.RunKey]bool
 	ended       []allocator.RunEnd
 	lastEnd     int64
-	pendingPoll *allocator.HoldServer
+	pendingPoll *allocator.PollServer
 	// sentAt is when the pending call was sent.
 	sentAt identifier.Moment
 	// down is set once the server has crashed; another incarnation follows at its address.
@@ -220,7 +220,7 @@
 				return nil
 			})
 		}
-	case *allocator.HoldServer:
+	case *allocator.PollServer:
 		sentAt := load.now
 		load.at(lead, serverDelay, func() []allocator.Input {
 			server := load.serverReached(output.Server)
@@ -331,7 +331,7 @@
 }
 
 // answer sends the answer to a call, which arrives after serverDelay unless it is lost.
-func (load *load) answer(server *loadServer, call *allocator.HoldServer) []allocator.Input {
+func (load *load) answer(server *loadServer, call *allocator.PollServer) []allocator.Input {
 	server.pendingPoll = nil
 	if server.index < load.lossy && load.random.Float64() < 0.3 {
 		lost := &allocator.HoldReturned{Server: server.id, Sequence: call.Sequence, Outcome: allocator.CallUnanswered}
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -181,9 +181,9 @@
 	Notice messenger.CapacityNotice
 }
 
-// HoldServer is a long-poll call to a backend server: it renews the lease of all that runs there,
+// PollServer is a long-poll call to a backend server: it renews the lease of all that runs there,
 // acknowledges ends and waits for new ones.
-type HoldServer struct {
+type PollServer struct {
 	Server identifier.ServerIncarnation
 	// Sequence numbers the calls to one server.
 	Sequence uint64
@@ -220,7 +220,7 @@
 func (*AnswerRoom) isAllocatorOutput() {}
 func (*TellDone) isAllocatorOutput()   {}
 func (*TellNotice) isAllocatorOutput() {}
-func (*HoldServer) isAllocatorOutput() {}
+func (*PollServer) isAllocatorOutput() {}
 func (*StopRun) isAllocatorOutput()    {}
 func (*Fenced) isAllocatorOutput()     {}
 func (*ShareCard) isAllocatorOutput()  {}
--- a/pkg/allocator/polls.go
+++ b/pkg/allocator/polls.go
@@ -23,7 +23,7 @@
 	server.polling = true
 	server.pollSequence++
 	server.lastCallFence = server.fence
-	call := &HoldServer{
+	call := &PollServer{
 		Server: server.report.Server, Sequence: server.pollSequence, Address: server.report.Address, Epoch: server.fence, Cursor: cursor,
 	}
 	// A server that does not answer may carry the call out much later. A renewal would then keep
--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -270,7 +270,7 @@
 	switch output := output.(type) {
 	case *allocator.TellNotice:
 		coordinator.send(output.To, PeerMessage{RoomNotice: &output.Notice})
-	case *allocator.HoldServer:
+	case *allocator.PollServer:
 		coordinator.outputs.add(&CallHold{Call: output})
 	case *allocator.StopRun:
 		coordinator.outputs.add(&CallStop{Call: output})
--- a/pkg/coordinator/calledworld_test.go
+++ b/pkg/coordinator/calledworld_test.go
@@ -270,7 +270,7 @@
 	}
 }
 
-func (world *calledWorld) poll(host *fakeHost, call *allocator.HoldServer, tick func(allocator.Input)) {
+func (world *calledWorld) poll(host *fakeHost, call *allocator.PollServer, tick func(allocator.Input)) {
 	returned := &allocator.HoldReturned{
 		Server: call.Server, Sequence: call.Sequence, SentAt: identifier.Moment(world.network.now.Sub(host.startedAt)),
 	}
--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -211,7 +211,7 @@
 }
 
 // CallHold polls a backend server for its running and ended runs.
-type CallHold struct{ Call *allocator.HoldServer }
+type CallHold struct{ Call *allocator.PollServer }
 
 // CallStop calls a backend server to stop a run.
 type CallStop struct{ Call *allocator.StopRun }
