--- a/pkg/allocator/allocator.go
+++ b/pkg/allocator/allocator.go
@@ -170,7 +170,7 @@
 		allocator.handleRelease(input.From, input.Job)
 	case *StartReported:
 		allocator.handleStartReport(input)
-	case *HoldReturned:
+	case *PollReturned:
 		allocator.handlePoll(input)
 	case *StopReturned:
 		allocator.handleStopAnswer(input)
--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -286,8 +286,8 @@
 
 // scanPoll reads the answer to a poll: running=(RUN,...), ended=(NUMBER:KIND:RUN,...), and partial
 // if some rows could not be read.
-func (scenario *scenario) scanPoll(t *testing.T, data *datadriven.TestData) *allocator.HoldReturned {
-	returned := &allocator.HoldReturned{
+func (scenario *scenario) scanPoll(t *testing.T, data *datadriven.TestData) *allocator.PollReturned {
+	returned := &allocator.PollReturned{
 		Server: scanServer(t, data, "server"), SentAt: scenario.now - identifier.Moment(time.Millisecond),
 		Clock: identifier.ServerTime(time.Duration(scenario.now).Milliseconds()),
 	}
--- a/pkg/allocator/crashes_test.go
+++ b/pkg/allocator/crashes_test.go
@@ -83,8 +83,8 @@
 	return []allocator.Input{unansweredPoll(waiting)}
 }
 
-func unansweredPoll(call *allocator.PollServer) *allocator.HoldReturned {
-	return &allocator.HoldReturned{Server: call.Server, Sequence: call.Sequence, Outcome: allocator.CallUnanswered}
+func unansweredPoll(call *allocator.PollServer) *allocator.PollReturned {
+	return &allocator.PollReturned{Server: call.Server, Sequence: call.Sequence, Outcome: allocator.CallUnanswered}
 }
 
 // crashAtRandom has random servers crash by themselves.
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -229,7 +229,7 @@
 				return nil
 			}
 			if !server.admits(output.Epoch) {
-				load.deliver(lead, serverDelay, &allocator.HoldReturned{Server: output.Server, Sequence: output.Sequence, Outcome: allocator.CallFenced})
+				load.deliver(lead, serverDelay, &allocator.PollReturned{Server: output.Server, Sequence: output.Sequence, Outcome: allocator.CallFenced})
 				return nil
 			}
 			load.restarting.acknowledge(server, output.Cursor)
@@ -334,11 +334,11 @@
 func (load *load) answer(server *loadServer, call *allocator.PollServer) []allocator.Input {
 	server.pendingPoll = nil
 	if server.index < load.lossy && load.random.Float64() < 0.3 {
-		lost := &allocator.HoldReturned{Server: server.id, Sequence: call.Sequence, Outcome: allocator.CallUnanswered}
+		lost := &allocator.PollReturned{Server: server.id, Sequence: call.Sequence, Outcome: allocator.CallUnanswered}
 		load.deliver(server.lead, server.sentAt.Add(call.Timeout).Sub(load.now), lost)
 		return nil
 	}
-	returned := &allocator.HoldReturned{
+	returned := &allocator.PollReturned{
 		Server: call.Server, Answering: server.id, Sequence: call.Sequence, SentAt: server.sentAt,
 		Clock: identifier.ServerTime(time.Duration(load.now).Milliseconds()), Ended: server.ended,
 	}
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -112,8 +112,8 @@
 	Kind   EndKind
 }
 
-// HoldReturned carries the answer to a HoldServer.
-type HoldReturned struct {
+// PollReturned carries the answer to a HoldServer.
+type PollReturned struct {
 	Server identifier.ServerIncarnation
 	// Answering is the incarnation that answered, if the answer names it.
 	Answering identifier.ServerIncarnation
@@ -151,7 +151,7 @@
 func (*HostGone) isAllocatorInput()          {}
 func (*RemoteLeadKnown) isAllocatorInput()   {}
 func (*NoticeArrived) isAllocatorInput()     {}
-func (*HoldReturned) isAllocatorInput()      {}
+func (*PollReturned) isAllocatorInput()      {}
 func (*StopReturned) isAllocatorInput()      {}
 
 // Output is a message, call or log entry that the owner of the allocator carries out.
--- a/pkg/allocator/notices_test.go
+++ b/pkg/allocator/notices_test.go
@@ -29,7 +29,7 @@
 	tick(time.Millisecond, &allocator.ReportArrived{Report: messenger.ServerReport{
 		Server: "s1", Service: "desk", Address: "a", FailureDomain: "leuven", Capacity: needs, Sequence: 1,
 	}})
-	tick(2*time.Millisecond, &allocator.HoldReturned{Server: "s1", Sequence: 1})
+	tick(2*time.Millisecond, &allocator.PollReturned{Server: "s1", Sequence: 1})
 	tick(3*time.Millisecond, &allocator.CapacityRequested{From: "host-b", Request: messenger.CapacityRequest{
 		Job: "j", Service: "desk", Queue: "slow", Attempts: 2, Stretch: 1.6, Remaining: time.Hour,
 		Tasks: []messenger.TaskRequest{{Needs: needs, Declared: 2 * time.Minute}},
--- a/pkg/allocator/polls.go
+++ b/pkg/allocator/polls.go
@@ -88,7 +88,7 @@
 // handlePoll handles the answer to the call that is under way. The answer to an earlier call, from
 // before this host took the lead again, is ignored: it says nothing under the new epoch, and if it
 // counted, two calls would overlap from then on and the older one could return last.
-func (allocator *Allocator) handlePoll(input *HoldReturned) {
+func (allocator *Allocator) handlePoll(input *PollReturned) {
 	server := allocator.servers.Get(input.Server)
 	if server == nil || !server.polling || input.Sequence != server.pollSequence {
 		return
@@ -218,7 +218,7 @@
 
 // handleRunList reconciles the runs that a server lists as running and as ended with those known
 // here.
-func (allocator *Allocator) handleRunList(server *server, input *HoldReturned) {
+func (allocator *Allocator) handleRunList(server *server, input *PollReturned) {
 	server.readClock(allocator.now, input.Clock)
 	server.lastResponseAt = allocator.now
 	allocator.scheduleForget(server)
--- a/pkg/allocator/servers_test.go
+++ b/pkg/allocator/servers_test.go
@@ -24,7 +24,7 @@
 		Server: "s1", Service: "desk", Address: "a", FailureDomain: "leuven", Capacity: needs, Sequence: 1,
 	}
 	tick(0, &allocator.LeadTaken{Epoch: 7}, &allocator.ReportArrived{Report: report})
-	tick(2*time.Millisecond, &allocator.HoldReturned{Server: "s1", Sequence: 1})
+	tick(2*time.Millisecond, &allocator.PollReturned{Server: "s1", Sequence: 1})
 	for _, other := range []messenger.ServerReport{
 		{Server: "s1", Service: "desk", Address: "b", FailureDomain: "leuven", Capacity: needs, Sequence: 2},
 		{Server: "s1", Service: "yard", Address: "a", FailureDomain: "leuven", Capacity: needs, Sequence: 3},
--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -76,7 +76,7 @@
 // proves that this host isn't cut off from it.
 func (coordinator *Coordinator) handleCallResult(event allocator.Input) {
 	switch event := event.(type) {
-	case *allocator.HoldReturned:
+	case *allocator.PollReturned:
 		coordinator.notifyAllocator(coordinator.cellOfServer(event.Server), event)
 		if event.Outcome == allocator.CallAnswered {
 			coordinator.recordServerContact()
--- a/pkg/coordinator/calledworld_test.go
+++ b/pkg/coordinator/calledworld_test.go
@@ -271,7 +271,7 @@
 }
 
 func (world *calledWorld) poll(host *fakeHost, call *allocator.PollServer, tick func(allocator.Input)) {
-	returned := &allocator.HoldReturned{
+	returned := &allocator.PollReturned{
 		Server: call.Server, Sequence: call.Sequence, SentAt: identifier.Moment(world.network.now.Sub(host.startedAt)),
 	}
 	world.call(host, call.Server, call.Wait+pollSlack, func(server *calledServer, reply func(func())) {
