--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -134,7 +134,7 @@
 	var lines strings.Builder
 	for _, output := range outputs {
 		switch output := output.(type) {
-		case *allocator.GrantRoom:
+		case *allocator.GrantCapacity:
 			for _, run := range output.Grant.Runs {
 				key := messenger.RunKey{Job: output.Grant.Job, Task: run.Task, Run: run.Run}
 				scenario.fences[key] = cmp.Or(run.Fence, output.Grant.Epoch)
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -191,7 +191,7 @@
 
 func (load *load) carryOut(lead int, output allocator.Output) {
 	switch output := output.(type) {
-	case *allocator.GrantRoom:
+	case *allocator.GrantCapacity:
 		job := load.open[output.Grant.Job]
 		if job == nil {
 			return // It was rejected by another lead meanwhile.
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -157,8 +157,8 @@
 // Output is a message, call or log entry that the owner of the allocator carries out.
 type Output interface{ isAllocatorOutput() }
 
-// GrantRoom grants a host capacity for runs.
-type GrantRoom struct {
+// GrantCapacity grants a host capacity for runs.
+type GrantCapacity struct {
 	To    identifier.HostID
 	Grant messenger.Grant
 }
@@ -216,12 +216,12 @@
 // Decided carries a decision for the log.
 type Decided struct{ Decision messenger.Decision }
 
-func (*GrantRoom) isAllocatorOutput()  {}
-func (*AnswerRoom) isAllocatorOutput() {}
-func (*TellDone) isAllocatorOutput()   {}
-func (*TellNotice) isAllocatorOutput() {}
-func (*PollServer) isAllocatorOutput() {}
-func (*StopRun) isAllocatorOutput()    {}
-func (*Fenced) isAllocatorOutput()     {}
-func (*ShareCard) isAllocatorOutput()  {}
-func (*Decided) isAllocatorOutput()    {}
+func (*GrantCapacity) isAllocatorOutput() {}
+func (*AnswerRoom) isAllocatorOutput()    {}
+func (*TellDone) isAllocatorOutput()      {}
+func (*TellNotice) isAllocatorOutput()    {}
+func (*PollServer) isAllocatorOutput()    {}
+func (*StopRun) isAllocatorOutput()       {}
+func (*Fenced) isAllocatorOutput()        {}
+func (*ShareCard) isAllocatorOutput()     {}
+func (*Decided) isAllocatorOutput()       {}
--- a/pkg/allocator/placing.go
+++ b/pkg/allocator/placing.go
@@ -97,7 +97,7 @@
 // recordGrant marks the job as granted, and sends the grant to the job's host.
 func (allocator *Allocator) recordGrant(job *job, grant *messenger.Grant) {
 	allocator.markGranted(job)
-	allocator.emit(&GrantRoom{To: job.from, Grant: *grant})
+	allocator.emit(&GrantCapacity{To: job.from, Grant: *grant})
 	allocator.logDecision(messenger.Decision{
 		Kind: messenger.DecisionGranted, Job: job.request.Job, Run: grant.Runs[0].Run, Server: grant.Runs[0].Server,
 		Tasks: len(grant.Runs), Elapsed: allocator.now.Sub(job.arrivedAt), Epoch: allocator.epoch,
--- a/pkg/allocator/servers_test.go
+++ b/pkg/allocator/servers_test.go
@@ -46,7 +46,7 @@
 	}})
 	granted := false
 	for _, output := range outputs {
-		if grant, isGrant := output.(*allocator.GrantRoom); isGrant {
+		if grant, isGrant := output.(*allocator.GrantCapacity); isGrant {
 			granted = grant.Grant.Runs[0].Address == "a"
 		}
 	}
--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -255,7 +255,7 @@
 
 func (coordinator *Coordinator) routeAllocatorOutput(cell messenger.CellNumber, output allocator.Output) {
 	switch output := output.(type) {
-	case *allocator.GrantRoom:
+	case *allocator.GrantCapacity:
 		coordinator.send(output.To, PeerMessage{Grant: &output.Grant})
 	case *allocator.AnswerRoom:
 		coordinator.send(output.To, PeerMessage{RoomAnswer: &output.Answer})
