--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -140,7 +140,7 @@
 				scenario.fences[key] = cmp.Or(run.Fence, output.Grant.Epoch)
 				fmt.Fprintf(&lines, "grant %s task %d run %d on %s epoch %d\n", output.Grant.Job, run.Task, run.Run, run.Server, output.Grant.Epoch)
 			}
-		case *allocator.AnswerRoom:
+		case *allocator.AnswerRequest:
 			fmt.Fprintf(&lines, "answer %s %s %s", output.Answer.Job, output.Answer.Kind, output.Answer.Reason)
 			if len(output.Answer.Tasks) > 0 {
 				fmt.Fprintf(&lines, " at %s for tasks %v", output.Answer.Other.FailureDomain, output.Answer.Tasks)
--- a/pkg/allocator/evacuating_test.go
+++ b/pkg/allocator/evacuating_test.go
@@ -111,7 +111,7 @@
 	if len(outputs) != 1 {
 		t.Fatalf("got %d outputs, want one answer", len(outputs))
 	}
-	if answer, isAnswer := outputs[0].(*allocator.AnswerRoom); !isAnswer || answer.Answer.Kind != messenger.CapacityAnswerWaiting {
+	if answer, isAnswer := outputs[0].(*allocator.AnswerRequest); !isAnswer || answer.Answer.Kind != messenger.CapacityAnswerWaiting {
 		t.Errorf("got %+v, want that the job waits", outputs[0])
 	}
 }
--- a/pkg/allocator/jobs.go
+++ b/pkg/allocator/jobs.go
@@ -265,5 +265,5 @@
 
 func (allocator *Allocator) answer(to identifier.HostID, answer messenger.CapacityAnswer) {
 	answer.Cell = allocator.Cell
-	allocator.emit(&AnswerRoom{To: to, Answer: answer})
+	allocator.emit(&AnswerRequest{To: to, Answer: answer})
 }
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -260,7 +260,7 @@
 		})
 	case *allocator.TellDone:
 		load.finish(output.Done.RunKey.Job)
-	case *allocator.AnswerRoom:
+	case *allocator.AnswerRequest:
 		load.handleAnswer(&output.Answer)
 	case *allocator.TellNotice:
 		load.deliver(load.leadNamed(output.To), domainDelay, &allocator.NoticeArrived{Notice: output.Notice})
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -163,8 +163,8 @@
 	Grant messenger.Grant
 }
 
-// AnswerRoom answers a host's request for capacity where it is not granted.
-type AnswerRoom struct {
+// AnswerRequest answers a host's request for capacity where it is not granted.
+type AnswerRequest struct {
 	To     identifier.HostID
 	Answer messenger.CapacityAnswer
 }
@@ -217,7 +217,7 @@
 type Decided struct{ Decision messenger.Decision }
 
 func (*GrantCapacity) isAllocatorOutput() {}
-func (*AnswerRoom) isAllocatorOutput()    {}
+func (*AnswerRequest) isAllocatorOutput() {}
 func (*TellDone) isAllocatorOutput()      {}
 func (*TellNotice) isAllocatorOutput()    {}
 func (*PollServer) isAllocatorOutput()    {}
--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -257,7 +257,7 @@
 	switch output := output.(type) {
 	case *allocator.GrantCapacity:
 		coordinator.send(output.To, PeerMessage{Grant: &output.Grant})
-	case *allocator.AnswerRoom:
+	case *allocator.AnswerRequest:
 		coordinator.send(output.To, PeerMessage{RoomAnswer: &output.Answer})
 	case *allocator.TellDone:
 		coordinator.send(output.To, PeerMessage{TaskDone: &output.Done})
