--- a/pkg/allocator/admission.go
+++ b/pkg/allocator/admission.go
@@ -155,7 +155,7 @@
 		allocator.logAdopted(key, held.Server, "ended: "+end.String())
 		if *end == EndDone {
 			task.done = true
-			allocator.emit(&TellDone{To: job.from, Done: messenger.TaskDone{RunKey: key}})
+			allocator.emit(&NotifyDone{To: job.from, Done: messenger.TaskDone{RunKey: key}})
 		}
 		return
 	}
--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -146,7 +146,7 @@
 				fmt.Fprintf(&lines, " at %s for tasks %v", output.Answer.Other.FailureDomain, output.Answer.Tasks)
 			}
 			lines.WriteByte('\n')
-		case *allocator.TellDone:
+		case *allocator.NotifyDone:
 			fmt.Fprintf(&lines, "done %s task %d run %d\n", output.Done.RunKey.Job, output.Done.RunKey.Task, output.Done.RunKey.Run)
 		case *allocator.PollServer:
 			scenario.lastSequence[output.Server] = output.Sequence
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -258,7 +258,7 @@
 			})
 			return load.end(server, output.Run, allocator.EndStopped)
 		})
-	case *allocator.TellDone:
+	case *allocator.NotifyDone:
 		load.finish(output.Done.RunKey.Job)
 	case *allocator.AnswerRequest:
 		load.handleAnswer(&output.Answer)
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -169,8 +169,8 @@
 	Answer messenger.CapacityAnswer
 }
 
-// TellDone notifies a host that a task has done its work.
-type TellDone struct {
+// NotifyDone notifies a host that a task has done its work.
+type NotifyDone struct {
 	To   identifier.HostID
 	Done messenger.TaskDone
 }
@@ -218,7 +218,7 @@
 
 func (*GrantCapacity) isAllocatorOutput() {}
 func (*AnswerRequest) isAllocatorOutput() {}
-func (*TellDone) isAllocatorOutput()      {}
+func (*NotifyDone) isAllocatorOutput()    {}
 func (*TellNotice) isAllocatorOutput()    {}
 func (*PollServer) isAllocatorOutput()    {}
 func (*StopRun) isAllocatorOutput()       {}
--- a/pkg/allocator/runs.go
+++ b/pkg/allocator/runs.go
@@ -191,7 +191,7 @@
 	}
 	task.run = nil
 	task.done = true
-	allocator.emit(&TellDone{To: job.from, Done: messenger.TaskDone{RunKey: ended.key}})
+	allocator.emit(&NotifyDone{To: job.from, Done: messenger.TaskDone{RunKey: ended.key}})
 	allocator.closeIfDone(job)
 }
 
--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -259,7 +259,7 @@
 		coordinator.send(output.To, PeerMessage{Grant: &output.Grant})
 	case *allocator.AnswerRequest:
 		coordinator.send(output.To, PeerMessage{RoomAnswer: &output.Answer})
-	case *allocator.TellDone:
+	case *allocator.NotifyDone:
 		coordinator.send(output.To, PeerMessage{TaskDone: &output.Done})
 	default:
 		coordinator.routeAllocatorCall(cell, output)
