--- a/pkg/allocator/evacuating_test.go
+++ b/pkg/allocator/evacuating_test.go
@@ -129,7 +129,7 @@
 		load.leads[0].Tick(load.now, []allocator.Input{&allocator.EvacuationsKnown{Evacuated: want.evacuated}})
 		var lastNotice *messenger.CapacityNotice
 		for _, output := range load.leads[0].Tick(load.now.Add(time.Second), nil) {
-			if notice, isNotice := output.(*allocator.TellNotice); isNotice {
+			if notice, isNotice := output.(*allocator.SendNotice); isNotice {
 				lastNotice = &notice.Notice
 			}
 		}
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -262,7 +262,7 @@
 		load.finish(output.Done.RunKey.Job)
 	case *allocator.AnswerRequest:
 		load.handleAnswer(&output.Answer)
-	case *allocator.TellNotice:
+	case *allocator.SendNotice:
 		load.deliver(load.leadNamed(output.To), domainDelay, &allocator.NoticeArrived{Notice: output.Notice})
 	}
 }
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -175,8 +175,8 @@
 	Done messenger.TaskDone
 }
 
-// TellNotice sends another lead a notice of the free capacity here.
-type TellNotice struct {
+// SendNotice sends another lead a notice of the free capacity here.
+type SendNotice struct {
 	To     identifier.HostID
 	Notice messenger.CapacityNotice
 }
@@ -219,7 +219,7 @@
 func (*GrantCapacity) isAllocatorOutput() {}
 func (*AnswerRequest) isAllocatorOutput() {}
 func (*NotifyDone) isAllocatorOutput()    {}
-func (*TellNotice) isAllocatorOutput()    {}
+func (*SendNotice) isAllocatorOutput()    {}
 func (*PollServer) isAllocatorOutput()    {}
 func (*StopRun) isAllocatorOutput()       {}
 func (*Fenced) isAllocatorOutput()        {}
--- a/pkg/allocator/notices.go
+++ b/pkg/allocator/notices.go
@@ -112,7 +112,7 @@
 	allocator.timers.Set(timer, allocator.now.Add(allocator.Settings.NoticeAge/2))
 	allocator.remotes.Each(func(_ messenger.CellRef, remote *remote) bool {
 		if remote.host != "" {
-			allocator.emit(&TellNotice{To: remote.host, Notice: notice})
+			allocator.emit(&SendNotice{To: remote.host, Notice: notice})
 		}
 		return true
 	})
--- a/pkg/allocator/notices_test.go
+++ b/pkg/allocator/notices_test.go
@@ -19,7 +19,7 @@
 	var lastNotice *messenger.CapacityNotice
 	tick := func(at time.Duration, inputs ...allocator.Input) {
 		for _, output := range lead.Tick(identifier.Moment(at), inputs) {
-			if notice, isNotice := output.(*allocator.TellNotice); isNotice {
+			if notice, isNotice := output.(*allocator.SendNotice); isNotice {
 				lastNotice = &notice.Notice
 			}
 		}
@@ -47,7 +47,7 @@
 	load.simulate(0.001, time.Second)
 	freeSlots := 0
 	for _, output := range load.leads[1].Tick(load.now.Add(time.Second), nil) {
-		if notice, isNotice := output.(*allocator.TellNotice); isNotice {
+		if notice, isNotice := output.(*allocator.SendNotice); isNotice {
 			freeSlots = notice.Notice.FreeSlots
 		}
 	}
--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -268,7 +268,7 @@
 
 func (coordinator *Coordinator) routeAllocatorCall(cell messenger.CellNumber, output allocator.Output) {
 	switch output := output.(type) {
-	case *allocator.TellNotice:
+	case *allocator.SendNotice:
 		coordinator.send(output.To, PeerMessage{RoomNotice: &output.Notice})
 	case *allocator.PollServer:
 		coordinator.outputs.add(&CallHold{Call: output})
