--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -210,18 +210,18 @@
 // Fenced reports that backend servers have seen a lead with a higher epoch.
 type Fenced struct{ Epoch identifier.Epoch }
 
-// ShareCard broadcasts a server's report to the other hosts of the failure domain.
-type ShareCard struct{ Card messenger.ServerReport }
+// BroadcastReport broadcasts a server's report to the other hosts of the failure domain.
+type BroadcastReport struct{ Card messenger.ServerReport }
 
 // Decided carries a decision for the log.
 type Decided struct{ Decision messenger.Decision }
 
-func (*GrantCapacity) isAllocatorOutput() {}
-func (*AnswerRequest) isAllocatorOutput() {}
-func (*NotifyDone) isAllocatorOutput()    {}
-func (*SendNotice) isAllocatorOutput()    {}
-func (*PollServer) isAllocatorOutput()    {}
-func (*StopRun) isAllocatorOutput()       {}
-func (*Fenced) isAllocatorOutput()        {}
-func (*ShareCard) isAllocatorOutput()     {}
-func (*Decided) isAllocatorOutput()       {}
+func (*GrantCapacity) isAllocatorOutput()   {}
+func (*AnswerRequest) isAllocatorOutput()   {}
+func (*NotifyDone) isAllocatorOutput()      {}
+func (*SendNotice) isAllocatorOutput()      {}
+func (*PollServer) isAllocatorOutput()      {}
+func (*StopRun) isAllocatorOutput()         {}
+func (*Fenced) isAllocatorOutput()          {}
+func (*BroadcastReport) isAllocatorOutput() {}
+func (*Decided) isAllocatorOutput()         {}
--- a/pkg/allocator/resizing_test.go
+++ b/pkg/allocator/resizing_test.go
@@ -24,7 +24,7 @@
 		report.Sequence++
 		report.Capacity.MilliCPU = cpu
 		for _, output := range lead.Tick(1, []allocator.Input{&allocator.ReportArrived{Report: report}}) {
-			if shared, isShared := output.(*allocator.ShareCard); isShared {
+			if shared, isShared := output.(*allocator.BroadcastReport); isShared {
 				broadcast = append(broadcast, shared.Card.Capacity.MilliCPU)
 			}
 		}
--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -276,7 +276,7 @@
 		coordinator.outputs.add(&CallStop{Call: output})
 	case *allocator.Fenced:
 		coordinator.notifyElector(elector.EpochSeen{Cell: cell, Epoch: output.Epoch + fenceStep})
-	case *allocator.ShareCard:
+	case *allocator.BroadcastReport:
 		coordinator.cellPersister.markChanged(cell)
 		for _, host := range coordinator.entryHosts(coordinator.livingIn(coordinator.Self.FailureDomain)) {
 			coordinator.sendReports(host, []messenger.ServerReport{output.Card})
