--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -211,7 +211,7 @@
 type Fenced struct{ Epoch identifier.Epoch }
 
 // BroadcastReport broadcasts a server's report to the other hosts of the failure domain.
-type BroadcastReport struct{ Card messenger.ServerReport }
+type BroadcastReport struct{ Report messenger.ServerReport }
 
 // Decided carries a decision for the log.
 type Decided struct{ Decision messenger.Decision }
--- a/pkg/allocator/reports.go
+++ b/pkg/allocator/reports.go
@@ -60,7 +60,7 @@
 		known.broadcastCapacity = known.report.Capacity
 	}
 	if (first || leaves) && allocator.Leads() {
-		allocator.emit(&BroadcastReport{Card: known.report})
+		allocator.emit(&BroadcastReport{Report: known.report})
 	}
 	allocator.scheduleForget(known)
 }
@@ -126,7 +126,7 @@
 	allocator.logDecision(messenger.Decision{Kind: messenger.DecisionServerJoined, Server: report.Server})
 	allocator.scheduleForget(created)
 	if allocator.Leads() {
-		allocator.emit(&BroadcastReport{Card: *report})
+		allocator.emit(&BroadcastReport{Report: *report})
 		allocator.poll(created)
 	}
 }
@@ -214,7 +214,7 @@
 	if allocator.Leads() {
 		gone := server.report
 		gone.Gone = true
-		allocator.emit(&BroadcastReport{Card: gone})
+		allocator.emit(&BroadcastReport{Report: gone})
 	}
 }
 
--- a/pkg/allocator/resizing.go
+++ b/pkg/allocator/resizing.go
@@ -21,7 +21,7 @@
 	server.broadcastCapacity = shared.Min(server.report.Capacity)
 	broadcast := server.report
 	broadcast.Capacity = server.broadcastCapacity
-	allocator.emit(&BroadcastReport{Card: broadcast})
+	allocator.emit(&BroadcastReport{Report: broadcast})
 	allocator.rejectNeverFitting()
 }
 
--- a/pkg/allocator/resizing_test.go
+++ b/pkg/allocator/resizing_test.go
@@ -25,7 +25,7 @@
 		report.Capacity.MilliCPU = cpu
 		for _, output := range lead.Tick(1, []allocator.Input{&allocator.ReportArrived{Report: report}}) {
 			if shared, isShared := output.(*allocator.BroadcastReport); isShared {
-				broadcast = append(broadcast, shared.Card.Capacity.MilliCPU)
+				broadcast = append(broadcast, shared.Report.Capacity.MilliCPU)
 			}
 		}
 	}
--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -279,7 +279,7 @@
 	case *allocator.BroadcastReport:
 		coordinator.cellPersister.markChanged(cell)
 		for _, host := range coordinator.entryHosts(coordinator.livingIn(coordinator.Self.FailureDomain)) {
-			coordinator.sendReports(host, []messenger.ServerReport{output.Card})
+			coordinator.sendReports(host, []messenger.ServerReport{output.Report})
 		}
 	case *allocator.Decided:
 		coordinator.outputs.add(&Decided{Decision: output.Decision})
