--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -153,7 +153,7 @@
 			fmt.Fprintf(&lines, "hold %s lease %d cursor %d wait %v\n", output.Server, output.LeaseEnd, output.Cursor, output.Wait)
 		case *allocator.StopRun:
 			fmt.Fprintf(&lines, "stop %s task %d run %d on %s\n", output.Run.Job, output.Run.Task, output.Run.Run, output.Server)
-		case *allocator.Fenced:
+		case *allocator.LeadFenced:
 			fmt.Fprintf(&lines, "fenced %d\n", output.Epoch)
 		}
 	}
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -207,8 +207,8 @@
 	Epoch   identifier.Epoch
 }
 
-// Fenced reports that backend servers have seen a lead with a higher epoch.
-type Fenced struct{ Epoch identifier.Epoch }
+// LeadFenced reports that backend servers have seen a lead with a higher epoch.
+type LeadFenced struct{ Epoch identifier.Epoch }
 
 // BroadcastReport broadcasts a server's report to the other hosts of the failure domain.
 type BroadcastReport struct{ Report messenger.ServerReport }
@@ -222,6 +222,6 @@
 func (*SendNotice) isAllocatorOutput()      {}
 func (*PollServer) isAllocatorOutput()      {}
 func (*StopRun) isAllocatorOutput()         {}
-func (*Fenced) isAllocatorOutput()          {}
+func (*LeadFenced) isAllocatorOutput()      {}
 func (*BroadcastReport) isAllocatorOutput() {}
 func (*Decided) isAllocatorOutput()         {}
--- a/pkg/allocator/polls.go
+++ b/pkg/allocator/polls.go
@@ -163,7 +163,7 @@
 // knows of the server's runs is from before that lead's time and proves nothing any more: until the
 // server has answered under a new epoch it gets no start, and no run there counts as over.
 func (allocator *Allocator) handleFenced(refusing *server) {
-	allocator.emit(&Fenced{Epoch: allocator.epoch})
+	allocator.emit(&LeadFenced{Epoch: allocator.epoch})
 	refusing.confirmed = false
 	allocator.superseded = true
 	// The other lead may also renew leases at servers that this one does not reach.
--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -274,7 +274,7 @@
 		coordinator.outputs.add(&CallHold{Call: output})
 	case *allocator.StopRun:
 		coordinator.outputs.add(&CallStop{Call: output})
-	case *allocator.Fenced:
+	case *allocator.LeadFenced:
 		coordinator.notifyElector(elector.EpochSeen{Cell: cell, Epoch: output.Epoch + fenceStep})
 	case *allocator.BroadcastReport:
 		coordinator.cellPersister.markChanged(cell)
