--- a/pkg/allocator/allocator.go
+++ b/pkg/allocator/allocator.go
@@ -156,7 +156,7 @@
 		allocator.handleOthersFollow(input.Following)
 	case *RunsReported:
 		allocator.handleRunsReported()
-	case *EvacuationsKnown:
+	case *EvacuationsChanged:
 		allocator.handleEvacuations(input)
 	case *ReportArrived:
 		allocator.handleReport(&input.Report)
--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -102,7 +102,7 @@
 		data.ScanArgs(t, "spots", &freeSlots)
 		inputs = append(inputs, &allocator.NoticeArrived{Notice: messenger.CapacityNotice{From: geel, FreeSlots: freeSlots}})
 	case "evacuate":
-		inputs = append(inputs, &allocator.EvacuationsKnown{Evacuated: domainsNamed(scanStrings(t, data, "domains"))})
+		inputs = append(inputs, &allocator.EvacuationsChanged{Evacuated: domainsNamed(scanStrings(t, data, "domains"))})
 	case "wait":
 		return scenario.wait()
 	default:
--- a/pkg/allocator/evacuating.go
+++ b/pkg/allocator/evacuating.go
@@ -15,7 +15,7 @@
 
 // handleEvacuations applies the operators' evacuations. Runs here go on to their end. Waiting tasks
 // are handed off in the same tick, and once the evacuation is revoked the capacity counts at once.
-func (allocator *Allocator) handleEvacuations(input *EvacuationsKnown) {
+func (allocator *Allocator) handleEvacuations(input *EvacuationsChanged) {
 	allocator.evacuations = input.Evacuated
 	allocator.retryPlacement = true
 }
--- a/pkg/allocator/evacuating_test.go
+++ b/pkg/allocator/evacuating_test.go
@@ -42,7 +42,7 @@
 			if lead > 0 {
 				delay += planned.propagationDelay
 			}
-			load.deliver(lead, delay, &allocator.EvacuationsKnown{Evacuated: change.evacuated})
+			load.deliver(lead, delay, &allocator.EvacuationsChanged{Evacuated: change.evacuated})
 		}
 	}
 }
@@ -103,7 +103,7 @@
 // capacity.
 func TestEvacuationOfATaskThatIsHeldBack(t *testing.T) {
 	lead := &allocator.Allocator{FailureDomain: "leuven", Settings: allocator.DefaultSettings()}
-	lead.Tick(0, []allocator.Input{&allocator.LeadTaken{Epoch: 7}, &allocator.EvacuationsKnown{Evacuated: messenger.Evacuated{"leuven"}}})
+	lead.Tick(0, []allocator.Input{&allocator.LeadTaken{Epoch: 7}, &allocator.EvacuationsChanged{Evacuated: messenger.Evacuated{"leuven"}}})
 	task := messenger.TaskRequest{Needs: identifier.Resources{MilliCPU: 1000}, Declared: time.Second, Account: budgeter.Account{Crashes: 3}}
 	outputs := lead.Tick(1, []allocator.Input{&allocator.CapacityRequested{From: "host-b", Request: messenger.CapacityRequest{
 		Job: "j", Service: "desk", Queue: "quick", Attempts: 3, Stretch: 1.6, Remaining: time.Hour, HandedOff: true, Tasks: []messenger.TaskRequest{task},
@@ -126,7 +126,7 @@
 		room      bool
 	}{{nil, true}, {messenger.Evacuated{domainOf(0)}, false}, {nil, true}} {
 		load.now = load.now.Add(2 * time.Second)
-		load.leads[0].Tick(load.now, []allocator.Input{&allocator.EvacuationsKnown{Evacuated: want.evacuated}})
+		load.leads[0].Tick(load.now, []allocator.Input{&allocator.EvacuationsChanged{Evacuated: want.evacuated}})
 		var lastNotice *messenger.CapacityNotice
 		for _, output := range load.leads[0].Tick(load.now.Add(time.Second), nil) {
 			if notice, isNotice := output.(*allocator.SendNotice); isNotice {
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -20,8 +20,8 @@
 // follows this lead's epoch, or can't lead any more: none of them grants leases from now on.
 type OthersFollow struct{ Following bool }
 
-// EvacuationsKnown reports in which failure domains nothing is started from now on.
-type EvacuationsKnown struct{ Evacuated messenger.Evacuated }
+// EvacuationsChanged reports in which failure domains nothing is started from now on.
+type EvacuationsChanged struct{ Evacuated messenger.Evacuated }
 
 // RunsReported reports that every living host has reported the runs that its jobs still have.
 type RunsReported struct{}
@@ -137,22 +137,22 @@
 	Outcome CallOutcome
 }
 
-func (*LeadTaken) isAllocatorInput()         {}
-func (*LeadLost) isAllocatorInput()          {}
-func (*OthersFollow) isAllocatorInput()      {}
-func (*EvacuationsKnown) isAllocatorInput()  {}
-func (*RunsReported) isAllocatorInput()      {}
-func (*ReportArrived) isAllocatorInput()     {}
-func (*ReportRecalled) isAllocatorInput()    {}
-func (*CapacityRequested) isAllocatorInput() {}
-func (*JobHandedOff) isAllocatorInput()      {}
-func (*CapacityReleased) isAllocatorInput()  {}
-func (*StartReported) isAllocatorInput()     {}
-func (*HostGone) isAllocatorInput()          {}
-func (*RemoteLeadKnown) isAllocatorInput()   {}
-func (*NoticeArrived) isAllocatorInput()     {}
-func (*PollReturned) isAllocatorInput()      {}
-func (*StopReturned) isAllocatorInput()      {}
+func (*LeadTaken) isAllocatorInput()          {}
+func (*LeadLost) isAllocatorInput()           {}
+func (*OthersFollow) isAllocatorInput()       {}
+func (*EvacuationsChanged) isAllocatorInput() {}
+func (*RunsReported) isAllocatorInput()       {}
+func (*ReportArrived) isAllocatorInput()      {}
+func (*ReportRecalled) isAllocatorInput()     {}
+func (*CapacityRequested) isAllocatorInput()  {}
+func (*JobHandedOff) isAllocatorInput()       {}
+func (*CapacityReleased) isAllocatorInput()   {}
+func (*StartReported) isAllocatorInput()      {}
+func (*HostGone) isAllocatorInput()           {}
+func (*RemoteLeadKnown) isAllocatorInput()    {}
+func (*NoticeArrived) isAllocatorInput()      {}
+func (*PollReturned) isAllocatorInput()       {}
+func (*StopReturned) isAllocatorInput()       {}
 
 // Output is a message, call or log entry that the owner of the allocator carries out.
 type Output interface{ isAllocatorOutput() }
