--- a/pkg/allocator/allocator.go
+++ b/pkg/allocator/allocator.go
@@ -176,7 +176,7 @@
 		allocator.handleStopAnswer(input)
 	case *HostGone:
 		allocator.handleHostGone(input.Host)
-	case *RemoteLeadKnown:
+	case *RemoteLeadChanged:
 		allocator.handleRemoteLead(input)
 	case *NoticeArrived:
 		allocator.handleNotice(&input.Notice)
--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -97,7 +97,7 @@
 	case "host-gone":
 		inputs = append(inputs, &allocator.HostGone{Host: "host-b"})
 	case "remote":
-		inputs = append(inputs, &allocator.RemoteLeadKnown{Cell: geel, Host: "host-g"})
+		inputs = append(inputs, &allocator.RemoteLeadChanged{Cell: geel, Host: "host-g"})
 		var freeSlots int
 		data.ScanArgs(t, "spots", &freeSlots)
 		inputs = append(inputs, &allocator.NoticeArrived{Notice: messenger.CapacityNotice{From: geel, FreeSlots: freeSlots}})
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -152,7 +152,7 @@
 		for other := range leads {
 			if other != lead {
 				cell := messenger.CellRef{FailureDomain: domainOf(other)}
-				created.tick(lead, &allocator.RemoteLeadKnown{Cell: cell, Host: hostOf(other)})
+				created.tick(lead, &allocator.RemoteLeadChanged{Cell: cell, Host: hostOf(other)})
 			}
 		}
 	}
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -62,9 +62,9 @@
 // HostGone reports that a host can't supervise its jobs any more.
 type HostGone struct{ Host identifier.HostID }
 
-// RemoteLeadKnown reports who leads another cell, here or in another failure domain; an empty host
+// RemoteLeadChanged reports who leads another cell, here or in another failure domain; an empty host
 // means that nobody does.
-type RemoteLeadKnown struct {
+type RemoteLeadChanged struct {
 	Cell messenger.CellRef
 	Host identifier.HostID
 }
@@ -149,7 +149,7 @@
 func (*CapacityReleased) isAllocatorInput()   {}
 func (*StartReported) isAllocatorInput()      {}
 func (*HostGone) isAllocatorInput()           {}
-func (*RemoteLeadKnown) isAllocatorInput()    {}
+func (*RemoteLeadChanged) isAllocatorInput()  {}
 func (*NoticeArrived) isAllocatorInput()      {}
 func (*PollReturned) isAllocatorInput()       {}
 func (*StopReturned) isAllocatorInput()       {}
--- a/pkg/allocator/notices.go
+++ b/pkg/allocator/notices.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func (allocator *Allocator) handleRemoteLead(input *RemoteLeadKnown) {
+func (allocator *Allocator) handleRemoteLead(input *RemoteLeadChanged) {
 	if input.Cell == allocator.ref() {
 		return
 	}
--- a/pkg/allocator/notices_test.go
+++ b/pkg/allocator/notices_test.go
@@ -25,7 +25,7 @@
 		}
 	}
 	needs := identifier.Resources{MilliCPU: 14000, Memory: 1 << 20}
-	tick(0, &allocator.LeadTaken{Epoch: 7}, &allocator.RemoteLeadKnown{Cell: geel, Host: "host-g"})
+	tick(0, &allocator.LeadTaken{Epoch: 7}, &allocator.RemoteLeadChanged{Cell: geel, Host: "host-g"})
 	tick(time.Millisecond, &allocator.ReportArrived{Report: messenger.ServerReport{
 		Server: "s1", Service: "desk", Address: "a", FailureDomain: "leuven", Capacity: needs, Sequence: 1,
 	}})
