--- a/pkg/allocator/reports.go
+++ b/pkg/allocator/reports.go
@@ -239,9 +239,9 @@
 	allocator.healthInputs = append(allocator.healthInputs, &assessor.ServerGone{Server: assessedID(id)})
 }
 
-// Cards returns the last reports of the backend servers that have not ended, for a host that has
+// Reports returns the last reports of the backend servers that have not ended, for a host that has
 // just joined.
-func (allocator *Allocator) Cards() []messenger.ServerReport {
+func (allocator *Allocator) Reports() []messenger.ServerReport {
 	var reports []messenger.ServerReport
 	if allocator.servers == nil {
 		return nil
--- a/pkg/allocator/servers_test.go
+++ b/pkg/allocator/servers_test.go
@@ -35,7 +35,7 @@
 	want := messenger.ServerReport{
 		Server: "s1", Service: "desk", Address: "a", FailureDomain: "leuven", Capacity: needs, Sequence: 1,
 	}
-	reports := created.Cards()
+	reports := created.Reports()
 	if len(reports) != 1 || reports[0].Address != want.Address || reports[0].Service != want.Service ||
 		reports[0].FailureDomain != want.FailureDomain || reports[0].Sequence != want.Sequence {
 		t.Fatalf("the known backend servers are %+v, want %+v", reports, want)
--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -147,7 +147,7 @@
 	}
 	for _, cellAllocator := range coordinator.allocators {
 		if cellAllocator.allocator.Leads() {
-			coordinator.sendReports(host, cellAllocator.allocator.Cards())
+			coordinator.sendReports(host, cellAllocator.allocator.Reports())
 		}
 	}
 }
--- a/pkg/coordinator/cellpersister.go
+++ b/pkg/coordinator/cellpersister.go
@@ -75,7 +75,7 @@
 	domain := coordinator.Self.FailureDomain
 	_, epoch := coordinator.elector.Lead(domain, cell)
 	return messenger.StoredCell{
-		Cell: messenger.CellRef{FailureDomain: domain, Cell: cell}, Epoch: epoch, Reports: cellAllocator.allocator.Cards(),
+		Cell: messenger.CellRef{FailureDomain: domain, Cell: cell}, Epoch: epoch, Reports: cellAllocator.allocator.Reports(),
 	}, true
 }
 
