--- a/pkg/allocator/inquiries.go
+++ b/pkg/allocator/inquiries.go
@@ -24,9 +24,9 @@
 	return allocator.timers != nil && allocator.jobs.Get(id) != nil
 }
 
-// Knows reports whether a run of a job may be at work that another host than the given one has
+// MayRunFor reports whether a run of a job may be at work that another host than the given one has
 // requested, here or at a cell that the job was handed to, apart from the cell but.
-func (allocator *Allocator) Knows(id identifier.JobID, host identifier.HostID, but messenger.CellRef) bool {
+func (allocator *Allocator) MayRunFor(id identifier.JobID, host identifier.HostID, but messenger.CellRef) bool {
 	if allocator.timers == nil {
 		return false
 	}
--- a/pkg/coordinator/inquiring.go
+++ b/pkg/coordinator/inquiring.go
@@ -75,7 +75,7 @@
 		return true
 	}
 	return slices.ContainsFunc(coordinator.allocators, func(cellAllocator *cellAllocator) bool {
-		return cellAllocator.allocator.Knows(inquiry.Job, inquiry.Host, inquiringCell)
+		return cellAllocator.allocator.MayRunFor(inquiry.Job, inquiry.Host, inquiringCell)
 	})
 }
 
