--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -221,7 +221,7 @@
 
 func (coordinator *Coordinator) routeSupervisorOutput(output supervisor.Output) {
 	switch output := output.(type) {
-	case *supervisor.AskRoom:
+	case *supervisor.RequestCapacity:
 		coordinator.send(output.To, PeerMessage{RoomRequest: &output.Request})
 	case *supervisor.ReleaseRoom:
 		coordinator.send(output.To, PeerMessage{RoomRelease: &output.Release})
--- a/pkg/supervisor/groups.go
+++ b/pkg/supervisor/groups.go
@@ -140,7 +140,7 @@
 	group.awaitsHome = false
 	request := supervisor.newRequest(job, group, cell)
 	supervisor.timers.Set(leadTimer(job, group), supervisor.now.Add(supervisor.Settings.LeadTimeout))
-	supervisor.emit(&AskRoom{To: lead, Request: request})
+	supervisor.emit(&RequestCapacity{To: lead, Request: request})
 	supervisor.logDecision(messenger.Decision{
 		Kind: messenger.DecisionAsked, Job: job.spec.Job, Host: lead, Tasks: len(request.Tasks), Elapsed: request.Elapsed,
 	})
@@ -237,7 +237,7 @@
 func (supervisor *Supervisor) merge(job *job, moving, to *group) {
 	request := supervisor.newRequest(job, moving, to.cell)
 	request.Number = to.requestNumber
-	supervisor.emit(&AskRoom{To: to.lead, Request: request})
+	supervisor.emit(&RequestCapacity{To: to.lead, Request: request})
 	for index := range job.tasks {
 		if task := &job.tasks[index]; task.group == moving {
 			task.group = to
--- a/pkg/supervisor/messages.go
+++ b/pkg/supervisor/messages.go
@@ -101,8 +101,8 @@
 // Output is a call, message or log line for the owner of the supervisor to carry out.
 type Output interface{ isSupervisorOutput() }
 
-// AskRoom sends a lead a request for capacity.
-type AskRoom struct {
+// RequestCapacity sends a lead a request for capacity.
+type RequestCapacity struct {
 	To      identifier.HostID
 	Request messenger.CapacityRequest
 }
@@ -165,9 +165,9 @@
 // Decided carries a decision for the log.
 type Decided struct{ Decision messenger.Decision }
 
-func (*AskRoom) isSupervisorOutput()     {}
-func (*ReleaseRoom) isSupervisorOutput() {}
-func (*ReportStart) isSupervisorOutput() {}
-func (*StartRun) isSupervisorOutput()    {}
-func (*JobEnded) isSupervisorOutput()    {}
-func (*Decided) isSupervisorOutput()     {}
+func (*RequestCapacity) isSupervisorOutput() {}
+func (*ReleaseRoom) isSupervisorOutput()     {}
+func (*ReportStart) isSupervisorOutput()     {}
+func (*StartRun) isSupervisorOutput()        {}
+func (*JobEnded) isSupervisorOutput()        {}
+func (*Decided) isSupervisorOutput()         {}
--- a/pkg/supervisor/supervisor_test.go
+++ b/pkg/supervisor/supervisor_test.go
@@ -104,7 +104,7 @@
 	}
 	outputs := scenario.supervisor.Tick(scenario.now, inputs)
 	for _, output := range outputs {
-		if request, isRequest := output.(*supervisor.AskRoom); isRequest {
+		if request, isRequest := output.(*supervisor.RequestCapacity); isRequest {
 			scenario.requestNumbers[string(request.To)+" "+string(request.Request.Job)] = request.Request.Number
 		}
 	}
@@ -156,7 +156,7 @@
 	var lines strings.Builder
 	for _, output := range outputs {
 		switch output := output.(type) {
-		case *supervisor.AskRoom:
+		case *supervisor.RequestCapacity:
 			fmt.Fprintf(&lines, "ask %s for %s: %d tasks, %d held, runs above %d, handed over %v\n", output.To, output.Request.Job,
 				len(output.Request.Tasks), len(output.Request.Held), output.Request.RunsBelow, output.Request.HandedOff)
 		case *supervisor.ReleaseRoom:
