--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -223,7 +223,7 @@
 	switch output := output.(type) {
 	case *supervisor.RequestCapacity:
 		coordinator.send(output.To, PeerMessage{RoomRequest: &output.Request})
-	case *supervisor.ReleaseRoom:
+	case *supervisor.ReleaseCapacity:
 		coordinator.send(output.To, PeerMessage{RoomRelease: &output.Release})
 	case *supervisor.ReportStart:
 		coordinator.send(output.To, PeerMessage{StartReport: &output.Report})
--- a/pkg/supervisor/jobs.go
+++ b/pkg/supervisor/jobs.go
@@ -178,7 +178,7 @@
 
 // release notifies the lead of a cell that a job needs no more capacity.
 func (supervisor *Supervisor) release(to identifier.HostID, cell messenger.CellNumber, job identifier.JobID) {
-	supervisor.emit(&ReleaseRoom{To: to, Release: messenger.CapacityRelease{Job: job, Cell: cell}})
+	supervisor.emit(&ReleaseCapacity{To: to, Release: messenger.CapacityRelease{Job: job, Cell: cell}})
 }
 
 func (supervisor *Supervisor) releaseAll(job *job) {
--- a/pkg/supervisor/messages.go
+++ b/pkg/supervisor/messages.go
@@ -107,8 +107,8 @@
 	Request messenger.CapacityRequest
 }
 
-// ReleaseRoom notifies a lead that a job needs no more capacity.
-type ReleaseRoom struct {
+// ReleaseCapacity notifies a lead that a job needs no more capacity.
+type ReleaseCapacity struct {
 	To      identifier.HostID
 	Release messenger.CapacityRelease
 }
@@ -166,7 +166,7 @@
 type Decided struct{ Decision messenger.Decision }
 
 func (*RequestCapacity) isSupervisorOutput() {}
-func (*ReleaseRoom) isSupervisorOutput()     {}
+func (*ReleaseCapacity) isSupervisorOutput() {}
 func (*ReportStart) isSupervisorOutput()     {}
 func (*StartRun) isSupervisorOutput()        {}
 func (*JobEnded) isSupervisorOutput()        {}
--- a/pkg/supervisor/supervisor_test.go
+++ b/pkg/supervisor/supervisor_test.go
@@ -159,7 +159,7 @@
 		case *supervisor.RequestCapacity:
 			fmt.Fprintf(&lines, "ask %s for %s: %d tasks, %d held, runs above %d, handed over %v\n", output.To, output.Request.Job,
 				len(output.Request.Tasks), len(output.Request.Held), output.Request.RunsBelow, output.Request.HandedOff)
-		case *supervisor.ReleaseRoom:
+		case *supervisor.ReleaseCapacity:
 			fmt.Fprintf(&lines, "release %s at %s\n", output.Release.Job, output.To)
 		case *supervisor.ReportStart:
 			fmt.Fprintf(&lines, "report %s task %d run %d to %s: %s\n", output.Report.RunKey.Job, output.Report.RunKey.Task,
