--- a/pkg/coordinator/evacuating.go
+++ b/pkg/coordinator/evacuating.go
@@ -21,7 +21,7 @@
 	coordinator.enforcedEvacuations = evacuated
 	coordinator.notifyDispatcher(&dispatcher.EvacuationsKnown{Evacuated: evacuated})
 	coordinator.notifyAllocators(&allocator.EvacuationsChanged{Evacuated: evacuated})
-	coordinator.notifySupervisor(&supervisor.EvacuationsKnown{Evacuated: evacuated})
+	coordinator.notifySupervisor(&supervisor.EvacuationsChanged{Evacuated: evacuated})
 	coordinator.notifyStarter(&starter.EvacuationsKnown{Evacuated: evacuated})
 	coordinator.intentDriver.updateEvacuations(evacuated)
 }
--- a/pkg/supervisor/messages.go
+++ b/pkg/supervisor/messages.go
@@ -82,21 +82,21 @@
 	Outcome messenger.StartOutcome
 }
 
-// EvacuationsKnown reports the failure domains in which no run may be started from now on.
-type EvacuationsKnown struct{ Evacuated messenger.Evacuated }
+// EvacuationsChanged reports the failure domains in which no run may be started from now on.
+type EvacuationsChanged struct{ Evacuated messenger.Evacuated }
 
 // HostEnds reports that this host is about to shut down, whether or not jobs are still running.
 type HostEnds struct{}
 
-func (*EvacuationsKnown) isSupervisorInput() {}
-func (*HostEnds) isSupervisorInput()         {}
-func (*JobArrived) isSupervisorInput()       {}
-func (*CallerLeft) isSupervisorInput()       {}
-func (*LeadKnown) isSupervisorInput()        {}
-func (*GrantArrived) isSupervisorInput()     {}
-func (*AnswerArrived) isSupervisorInput()    {}
-func (*DoneArrived) isSupervisorInput()      {}
-func (*StartReturned) isSupervisorInput()    {}
+func (*EvacuationsChanged) isSupervisorInput() {}
+func (*HostEnds) isSupervisorInput()           {}
+func (*JobArrived) isSupervisorInput()         {}
+func (*CallerLeft) isSupervisorInput()         {}
+func (*LeadKnown) isSupervisorInput()          {}
+func (*GrantArrived) isSupervisorInput()       {}
+func (*AnswerArrived) isSupervisorInput()      {}
+func (*DoneArrived) isSupervisorInput()        {}
+func (*StartReturned) isSupervisorInput()      {}
 
 // Output is a call, message or log line for the owner of the supervisor to carry out.
 type Output interface{ isSupervisorOutput() }
--- a/pkg/supervisor/supervisor.go
+++ b/pkg/supervisor/supervisor.go
@@ -152,7 +152,7 @@
 		supervisor.handleJobArrived(input)
 	case *CallerLeft:
 		supervisor.handleCallerLeft(input)
-	case *EvacuationsKnown:
+	case *EvacuationsChanged:
 		supervisor.evacuations = input.Evacuated
 	case *HostEnds:
 		supervisor.endAll()
