--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -192,7 +192,7 @@
 	case message.RoomAnswer != nil:
 		coordinator.notifySupervisor(&supervisor.AnswerArrived{From: from, Answer: *message.RoomAnswer})
 	case message.TaskDone != nil:
-		coordinator.notifySupervisor(&supervisor.DoneArrived{From: from, Done: *message.TaskDone})
+		coordinator.notifySupervisor(&supervisor.TaskDoneArrived{From: from, Done: *message.TaskDone})
 	case message.RoomNotice != nil:
 		coordinator.notifyAllocators(&allocator.NoticeArrived{Notice: *message.RoomNotice})
 	case message.CellMemory != nil:
--- a/pkg/supervisor/jobs.go
+++ b/pkg/supervisor/jobs.go
@@ -135,7 +135,7 @@
 	return start != nil && start.Run == returned.Run && start.Server == returned.Server && start.Epoch == returned.Epoch
 }
 
-func (supervisor *Supervisor) handleDone(input *DoneArrived) {
+func (supervisor *Supervisor) handleDone(input *TaskDoneArrived) {
 	key := input.Done.RunKey
 	job := supervisor.jobs.Get(key.Job)
 	if job == nil || int(key.Task) >= len(job.tasks) || job.tasks[key.Task].done {
--- a/pkg/supervisor/messages.go
+++ b/pkg/supervisor/messages.go
@@ -68,8 +68,8 @@
 	Answer messenger.CapacityAnswer
 }
 
-// DoneArrived reports that a task has completed.
-type DoneArrived struct {
+// TaskDoneArrived reports that a task has completed.
+type TaskDoneArrived struct {
 	From identifier.HostID
 	Done messenger.TaskDone
 }
@@ -95,7 +95,7 @@
 func (*LeadKnown) isSupervisorInput()          {}
 func (*GrantArrived) isSupervisorInput()       {}
 func (*AnswerArrived) isSupervisorInput()      {}
-func (*DoneArrived) isSupervisorInput()        {}
+func (*TaskDoneArrived) isSupervisorInput()    {}
 func (*StartReturned) isSupervisorInput()      {}
 
 // Output is a call, message or log line for the owner of the supervisor to carry out.
--- a/pkg/supervisor/supervisor.go
+++ b/pkg/supervisor/supervisor.go
@@ -164,7 +164,7 @@
 	case *AnswerArrived:
 		supervisor.lastResponseAt[input.From] = supervisor.now
 		supervisor.handleAnswer(input)
-	case *DoneArrived:
+	case *TaskDoneArrived:
 		supervisor.lastResponseAt[input.From] = supervisor.now
 		supervisor.handleDone(input)
 	case *StartReturned:
--- a/pkg/supervisor/supervisor_test.go
+++ b/pkg/supervisor/supervisor_test.go
@@ -86,7 +86,7 @@
 			Tasks: scanTasks(t, data), RequestNumber: scenario.requestNumber(data, from, id), GrantedBefore: data.HasArg("begun"),
 		}})
 	case "done":
-		inputs = append(inputs, &supervisor.DoneArrived{From: from, Done: messenger.TaskDone{RunKey: key}})
+		inputs = append(inputs, &supervisor.TaskDoneArrived{From: from, Done: messenger.TaskDone{RunKey: key}})
 	case "started":
 		outcome, err := messenger.StartOutcomeString(scanString(t, data, "outcome"))
 		if err != nil {
