--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -228,7 +228,7 @@
 	case *supervisor.ReportStart:
 		coordinator.send(output.To, PeerMessage{StartReport: &output.Report})
 	case *supervisor.StartRun:
-		coordinator.notifyStarter(&starter.RunWanted{Start: output})
+		coordinator.notifyStarter(&starter.StartRequested{Start: output})
 	case *supervisor.JobEnded:
 		coordinator.outputs.add(&JobEnded{Ended: output})
 	case *supervisor.Decided:
--- a/pkg/starter/messages.go
+++ b/pkg/starter/messages.go
@@ -9,8 +9,8 @@
 // Input is an event that Tick applies.
 type Input interface{ isStarterInput() }
 
-// RunWanted requests a start on behalf of this host.
-type RunWanted struct{ Start *supervisor.StartRun }
+// StartRequested requests a start on behalf of this host.
+type StartRequested struct{ Start *supervisor.StartRun }
 
 // OrderArrived delivers another host's order of a start.
 type OrderArrived struct {
@@ -50,7 +50,7 @@
 	Connections map[identifier.ServiceName]int
 }
 
-func (*RunWanted) isStarterInput()        {}
+func (*StartRequested) isStarterInput()   {}
 func (*OrderArrived) isStarterInput()     {}
 func (*CallReturned) isStarterInput()     {}
 func (*ResultArrived) isStarterInput()    {}
--- a/pkg/starter/starter.go
+++ b/pkg/starter/starter.go
@@ -117,7 +117,7 @@
 
 func (starter *Starter) apply(input Input) {
 	switch input := input.(type) {
-	case *RunWanted:
+	case *StartRequested:
 		starter.handleStartRequest(input.Start)
 	case *OrderArrived:
 		starter.call(starter.startFromOrder(&input.Order), input.From)
--- a/pkg/starter/starter_test.go
+++ b/pkg/starter/starter_test.go
@@ -46,7 +46,7 @@
 func callingHosts(hosts []identifier.HostID, server int) (callers map[identifier.HostID]bool, connections int) {
 	callers = make(map[identifier.HostID]bool)
 	for index, host := range append(hostsOf(5 * len(hosts))[len(hosts):], hosts...) {
-		for _, output := range newConnectedStarter(host, hosts).Tick(1, []Input{&RunWanted{Start: startOn(server, identifier.RunNumber(index+1))}}) {
+		for _, output := range newConnectedStarter(host, hosts).Tick(1, []Input{&StartRequested{Start: startOn(server, identifier.RunNumber(index+1))}}) {
 			switch output := output.(type) {
 			case *CallServer:
 				callers[host] = true
@@ -113,7 +113,7 @@
 // orderStart requests a start and returns the host that gets the order.
 func orderStart(t *testing.T, tested *Starter, start *supervisor.StartRun) identifier.HostID {
 	t.Helper()
-	outputs := tested.Tick(1, []Input{&RunWanted{Start: start}})
+	outputs := tested.Tick(1, []Input{&StartRequested{Start: start}})
 	if len(outputs) != 1 {
 		t.Fatalf("%d outputs", len(outputs))
 	}
@@ -177,7 +177,7 @@
 			return created
 		}(),
 	} {
-		outputs := tested.Tick(1, []Input{&RunWanted{Start: startOn(0, 1)}})
+		outputs := tested.Tick(1, []Input{&StartRequested{Start: startOn(0, 1)}})
 		if call, isCall := outputs[0].(*CallServer); !isCall || call.For != "elsewhere" {
 			t.Errorf("%s: %+v", name, outputs[0])
 		}
@@ -211,7 +211,7 @@
 	starter := newConnectedStarter(hosts[0], hosts)
 	starter.Tick(1, []Input{&EvacuationsKnown{Evacuated: messenger.Evacuated{domain}}})
 	outputs := starter.Tick(2, []Input{
-		&RunWanted{Start: startOn(1, 1)},
+		&StartRequested{Start: startOn(1, 1)},
 		&OrderArrived{From: hosts[1], Order: messenger.StartOrder{RunKey: messenger.RunKey{Job: "job", Run: 2}, Server: "server-1", Epoch: 7}},
 	})
 	done, isDone := outputs[0].(*StartDone)
@@ -223,7 +223,7 @@
 		t.Errorf("ordered start: got %+v", outputs[1])
 	}
 	starter.Tick(3, []Input{&EvacuationsKnown{}})
-	if _, called := starter.Tick(4, []Input{&RunWanted{Start: startOn(1, 3)}})[0].(*CallServer); !called {
+	if _, called := starter.Tick(4, []Input{&StartRequested{Start: startOn(1, 3)}})[0].(*CallServer); !called {
 		t.Error("no start after the end of the evacuation")
 	}
 }
