--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -26,14 +26,14 @@
 		coordinator.notifyGossiper(gossiper.PeerConnected{Host: input.Host})
 		coordinator.notifyForwarder(&forwarder.LeadReconnected{Host: input.Host})
 		coordinator.notifyDispatcher(&dispatcher.RemoteReconnected{Host: input.Host})
-		coordinator.notifyStarter(&starter.PeerChanged{Host: input.Host, Connected: true})
+		coordinator.notifyStarter(&starter.PeerConnectionChanged{Host: input.Host, Connected: true})
 		coordinator.sendReportsTo(input.Host)
 		coordinator.cellPersister.exchangeWith(input.Host)
 		coordinator.followerTracker.renotify(input.Host)
 	case *PeerDisconnected:
 		delete(coordinator.connected, input.Host)
 		delete(coordinator.deadButConnected, input.Host)
-		coordinator.notifyStarter(&starter.PeerChanged{Host: input.Host})
+		coordinator.notifyStarter(&starter.PeerConnectionChanged{Host: input.Host})
 		coordinator.handleLeaverGone(input.Host)
 		coordinator.followerTracker.changed = true
 		coordinator.notifyGossiper(gossiper.PeerConnectionClosed{Host: input.Host})
--- a/pkg/starter/messages.go
+++ b/pkg/starter/messages.go
@@ -36,8 +36,8 @@
 	Living        []identifier.HostID
 }
 
-// PeerChanged reports whether this host has a connection to another host.
-type PeerChanged struct {
+// PeerConnectionChanged reports whether this host has a connection to another host.
+type PeerConnectionChanged struct {
 	Host      identifier.HostID
 	Connected bool
 }
@@ -50,14 +50,14 @@
 	Connections map[identifier.ServiceName]int
 }
 
-func (*StartRequested) isStarterInput()   {}
-func (*OrderArrived) isStarterInput()     {}
-func (*CallReturned) isStarterInput()     {}
-func (*ResultArrived) isStarterInput()    {}
-func (*HostsChanged) isStarterInput()     {}
-func (*PeerChanged) isStarterInput()      {}
-func (*EvacuationsKnown) isStarterInput() {}
-func (*BoundsKnown) isStarterInput()      {}
+func (*StartRequested) isStarterInput()        {}
+func (*OrderArrived) isStarterInput()          {}
+func (*CallReturned) isStarterInput()          {}
+func (*ResultArrived) isStarterInput()         {}
+func (*HostsChanged) isStarterInput()          {}
+func (*PeerConnectionChanged) isStarterInput() {}
+func (*EvacuationsKnown) isStarterInput()      {}
+func (*BoundsKnown) isStarterInput()           {}
 
 // Output is a call or message for the owner of the starter to carry out.
 type Output interface{ isStarterOutput() }
--- a/pkg/starter/starter.go
+++ b/pkg/starter/starter.go
@@ -128,7 +128,7 @@
 	case *HostsChanged:
 		starter.liveHosts[input.FailureDomain] = input.Living
 		clear(starter.starterSets)
-	case *PeerChanged:
+	case *PeerConnectionChanged:
 		starter.handlePeerChanged(input)
 	case *EvacuationsKnown:
 		starter.evacuations = input.Evacuated
@@ -212,7 +212,7 @@
 
 // handlePeerChanged records whether there is a connection to another host. Orders that were sent on
 // a connection that ended get no result.
-func (starter *Starter) handlePeerChanged(input *PeerChanged) {
+func (starter *Starter) handlePeerChanged(input *PeerConnectionChanged) {
 	if input.Connected {
 		starter.connected[input.Host] = true
 		return
--- a/pkg/starter/starter_test.go
+++ b/pkg/starter/starter_test.go
@@ -27,7 +27,7 @@
 	created := &Starter{Self: self, FailureDomain: domain, Settings: DefaultSettings()}
 	inputs := []Input{&HostsChanged{FailureDomain: domain, Living: hosts}}
 	for _, host := range hosts {
-		inputs = append(inputs, &PeerChanged{Host: host, Connected: true})
+		inputs = append(inputs, &PeerConnectionChanged{Host: host, Connected: true})
 	}
 	created.Tick(0, inputs)
 	return created
@@ -142,7 +142,7 @@
 	limit := identifier.Moment(1).Add(DefaultSettings().OrderTimeout)
 	for name, lose := range map[string]func(*Starter, identifier.HostID) []Output{
 		"connection ends": func(tested *Starter, to identifier.HostID) []Output {
-			return tested.Tick(2, []Input{&PeerChanged{Host: to}})
+			return tested.Tick(2, []Input{&PeerConnectionChanged{Host: to}})
 		},
 		"no answer": func(tested *Starter, _ identifier.HostID) []Output { return tested.Tick(limit, nil) },
 	} {
@@ -172,7 +172,7 @@
 		"none connected": func() *Starter {
 			created := newConnectedStarter("elsewhere", hostsOf(3))
 			for _, host := range hostsOf(3) {
-				created.Tick(0, []Input{&PeerChanged{Host: host}})
+				created.Tick(0, []Input{&PeerConnectionChanged{Host: host}})
 			}
 			return created
 		}(),
