--- a/pkg/coordinator/evacuating.go
+++ b/pkg/coordinator/evacuating.go
@@ -22,7 +22,7 @@
 	coordinator.notifyDispatcher(&dispatcher.EvacuationsKnown{Evacuated: evacuated})
 	coordinator.notifyAllocators(&allocator.EvacuationsChanged{Evacuated: evacuated})
 	coordinator.notifySupervisor(&supervisor.EvacuationsChanged{Evacuated: evacuated})
-	coordinator.notifyStarter(&starter.EvacuationsKnown{Evacuated: evacuated})
+	coordinator.notifyStarter(&starter.EvacuationsChanged{Evacuated: evacuated})
 	coordinator.intentDriver.updateEvacuations(evacuated)
 }
 
--- a/pkg/starter/messages.go
+++ b/pkg/starter/messages.go
@@ -42,8 +42,8 @@
 	Connected bool
 }
 
-// EvacuationsKnown reports the failure domains in which no run may be started from now on.
-type EvacuationsKnown struct{ Evacuated messenger.Evacuated }
+// EvacuationsChanged reports the failure domains in which no run may be started from now on.
+type EvacuationsChanged struct{ Evacuated messenger.Evacuated }
 
 // BoundsKnown reports how many connections a server of each service accepts.
 type BoundsKnown struct {
@@ -56,7 +56,7 @@
 func (*ResultArrived) isStarterInput()         {}
 func (*HostsChanged) isStarterInput()          {}
 func (*PeerConnectionChanged) isStarterInput() {}
-func (*EvacuationsKnown) isStarterInput()      {}
+func (*EvacuationsChanged) isStarterInput()    {}
 func (*BoundsKnown) isStarterInput()           {}
 
 // Output is a call or message for the owner of the starter to carry out.
--- a/pkg/starter/starter.go
+++ b/pkg/starter/starter.go
@@ -130,7 +130,7 @@
 		clear(starter.starterSets)
 	case *PeerConnectionChanged:
 		starter.handlePeerChanged(input)
-	case *EvacuationsKnown:
+	case *EvacuationsChanged:
 		starter.evacuations = input.Evacuated
 	case *BoundsKnown:
 		starter.connectionLimits = input.Connections
--- a/pkg/starter/starter_test.go
+++ b/pkg/starter/starter_test.go
@@ -209,7 +209,7 @@
 func TestEvacuationWithholdsStarts(t *testing.T) {
 	hosts := hostsOf(2)
 	starter := newConnectedStarter(hosts[0], hosts)
-	starter.Tick(1, []Input{&EvacuationsKnown{Evacuated: messenger.Evacuated{domain}}})
+	starter.Tick(1, []Input{&EvacuationsChanged{Evacuated: messenger.Evacuated{domain}}})
 	outputs := starter.Tick(2, []Input{
 		&StartRequested{Start: startOn(1, 1)},
 		&OrderArrived{From: hosts[1], Order: messenger.StartOrder{RunKey: messenger.RunKey{Job: "job", Run: 2}, Server: "server-1", Epoch: 7}},
@@ -222,7 +222,7 @@
 	if !isResult || result.To != hosts[1] || result.Result.Outcome != messenger.StartWithheld {
 		t.Errorf("ordered start: got %+v", outputs[1])
 	}
-	starter.Tick(3, []Input{&EvacuationsKnown{}})
+	starter.Tick(3, []Input{&EvacuationsChanged{}})
 	if _, called := starter.Tick(4, []Input{&StartRequested{Start: startOn(1, 3)}})[0].(*CallServer); !called {
 		t.Error("no start after the end of the evacuation")
 	}
