--- a/pkg/starter/messages.go
+++ b/pkg/starter/messages.go
@@ -45,19 +45,19 @@
 // EvacuationsChanged reports the failure domains in which no run may be started from now on.
 type EvacuationsChanged struct{ Evacuated messenger.Evacuated }
 
-// BoundsKnown reports how many connections a server of each service accepts.
-type BoundsKnown struct {
+// ConnectionLimitsChanged reports how many connections a server of each service accepts.
+type ConnectionLimitsChanged struct {
 	Connections map[identifier.ServiceName]int
 }
 
-func (*StartRequested) isStarterInput()        {}
-func (*OrderArrived) isStarterInput()          {}
-func (*CallReturned) isStarterInput()          {}
-func (*ResultArrived) isStarterInput()         {}
-func (*HostsChanged) isStarterInput()          {}
-func (*PeerConnectionChanged) isStarterInput() {}
-func (*EvacuationsChanged) isStarterInput()    {}
-func (*BoundsKnown) isStarterInput()           {}
+func (*StartRequested) isStarterInput()          {}
+func (*OrderArrived) isStarterInput()            {}
+func (*CallReturned) isStarterInput()            {}
+func (*ResultArrived) isStarterInput()           {}
+func (*HostsChanged) isStarterInput()            {}
+func (*PeerConnectionChanged) isStarterInput()   {}
+func (*EvacuationsChanged) isStarterInput()      {}
+func (*ConnectionLimitsChanged) isStarterInput() {}
 
 // Output is a call or message for the owner of the starter to carry out.
 type Output interface{ isStarterOutput() }
--- a/pkg/starter/starter.go
+++ b/pkg/starter/starter.go
@@ -132,7 +132,7 @@
 		starter.handlePeerChanged(input)
 	case *EvacuationsChanged:
 		starter.evacuations = input.Evacuated
-	case *BoundsKnown:
+	case *ConnectionLimitsChanged:
 		starter.connectionLimits = input.Connections
 		clear(starter.starterSets)
 	}
--- a/pkg/starter/starter_test.go
+++ b/pkg/starter/starter_test.go
@@ -103,7 +103,7 @@
 	for _, test := range []struct {
 		bound, starters int
 	}{{0, 24}, {1, 1}, {16, 1}, {17, 1}, {24, 4}, {1024, 100}} {
-		tested.Tick(1, []Input{&BoundsKnown{Connections: map[identifier.ServiceName]int{"estimates": test.bound}}})
+		tested.Tick(1, []Input{&ConnectionLimitsChanged{Connections: map[identifier.ServiceName]int{"estimates": test.bound}}})
 		if set := tested.startersFor(startOn(0, 1)); len(set) != test.starters {
 			t.Errorf("bound %d: %d starters, want %d", test.bound, len(set), test.starters)
 		}
