--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -248,7 +248,7 @@
 		coordinator.outputs.toPeer(output.To, PeerMessage{StartOrder: &output.Order})
 	case *starter.SendResult:
 		coordinator.outputs.toPeer(output.To, PeerMessage{StartResult: &output.Result})
-	case *starter.StartDone:
+	case *starter.StartReturned:
 		coordinator.notifySupervisor(&output.Returned)
 	}
 }
--- a/pkg/starter/messages.go
+++ b/pkg/starter/messages.go
@@ -82,10 +82,10 @@
 	Result messenger.StartResult
 }
 
-// StartDone delivers the result of a start that this host requested by RunWanted.
-type StartDone struct{ Returned supervisor.StartReturned }
+// StartReturned delivers the result of a start that this host requested by RunWanted.
+type StartReturned struct{ Returned supervisor.StartReturned }
 
-func (*CallServer) isStarterOutput() {}
-func (*SendOrder) isStarterOutput()  {}
-func (*SendResult) isStarterOutput() {}
-func (*StartDone) isStarterOutput()  {}
+func (*CallServer) isStarterOutput()    {}
+func (*SendOrder) isStarterOutput()     {}
+func (*SendResult) isStarterOutput()    {}
+func (*StartReturned) isStarterOutput() {}
--- a/pkg/starter/starter.go
+++ b/pkg/starter/starter.go
@@ -175,7 +175,7 @@
 // returnResult passes the answer to a call to the host that requested it.
 func (starter *Starter) returnResult(input *CallReturned) {
 	if input.For == starter.Self {
-		starter.emit(&StartDone{Returned: input.Returned})
+		starter.emit(&StartReturned{Returned: input.Returned})
 		return
 	}
 	returned := &input.Returned
@@ -198,7 +198,7 @@
 func (starter *Starter) endOrder(key orderKey, outcome messenger.StartOutcome) {
 	starter.orders.Remove(key)
 	starter.timers.Clear(key)
-	starter.emit(&StartDone{Returned: supervisor.StartReturned{Run: key.run, Server: key.server, Epoch: key.epoch, Outcome: outcome}})
+	starter.emit(&StartReturned{Returned: supervisor.StartReturned{Run: key.run, Server: key.server, Epoch: key.epoch, Outcome: outcome}})
 }
 
 // endUnanswered ends an order without a result, after its timeout or a lost connection. The starter
--- a/pkg/starter/starter_test.go
+++ b/pkg/starter/starter_test.go
@@ -128,7 +128,7 @@
 func outcomesOf(outputs []Output) []messenger.StartOutcome {
 	var outcomes []messenger.StartOutcome
 	for _, output := range outputs {
-		if done, isDone := output.(*StartDone); isDone {
+		if done, isDone := output.(*StartReturned); isDone {
 			outcomes = append(outcomes, done.Returned.Outcome)
 		}
 	}
@@ -214,7 +214,7 @@
 		&StartRequested{Start: startOn(1, 1)},
 		&OrderArrived{From: hosts[1], Order: messenger.StartOrder{RunKey: messenger.RunKey{Job: "job", Run: 2}, Server: "server-1", Epoch: 7}},
 	})
-	done, isDone := outputs[0].(*StartDone)
+	done, isDone := outputs[0].(*StartReturned)
 	if !isDone || done.Returned.Outcome != messenger.StartWithheld {
 		t.Errorf("own start: got %+v", outputs[0])
 	}
