--- a/pkg/starter/choosing.go
+++ b/pkg/starter/choosing.go
@@ -63,7 +63,7 @@
 // hosts join and the limit falls from few to usual, the connections opened before stay for a while
 // beside the new ones; the comparison counts both.
 func (starter *Starter) connectionLimit(start *supervisor.StartRun) int {
-	few, usual := starter.Settings.FewConnections, starter.Settings.HostConnections
+	few, usual := starter.Settings.SmallDomainConnections, starter.Settings.HostConnections
 	if hosts := len(starter.startersFor(start)); hosts*(few+usual) > starter.startConnectionLimit(start.Service) {
 		return usual
 	}
--- a/pkg/starter/starter.go
+++ b/pkg/starter/starter.go
@@ -25,8 +25,8 @@
 	// HostConnections is how many connections one starter opens to one server. FewConnections
 	// applies instead if the failure domain has so few hosts that each may open more: a call whose
 	// answer is lost blocks its connection while other calls wait for it.
-	HostConnections int
-	FewConnections  int
+	HostConnections        int
+	SmallDomainConnections int
 	// LeadConnections is how many of a server's connections are reserved for the calls of its lead
 	// and of the previous lead.
 	LeadConnections int
@@ -44,7 +44,7 @@
 // DefaultSettings returns the daemon's default settings.
 func DefaultSettings() Settings {
 	return Settings{
-		HostConnections: 1, FewConnections: 4, LeadConnections: 8, LingeringShare: 0.5, ServerConnections: 64, OrderTimeout: 220 * time.Millisecond,
+		HostConnections: 1, SmallDomainConnections: 4, LeadConnections: 8, LingeringShare: 0.5, ServerConnections: 64, OrderTimeout: 220 * time.Millisecond,
 	}
 }
 
