--- a/pkg/coordinator/inquiring.go
+++ b/pkg/coordinator/inquiring.go
@@ -20,7 +20,7 @@
 	home := coordinator.domainOf(from)
 	peers := coordinator.entryHosts(coordinator.livingIn(home))
 	peers = slices.DeleteFunc(peers, func(host identifier.HostID) bool { return host == from })
-	coordinator.notifyInquirer(&inquirer.RoomRequested{From: from, Request: *request, Home: home, Peers: peers})
+	coordinator.notifyInquirer(&inquirer.CapacityRequested{From: from, Request: *request, Home: home, Peers: peers})
 }
 
 // isUnknownJob reports whether this host leads the requested cell and doesn't have the job there.
--- a/pkg/inquirer/inquirer.go
+++ b/pkg/inquirer/inquirer.go
@@ -61,7 +61,7 @@
 
 // inquiry is a request that waits for replies.
 type inquiry struct {
-	request   *RoomRequested
+	request   *CapacityRequested
 	arrivedAt identifier.Moment
 	// pendingHosts holds the hosts that have not replied.
 	pendingHosts []identifier.HostID
@@ -101,7 +101,7 @@
 
 func (inquirer *Inquirer) apply(input Input) {
 	switch input := input.(type) {
-	case *RoomRequested:
+	case *CapacityRequested:
 		inquirer.handleRequest(input)
 	case *RoomReleased:
 		inquirer.handleRelease(input)
@@ -115,7 +115,7 @@
 
 // handleRequest sends an inquiry to the hosts of a job's home. An earlier request for the same job
 // from another host is denied, as only one submission may continue.
-func (inquirer *Inquirer) handleRequest(input *RoomRequested) {
+func (inquirer *Inquirer) handleRequest(input *CapacityRequested) {
 	key := inquiryKey{job: input.Request.Job, cell: input.Request.Cell}
 	if earlier := inquirer.inquiries.Get(key); earlier != nil && earlier.request.From != input.From {
 		inquirer.deny(key, earlier, "sent again")
--- a/pkg/inquirer/inquirer_test.go
+++ b/pkg/inquirer/inquirer_test.go
@@ -34,7 +34,7 @@
 	host := identifier.HostID(scan(t, data, "host"))
 	switch data.Cmd {
 	case "request":
-		requested := &inquirer.RoomRequested{From: host, Home: "leuven", Request: messenger.CapacityRequest{
+		requested := &inquirer.CapacityRequested{From: host, Home: "leuven", Request: messenger.CapacityRequest{
 			Job: job, Remaining: time.Second, Tasks: []messenger.TaskRequest{{Task: 0}, {Task: 1}},
 		}}
 		for _, peer := range strings.Fields(data.Input) {
--- a/pkg/inquirer/messages.go
+++ b/pkg/inquirer/messages.go
@@ -8,8 +8,8 @@
 // Input is a message or event that Tick applies.
 type Input interface{ isInquirerInput() }
 
-// RoomRequested delivers a request that the lead of the job's home has not referred to this cell.
-type RoomRequested struct {
+// CapacityRequested delivers a request that the lead of the job's home has not referred to this cell.
+type CapacityRequested struct {
 	From    identifier.HostID
 	Request messenger.CapacityRequest
 	// Home is the failure domain of the job's home.
@@ -37,10 +37,10 @@
 	FailureDomain identifier.FailureDomain
 }
 
-func (*RoomRequested) isInquirerInput() {}
-func (*RoomReleased) isInquirerInput()  {}
-func (*ReplyArrived) isInquirerInput()  {}
-func (*HostLost) isInquirerInput()      {}
+func (*CapacityRequested) isInquirerInput() {}
+func (*RoomReleased) isInquirerInput()      {}
+func (*ReplyArrived) isInquirerInput()      {}
+func (*HostLost) isInquirerInput()          {}
 
 // Output is a message, a decision or a log line for the owner of the inquirer to carry out.
 type Output interface{ isInquirerOutput() }
