--- a/pkg/coordinator/inquiring.go
+++ b/pkg/coordinator/inquiring.go
@@ -47,7 +47,7 @@
 
 // releaseCapacity passes on that a host needs no more capacity for a job.
 func (coordinator *Coordinator) releaseCapacity(from identifier.HostID, release *messenger.CapacityRelease) {
-	coordinator.notifyInquirer(&inquirer.RoomReleased{From: from, Job: release.Job, Cell: release.Cell})
+	coordinator.notifyInquirer(&inquirer.CapacityReleased{From: from, Job: release.Job, Cell: release.Cell})
 	coordinator.notifyAllocator(release.Cell, &allocator.CapacityReleased{From: from, Job: release.Job})
 }
 
--- a/pkg/inquirer/inquirer.go
+++ b/pkg/inquirer/inquirer.go
@@ -103,7 +103,7 @@
 	switch input := input.(type) {
 	case *CapacityRequested:
 		inquirer.handleRequest(input)
-	case *RoomReleased:
+	case *CapacityReleased:
 		inquirer.handleRelease(input)
 	case *ReplyArrived:
 		inquirer.handleReply(input)
@@ -160,7 +160,7 @@
 	return found
 }
 
-func (inquirer *Inquirer) handleRelease(input *RoomReleased) {
+func (inquirer *Inquirer) handleRelease(input *CapacityReleased) {
 	key := inquiryKey{job: input.Job, cell: input.Cell}
 	if pending := inquirer.inquiries.Get(key); pending != nil && pending.request.From == input.From {
 		inquirer.remove(key)
--- a/pkg/inquirer/inquirer_test.go
+++ b/pkg/inquirer/inquirer_test.go
@@ -45,7 +45,7 @@
 		reply := messenger.JobInquiryReply{Job: job, Host: identifier.HostID(scan(t, data, "for")), Known: data.HasArg("known")}
 		return []inquirer.Input{&inquirer.ReplyArrived{From: host, Reply: reply}}
 	case "release":
-		return []inquirer.Input{&inquirer.RoomReleased{From: host, Job: job}}
+		return []inquirer.Input{&inquirer.CapacityReleased{From: host, Job: job}}
 	case "lost":
 		return []inquirer.Input{&inquirer.HostLost{Host: host, FailureDomain: "leuven"}}
 	case "wait":
--- a/pkg/inquirer/messages.go
+++ b/pkg/inquirer/messages.go
@@ -18,8 +18,8 @@
 	Peers []identifier.HostID
 }
 
-// RoomReleased reports that a host needs no more capacity for a job.
-type RoomReleased struct {
+// CapacityReleased reports that a host needs no more capacity for a job.
+type CapacityReleased struct {
 	From identifier.HostID
 	Job  identifier.JobID
 	Cell messenger.CellNumber
@@ -38,7 +38,7 @@
 }
 
 func (*CapacityRequested) isInquirerInput() {}
-func (*RoomReleased) isInquirerInput()      {}
+func (*CapacityReleased) isInquirerInput()  {}
 func (*ReplyArrived) isInquirerInput()      {}
 func (*HostLost) isInquirerInput()          {}
 
