--- a/pkg/coordinator/inquiring.go
+++ b/pkg/coordinator/inquiring.go
@@ -93,7 +93,7 @@
 		coordinator.notifyAllocator(output.Request.Cell, &allocator.CapacityRequested{From: output.From, Request: output.Request})
 	case *inquirer.RequestDenied:
 		coordinator.answerCapacityRequest(output.From, &output.Request, messenger.CapacityAnswerKnownElsewhere)
-	case *inquirer.RequestHeld:
+	case *inquirer.RequestPending:
 		coordinator.answerCapacityRequest(output.From, &output.Request, messenger.CapacityAnswerWaiting)
 	case *inquirer.Decided:
 		coordinator.outputs.add(&Decided{Decision: output.Decision})
--- a/pkg/inquirer/inquirer.go
+++ b/pkg/inquirer/inquirer.go
@@ -133,7 +133,7 @@
 	}
 	inquirer.clearIfSettled(key, created)
 	if inquirer.inquiries.Get(key) == created {
-		inquirer.emit(&RequestHeld{From: input.From, Request: input.Request})
+		inquirer.emit(&RequestPending{From: input.From, Request: input.Request})
 	}
 }
 
--- a/pkg/inquirer/inquirer_test.go
+++ b/pkg/inquirer/inquirer_test.go
@@ -69,7 +69,7 @@
 			lines = append(lines, fmt.Sprintf("ask %s about %s for %s", output.To, output.Inquiry.Job, output.Inquiry.Host))
 		case *inquirer.SendNotice:
 			lines = append(lines, fmt.Sprintf("tell %s of %s tasks %v", output.To, output.Notice.Job, output.Notice.Tasks))
-		case *inquirer.RequestHeld:
+		case *inquirer.RequestPending:
 			lines = append(lines, fmt.Sprintf("%s of %s waits", output.Request.Job, output.From))
 		case *inquirer.RequestCleared:
 			request := output.Request
--- a/pkg/inquirer/messages.go
+++ b/pkg/inquirer/messages.go
@@ -57,9 +57,9 @@
 	Notice messenger.JobElsewhere
 }
 
-// RequestHeld notifies a host that its request waits for replies. Otherwise the host would treat
+// RequestPending notifies a host that its request waits for replies. Otherwise the host would treat
 // this lead as silent.
-type RequestHeld struct {
+type RequestPending struct {
 	From    identifier.HostID
 	Request messenger.CapacityRequest
 }
@@ -82,7 +82,7 @@
 
 func (*SendInquiry) isInquirerOutput()    {}
 func (*SendNotice) isInquirerOutput()     {}
-func (*RequestHeld) isInquirerOutput()    {}
+func (*RequestPending) isInquirerOutput() {}
 func (*RequestCleared) isInquirerOutput() {}
 func (*RequestDenied) isInquirerOutput()  {}
 func (*Decided) isInquirerOutput()        {}
