--- a/pkg/dispatcher/guestqueries.go
+++ b/pkg/dispatcher/guestqueries.go
@@ -184,10 +184,10 @@
 	dispatcher.queryGuests(cell)
 }
 
-// Emptied lists the other hosts of the failure domain that this host has recently seen restart
+// HostsWithoutState lists the other hosts of the failure domain that this host has recently seen restart
 // without state. A new lead that has just started itself does not know this of a host that
 // started earlier.
-func (dispatcher *Dispatcher) Emptied(now identifier.Moment) []identifier.HostID {
+func (dispatcher *Dispatcher) HostsWithoutState(now identifier.Moment) []identifier.HostID {
 	recent := make(map[identifier.HostID]bool)
 	for host, until := range dispatcher.withoutStateUntil {
 		if host != dispatcher.Self && !until.Due(now) {
