--- a/pkg/coordinator/membership.go
+++ b/pkg/coordinator/membership.go
@@ -123,7 +123,7 @@
 	switch host := change.New.Member.Host; {
 	case change.New.Living() && !wasLiving:
 		lostState := restarted && change.Old.Status != gossiper.StatusLeft
-		coordinator.notifyDispatcher(&dispatcher.HostReturned{Host: host, Emptied: lostState})
+		coordinator.notifyDispatcher(&dispatcher.HostReturned{Host: host, WithoutState: lostState})
 	case !change.New.Living() && wasLiving && !coordinator.isLeaving(change.New):
 		left := change.New.Status == gossiper.StatusLeft
 		coordinator.notifyDispatcher(&dispatcher.HostGone{Host: host, Left: left})
--- a/pkg/dispatcher/input.go
+++ b/pkg/dispatcher/input.go
@@ -88,9 +88,9 @@
 // HostReturned reports that a host of the failure domain can be reached, possibly again.
 type HostReturned struct {
 	Host identifier.HostID
-	// Emptied reports that the host runs a new process and that the previous one has not handed over
+	// WithoutState reports that the host runs a new process and that the previous one has not handed over
 	// its records.
-	Emptied bool
+	WithoutState bool
 }
 
 // HostGone reports that a host of the failure domain can't be reached any more.
--- a/pkg/dispatcher/returns.go
+++ b/pkg/dispatcher/returns.go
@@ -12,11 +12,11 @@
 		return
 	}
 	dispatcher.recordHostVisibility(input.Host, false)
-	if input.Emptied {
+	if input.WithoutState {
 		dispatcher.withoutStateUntil[input.Host] = dispatcher.now.Add(rereplicationTime)
 	}
 	dispatcher.cells.Each(func(_ messenger.CellNumber, cell *cell) bool {
-		if input.Emptied {
+		if input.WithoutState {
 			dispatcher.recordHostWithoutState(cell, input.Host)
 		}
 		if !cell.ready {
