--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -299,7 +299,7 @@
 		coordinator.notifyDispatcher(&dispatcher.HolderAnswered{Claimant: output.Claimant, Answer: output.Answer})
 	case *forwarder.ReplyTakeover:
 		output.Reply.HostsWithoutState = coordinator.dispatcher.HostsWithoutState(coordinator.now)
-		coordinator.dispatcher.Vouch(&output.Reply)
+		coordinator.dispatcher.AddSeenServers(&output.Reply)
 		if output.To == self {
 			coordinator.notifyDispatcher(&dispatcher.TakeoverReplied{From: self, Reply: output.Reply})
 			return
--- a/pkg/dispatcher/seenservers.go
+++ b/pkg/dispatcher/seenservers.go
@@ -14,9 +14,9 @@
 	servers       []identifier.BackendServerID
 }
 
-// Vouch adds to a reply the backend servers that this host may have sent tasks to as a lead, and
+// AddSeenServers adds to a reply the backend servers that this host may have sent tasks to as a lead, and
 // how long its process has run.
-func (dispatcher *Dispatcher) Vouch(reply *messenger.TakeoverReply) {
+func (dispatcher *Dispatcher) AddSeenServers(reply *messenger.TakeoverReply) {
 	if dispatcher.servers == nil {
 		return
 	}
