--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -127,7 +127,7 @@
 	case message.Spill != nil:
 		deadline := identifier.DeadlineFrom(coordinator.now, message.Spill.Remaining)
 		coordinator.notifyDispatcher(&dispatcher.SpillArrived{
-			From: from, Request: *message.Spill, Deadline: deadline, FromLost: !coordinator.isLiving(from),
+			From: from, Request: *message.Spill, Deadline: deadline, SenderNotLive: !coordinator.isLiving(from),
 		})
 	case message.SpillAnswer != nil:
 		coordinator.notifyDispatcher(&dispatcher.SpillAnswered{From: from, Answer: message.SpillAnswer})
--- a/pkg/dispatcher/guests.go
+++ b/pkg/dispatcher/guests.go
@@ -26,7 +26,7 @@
 			request.Job.Submission, messenger.ReasonUnknownSubmission, "nothing is known of the submission here")})
 		return
 	}
-	if input.FromLost {
+	if input.SenderNotLive {
 		// The job may have waited on the connection since before the sender was lost, and another
 		// lead of the home, not yet known here, may have run it. Its tasks would start in two failure
 		// domains, the second time right after a network cut ends. The job is not answered either: a
--- a/pkg/dispatcher/guests_test.go
+++ b/pkg/dispatcher/guests_test.go
@@ -73,7 +73,7 @@
 		job.MayRun = []identifier.FailureDomain{"home", fake.Domain}
 		request := messenger.SpillRequest{Job: job, Mode: messenger.SpillRun, Epoch: 4, Again: again}
 		outputs := lead.Tick(1, []dispatcher.Input{
-			&dispatcher.SpillArrived{From: "home-0", Request: request, Deadline: identifier.Never, FromLost: true},
+			&dispatcher.SpillArrived{From: "home-0", Request: request, Deadline: identifier.Never, SenderNotLive: true},
 		})
 		if started := startedSubmissions(outputs); len(started) != 0 {
 			t.Errorf("resent %t: started %v", again, started)
--- a/pkg/dispatcher/input.go
+++ b/pkg/dispatcher/input.go
@@ -53,8 +53,8 @@
 	From     identifier.HostID
 	Request  messenger.SpillRequest
 	Deadline identifier.Moment
-	// FromLost reports that the sender is not live according to the membership.
-	FromLost bool
+	// SenderNotLive reports that the sender is not live according to the membership.
+	SenderNotLive bool
 }
 
 // SpillAnswered delivers the answer of a job that was handed over.
