--- a/pkg/connector/translation.go
+++ b/pkg/connector/translation.go
@@ -70,7 +70,7 @@
 			Unacknowledged: serverAnswers(report.GetUnacknowledged()),
 			Acknowledged:   digests(report.GetAcknowledged()),
 
-			TellsAcknowledged: report.GetTellsAcknowledged(),
+			ListsAcknowledged: report.GetTellsAcknowledged(),
 		})
 	}
 	if refusals := message.GetRefusals(); len(refusals) > 0 {
--- a/pkg/coordinator/fakeserver_test.go
+++ b/pkg/coordinator/fakeserver_test.go
@@ -151,7 +151,7 @@
 		Unacknowledged: server.unacknowledged(),
 	}
 	if lead.MayMissRecords {
-		report.Acknowledged, report.TellsAcknowledged = slices.Sorted(maps.Keys(server.acknowledged)), true
+		report.Acknowledged, report.ListsAcknowledged = slices.Sorted(maps.Keys(server.acknowledged)), true
 	}
 	server.send(host, report)
 }
--- a/pkg/dispatcher/acknowledged.go
+++ b/pkg/dispatcher/acknowledged.go
@@ -32,7 +32,7 @@
 // the server forget it. The task would be missing from the report and be mistaken for one that
 // never started: it would start a second time when an unresponsive backend server returns.
 func (dispatcher *Dispatcher) requestReportAgain(cell *cell, server *server, report *ServerReported) bool {
-	if len(cell.unlocated) == 0 || report.TellsAcknowledged || server.reportRequestedAgain {
+	if len(cell.unlocated) == 0 || report.ListsAcknowledged || server.reportRequestedAgain {
 		return false
 	}
 	server.reportRequestedAgain = true
--- a/pkg/dispatcher/input.go
+++ b/pkg/dispatcher/input.go
@@ -175,8 +175,8 @@
 	// Acknowledged are the submissions for which an answer was acknowledged there within the answer
 	// retention, for a lead that requested them.
 	Acknowledged []messenger.SubmissionDigest
-	// TellsAcknowledged reports that the list Acknowledged is filled in.
-	TellsAcknowledged bool
+	// ListsAcknowledged reports that the list Acknowledged is filled in.
+	ListsAcknowledged bool
 }
 
 // ServerHeartbeat reports that a backend server is live and how many of its slots are busy.
--- a/pkg/replayer/controlsize.go
+++ b/pkg/replayer/controlsize.go
@@ -41,7 +41,7 @@
 		return proto.Size(&backendv1.ServerMessage{Report: &backendv1.Report{
 			Cell: uint32(input.Cell), Epoch: uint64(input.Epoch),
 			Tasks: taskStates(input.Tasks), Unacknowledged: answers(input.Unacknowledged), Acknowledged: digests(input.Acknowledged),
-			TellsAcknowledged: input.TellsAcknowledged,
+			TellsAcknowledged: input.ListsAcknowledged,
 		}})
 	case *dispatcher.ServerAnnounced:
 		return proto.Size(&backendv1.ServerMessage{Announce: &backendv1.Announce{
