--- a/pkg/connector/hostmessages.go
+++ b/pkg/connector/hostmessages.go
@@ -39,7 +39,7 @@
 	}
 	if batch.Lead != nil {
 		merger.last().Lead = &backendv1.Lead{
-			Cell: uint32(batch.Lead.Cell), Epoch: uint64(batch.Lead.Epoch), MayMissRecords: batch.Lead.MayMissRecords,
+			Cell: uint32(batch.Lead.Cell), Epoch: uint64(batch.Lead.Epoch), MayMissRecords: batch.Lead.ListAcknowledged,
 		}
 	}
 	merger.addStarts(batch.Starts)
--- a/pkg/coordinator/fakeserver_test.go
+++ b/pkg/coordinator/fakeserver_test.go
@@ -150,7 +150,7 @@
 		Tasks:          server.running(),
 		Unacknowledged: server.unacknowledged(),
 	}
-	if lead.MayMissRecords {
+	if lead.ListAcknowledged {
 		report.Acknowledged, report.ListsAcknowledged = slices.Sorted(maps.Keys(server.acknowledged)), true
 	}
 	server.send(host, report)
--- a/pkg/dispatcher/acknowledged_test.go
+++ b/pkg/dispatcher/acknowledged_test.go
@@ -61,7 +61,7 @@
 
 func asksForAcknowledged(outputs []dispatcher.Output) bool {
 	for _, output := range outputs {
-		if batch, isBatch := output.(*dispatcher.ToServer); isBatch && batch.Lead != nil && batch.Lead.MayMissRecords {
+		if batch, isBatch := output.(*dispatcher.ToServer); isBatch && batch.Lead != nil && batch.Lead.ListAcknowledged {
 			return true
 		}
 	}
--- a/pkg/dispatcher/output.go
+++ b/pkg/dispatcher/output.go
@@ -22,8 +22,8 @@
 type Lead struct {
 	Cell  messenger.CellNumber
 	Epoch identifier.Epoch
-	// MayMissRecords requests the list of submissions whose answers were acknowledged.
-	MayMissRecords bool
+	// ListAcknowledged requests the list of submissions whose answers were acknowledged.
+	ListAcknowledged bool
 }
 
 // Start asks a backend server to run a task.
--- a/pkg/dispatcher/takeover.go
+++ b/pkg/dispatcher/takeover.go
@@ -63,7 +63,7 @@
 	server.fenced = false
 	cell.free.remove(server)
 	dispatcher.outputs.toServer(cell.number, server.id).Lead = &Lead{
-		Cell: cell.number, Epoch: cell.epoch, MayMissRecords: cell.needsAcknowledged(),
+		Cell: cell.number, Epoch: cell.epoch, ListAcknowledged: cell.needsAcknowledged(),
 	}
 }
 
--- a/pkg/replayer/controlsize.go
+++ b/pkg/replayer/controlsize.go
@@ -25,7 +25,7 @@
 		return 0
 	}
 	return proto.Size(&backendv1.HostMessage{Lead: &backendv1.Lead{
-		Cell: uint32(lead.Cell), Epoch: uint64(lead.Epoch), MayMissRecords: lead.MayMissRecords,
+		Cell: uint32(lead.Cell), Epoch: uint64(lead.Epoch), MayMissRecords: lead.ListAcknowledged,
 	}})
 }
 
--- a/pkg/replayer/fakebackend/server.go
+++ b/pkg/replayer/fakebackend/server.go
@@ -203,7 +203,7 @@
 	number := lead.Cell
 	reported := &dispatcher.ServerReported{Server: server.ID, Cell: number, Epoch: server.cells[number].epoch}
 	reported.Tasks, reported.Unacknowledged = server.state(func(task *task) bool { return task.cell == number })
-	if lead.MayMissRecords {
+	if lead.ListAcknowledged {
 		reported.Acknowledged, reported.ListsAcknowledged = server.acknowledgedOf(number), true
 	}
 	server.queue(host, reported)
