--- a/pkg/connector/hostmessages.go
+++ b/pkg/connector/hostmessages.go
@@ -47,7 +47,7 @@
 	message.Cancels = appendBlock(message.Cancels, batch.Cancels, func(cancel *backendv1.Cancel, key *dispatcher.TaskKey) {
 		cancel.Submission, cancel.Task = string(key.Submission), string(key.Task)
 	})
-	message.Received = appendBlock(message.Received, batch.Received, func(received *backendv1.AnswerReceived, key *dispatcher.TaskKey) {
+	message.Received = appendBlock(message.Received, batch.Acknowledged, func(received *backendv1.AnswerReceived, key *dispatcher.TaskKey) {
 		received.Submission, received.Task = string(key.Submission), string(key.Task)
 	})
 }
--- a/pkg/coordinator/fakeserver_test.go
+++ b/pkg/coordinator/fakeserver_test.go
@@ -132,7 +132,7 @@
 	for _, start := range batch.Starts {
 		server.start(host, start)
 	}
-	for _, key := range batch.Received {
+	for _, key := range batch.Acknowledged {
 		delete(server.finished, key)
 		server.acknowledged[messenger.DigestOf(key.Submission)] = true
 	}
--- a/pkg/dispatcher/acknowledge_test.go
+++ b/pkg/dispatcher/acknowledge_test.go
@@ -22,7 +22,7 @@
 		count := 0
 		for _, output := range lead.Tick(now, inputs) {
 			if batch, isBatch := output.(*dispatcher.ToServer); isBatch {
-				count += len(batch.Received)
+				count += len(batch.Acknowledged)
 			}
 		}
 		return count
--- a/pkg/dispatcher/answers.go
+++ b/pkg/dispatcher/answers.go
@@ -93,7 +93,7 @@
 		return
 	}
 	batch := dispatcher.outputs.toServer(server.cell, server.id)
-	batch.Received = append(batch.Received, key)
+	batch.Acknowledged = append(batch.Acknowledged, key)
 }
 
 // resolve sets the outcome of a task and completes the job after its last task.
@@ -268,7 +268,7 @@
 			continue
 		}
 		batch := dispatcher.outputs.toServer(job.cell, task.server)
-		batch.Received = append(batch.Received, task.key())
+		batch.Acknowledged = append(batch.Acknowledged, task.key())
 	}
 	// The results are now kept in the answer only.
 	job.tasks = nil
--- a/pkg/dispatcher/output.go
+++ b/pkg/dispatcher/output.go
@@ -11,11 +11,11 @@
 // ToServer is the batch of one tick for one backend server. Received are the tasks whose answers
 // are acknowledged.
 type ToServer struct {
-	Server   identifier.BackendServerID
-	Lead     *Lead
-	Starts   []Start
-	Cancels  []TaskKey
-	Received []TaskKey
+	Server       identifier.BackendServerID
+	Lead         *Lead
+	Starts       []Start
+	Cancels      []TaskKey
+	Acknowledged []TaskKey
 }
 
 // Lead notifies a backend server of the lead of its cell.
--- a/pkg/replayer/fakebackend/server.go
+++ b/pkg/replayer/fakebackend/server.go
@@ -174,7 +174,7 @@
 	for _, key := range batch.Cancels {
 		server.cancel(key)
 	}
-	for _, key := range batch.Received {
+	for _, key := range batch.Acknowledged {
 		if known := server.tasks[key]; known != nil && known.answer != nil {
 			server.acknowledged[key.Submission] = known.cell
 			delete(server.tasks, key)
--- a/pkg/replayer/ledger.go
+++ b/pkg/replayer/ledger.go
@@ -85,7 +85,7 @@
 	for range batch.Cancels {
 		parts = append(parts, part{kind: partWaste})
 	}
-	for _, key := range batch.Received {
+	for _, key := range batch.Acknowledged {
 		parts = append(parts, part{kind: partTaskAnswer, submission: key.Submission})
 	}
 	ledger.add(parts)
