--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -123,7 +123,7 @@
 		coordinator.notifyForwarder(&forwarder.CopiesHeld{From: from, Submissions: message.CopyReceipt})
 		coordinator.notifyDispatcher(&dispatcher.SpillRecorded{Submissions: message.CopyReceipt})
 	case message.Load != nil:
-		coordinator.notifyDispatcher(&dispatcher.LoadNoticed{From: from, Notice: *message.Load})
+		coordinator.notifyDispatcher(&dispatcher.LoadAnnounced{From: from, Notice: *message.Load})
 	case message.Spill != nil:
 		deadline := identifier.DeadlineFrom(coordinator.now, message.Spill.Remaining)
 		coordinator.notifyDispatcher(&dispatcher.SpillArrived{
--- a/pkg/dispatcher/dispatcher.go
+++ b/pkg/dispatcher/dispatcher.go
@@ -178,7 +178,7 @@
 		dispatcher.recordRemoteLead(input)
 	case *RemoteReconnected:
 		dispatcher.handleReconnected(input)
-	case *LoadNoticed:
+	case *LoadAnnounced:
 		dispatcher.recordLoad(input)
 	case *SpillRecorded:
 		dispatcher.sendSpilled(input)
--- a/pkg/dispatcher/input.go
+++ b/pkg/dispatcher/input.go
@@ -37,8 +37,8 @@
 	Host identifier.HostID
 }
 
-// LoadNoticed delivers the load of a cell of another failure domain.
-type LoadNoticed struct {
+// LoadAnnounced delivers the load of a cell of another failure domain.
+type LoadAnnounced struct {
 	From   identifier.HostID
 	Notice messenger.LoadNotice
 }
@@ -80,7 +80,7 @@
 func (*GuestsListed) isDispatcherInput()      {}
 func (*RemoteLeadKnown) isDispatcherInput()   {}
 func (*RemoteReconnected) isDispatcherInput() {}
-func (*LoadNoticed) isDispatcherInput()       {}
+func (*LoadAnnounced) isDispatcherInput()     {}
 func (*SpillRecorded) isDispatcherInput()     {}
 func (*SpillArrived) isDispatcherInput()      {}
 func (*SpillAnswered) isDispatcherInput()     {}
--- a/pkg/dispatcher/remotes.go
+++ b/pkg/dispatcher/remotes.go
@@ -104,7 +104,7 @@
 	})
 }
 
-func (dispatcher *Dispatcher) recordLoad(input *LoadNoticed) {
+func (dispatcher *Dispatcher) recordLoad(input *LoadAnnounced) {
 	key := remoteKey{failureDomain: input.Notice.FailureDomain, cell: input.Notice.Cell}
 	if remote := dispatcher.remotes.Get(key); remote != nil && remote.host == input.From {
 		remote.free = input.Notice.Free
