--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -400,7 +400,7 @@
 			return
 		}
 		coordinator.outputs.toPeer(output.To, PeerMessage{TakeoverQuery: &output.Query})
-	case *dispatcher.LoadTold:
+	case *dispatcher.AnnounceLoad:
 		coordinator.outputs.toPeer(output.To, PeerMessage{Load: &output.Notice})
 	case *dispatcher.RecordSpill:
 		coordinator.recordSpill(output)
--- a/pkg/dispatcher/output.go
+++ b/pkg/dispatcher/output.go
@@ -68,8 +68,8 @@
 	Epoch identifier.Epoch
 }
 
-// LoadTold carries the load of a cell to the lead of another failure domain.
-type LoadTold struct {
+// AnnounceLoad carries the load of a cell to the lead of another failure domain.
+type AnnounceLoad struct {
 	To     identifier.HostID
 	Notice messenger.LoadNotice
 }
@@ -120,7 +120,7 @@
 
 func (*GuestsWanted) isDispatcherOutput()   {}
 func (*GuestsTold) isDispatcherOutput()     {}
-func (*LoadTold) isDispatcherOutput()       {}
+func (*AnnounceLoad) isDispatcherOutput()   {}
 func (*RecordSpill) isDispatcherOutput()    {}
 func (*SpillJob) isDispatcherOutput()       {}
 func (*AnswerSpill) isDispatcherOutput()    {}
--- a/pkg/dispatcher/remotes.go
+++ b/pkg/dispatcher/remotes.go
@@ -142,7 +142,7 @@
 	notice := messenger.LoadNotice{FailureDomain: dispatcher.FailureDomain, Cell: cell.number, Free: free}
 	dispatcher.remotes.Each(func(key remoteKey, remote *remote) bool {
 		if key.cell == cell.number && !remote.unreachable {
-			dispatcher.outputs.add(&LoadTold{To: remote.host, Notice: notice})
+			dispatcher.outputs.add(&AnnounceLoad{To: remote.host, Notice: notice})
 		}
 		return true
 	})
