--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -414,7 +414,7 @@
 		coordinator.outputs.toPeer(output.To, PeerMessage{Cancel: &output.Cancel})
 	case *dispatcher.GuestsWanted:
 		coordinator.outputs.toPeer(output.To, PeerMessage{GuestQuery: &output.Query})
-	case *dispatcher.GuestsTold:
+	case *dispatcher.AnswerGuestQuery:
 		coordinator.outputs.toPeer(output.To, PeerMessage{GuestReply: &output.Reply})
 	case *dispatcher.EpochSeen:
 		coordinator.notifyElector(elector.EpochSeen{Cell: output.Cell, Epoch: output.Epoch})
--- a/pkg/dispatcher/guestqueries.go
+++ b/pkg/dispatcher/guestqueries.go
@@ -111,7 +111,7 @@
 	reply.Records = append(reply.Records, dispatcher.unmatchedRecords(cell)...)
 	reply.Acknowledged = slices.Sorted(maps.Keys(cell.acknowledged))
 	reply.Acknowledged = reply.Acknowledged[:min(len(reply.Acknowledged), maxAcknowledgedPerReply)]
-	dispatcher.outputs.add(&GuestsTold{To: input.From, Reply: reply})
+	dispatcher.outputs.add(&AnswerGuestQuery{To: input.From, Reply: reply})
 }
 
 // unmatchedRecords lists the submissions for which backend servers here have tasks, but this lead
--- a/pkg/dispatcher/output.go
+++ b/pkg/dispatcher/output.go
@@ -112,26 +112,26 @@
 	Query messenger.GuestQuery
 }
 
-// GuestsTold lists for a home lead the jobs of its cell that this lead has accepted.
-type GuestsTold struct {
+// AnswerGuestQuery lists for a home lead the jobs of its cell that this lead has accepted.
+type AnswerGuestQuery struct {
 	To    identifier.HostID
 	Reply messenger.GuestReply
 }
 
-func (*GuestsWanted) isDispatcherOutput()   {}
-func (*GuestsTold) isDispatcherOutput()     {}
-func (*AnnounceLoad) isDispatcherOutput()   {}
-func (*RecordSpill) isDispatcherOutput()    {}
-func (*SpillJob) isDispatcherOutput()       {}
-func (*AnswerSpill) isDispatcherOutput()    {}
-func (*ConfirmSpill) isDispatcherOutput()   {}
-func (*CancelSpill) isDispatcherOutput()    {}
-func (*ToServer) isDispatcherOutput()       {}
-func (*JobAnswered) isDispatcherOutput()    {}
-func (*AnswerWanted) isDispatcherOutput()   {}
-func (*ClaimWanted) isDispatcherOutput()    {}
-func (*TakeoverWanted) isDispatcherOutput() {}
-func (*EpochSeen) isDispatcherOutput()      {}
+func (*GuestsWanted) isDispatcherOutput()     {}
+func (*AnswerGuestQuery) isDispatcherOutput() {}
+func (*AnnounceLoad) isDispatcherOutput()     {}
+func (*RecordSpill) isDispatcherOutput()      {}
+func (*SpillJob) isDispatcherOutput()         {}
+func (*AnswerSpill) isDispatcherOutput()      {}
+func (*ConfirmSpill) isDispatcherOutput()     {}
+func (*CancelSpill) isDispatcherOutput()      {}
+func (*ToServer) isDispatcherOutput()         {}
+func (*JobAnswered) isDispatcherOutput()      {}
+func (*AnswerWanted) isDispatcherOutput()     {}
+func (*ClaimWanted) isDispatcherOutput()      {}
+func (*TakeoverWanted) isDispatcherOutput()   {}
+func (*EpochSeen) isDispatcherOutput()        {}
 
 // outbox collects the outputs of one tick, with one batch for each backend server.
 type outbox struct {
