--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -412,7 +412,7 @@
 		coordinator.outputs.toPeer(output.To, PeerMessage{SpillReceipt: output.Submission})
 	case *dispatcher.CancelSpill:
 		coordinator.outputs.toPeer(output.To, PeerMessage{Cancel: &output.Cancel})
-	case *dispatcher.GuestsWanted:
+	case *dispatcher.QueryGuests:
 		coordinator.outputs.toPeer(output.To, PeerMessage{GuestQuery: &output.Query})
 	case *dispatcher.AnswerGuestQuery:
 		coordinator.outputs.toPeer(output.To, PeerMessage{GuestReply: &output.Reply})
--- a/pkg/dispatcher/guestqueries.go
+++ b/pkg/dispatcher/guestqueries.go
@@ -71,7 +71,7 @@
 		cell.awaitedDomains[domain] = true
 	}
 	query := messenger.GuestQuery{FailureDomain: dispatcher.FailureDomain, Cell: cell.number, Epoch: cell.epoch}
-	dispatcher.outputs.add(&GuestsWanted{To: remote.host, Query: query})
+	dispatcher.outputs.add(&QueryGuests{To: remote.host, Query: query})
 }
 
 // handleGuestQuery answers the lead of a home that misses records. It first waits until the backend
--- a/pkg/dispatcher/output.go
+++ b/pkg/dispatcher/output.go
@@ -105,9 +105,9 @@
 	Cancel messenger.Cancel
 }
 
-// GuestsWanted asks the lead of another failure domain for the jobs of this home that it has
+// QueryGuests asks the lead of another failure domain for the jobs of this home that it has
 // accepted.
-type GuestsWanted struct {
+type QueryGuests struct {
 	To    identifier.HostID
 	Query messenger.GuestQuery
 }
@@ -118,7 +118,7 @@
 	Reply messenger.GuestReply
 }
 
-func (*GuestsWanted) isDispatcherOutput()     {}
+func (*QueryGuests) isDispatcherOutput()      {}
 func (*AnswerGuestQuery) isDispatcherOutput() {}
 func (*AnnounceLoad) isDispatcherOutput()     {}
 func (*RecordSpill) isDispatcherOutput()      {}
