--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -377,7 +377,7 @@
 		coordinator.send(output.To, PeerMessage{Answer: output.Answer})
 	case *dispatcher.LookupAnswered:
 		coordinator.send(output.To, PeerMessage{LookupReply: &output.Reply})
-	case *dispatcher.HolderWanted:
+	case *dispatcher.ClaimHolderAnswerWanted:
 		coordinator.notifyForwarder(&forwarder.HolderAsked{
 			Claimant: output.Claimant, Caller: output.Caller, Holder: output.Holder, Home: output.Home,
 		})
--- a/pkg/dispatcher/claims.go
+++ b/pkg/dispatcher/claims.go
@@ -7,8 +7,8 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// HolderWanted requests the answer of the submission that holds the claim of a not-repeatable job.
-type HolderWanted struct {
+// ClaimHolderAnswerWanted requests the answer of the submission that holds the claim of a not-repeatable job.
+type ClaimHolderAnswerWanted struct {
 	Claimant identifier.SubmissionID
 	Caller   identifier.CallerID
 	Holder   identifier.SubmissionID
@@ -33,10 +33,10 @@
 	Submissions []identifier.SubmissionID
 }
 
-func (*HolderWanted) isDispatcherOutput()     {}
-func (*ClaimReleased) isDispatcherOutput()    {}
-func (*HolderAnswered) isDispatcherInput()    {}
-func (*ClaimsGrantedLate) isDispatcherInput() {}
+func (*ClaimHolderAnswerWanted) isDispatcherOutput() {}
+func (*ClaimReleased) isDispatcherOutput()           {}
+func (*HolderAnswered) isDispatcherInput()           {}
+func (*ClaimsGrantedLate) isDispatcherInput()        {}
 
 // awaitClaimHolder has a submission wait for the answer of the one that holds its claim.
 func (dispatcher *Dispatcher) awaitClaimHolder(job *job, input *ClaimDecided) {
@@ -47,7 +47,7 @@
 			"an earlier submission had the claim of this not-repeatable job; its answer is no longer kept"))
 		return
 	}
-	dispatcher.outputs.add(&HolderWanted{
+	dispatcher.outputs.add(&ClaimHolderAnswerWanted{
 		Claimant: input.Submission, Caller: job.spec.Caller, Holder: input.Holder, Home: input.HolderHome,
 	})
 }
