--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -116,7 +116,7 @@
 	case message.AnswerReceipt != "":
 		coordinator.receiveAnswerReceipt(from, message.AnswerReceipt)
 	case message.SpillReceipt != "":
-		coordinator.notifyDispatcher(&dispatcher.AnswerHeld{Submission: message.SpillReceipt})
+		coordinator.notifyDispatcher(&dispatcher.AnswerReplicated{Submission: message.SpillReceipt})
 	case message.CopyRequest != nil:
 		coordinator.notifyForwarder(&forwarder.CopiesWanted{From: from, Records: message.CopyRequest})
 	case message.CopyReceipt != nil:
@@ -228,7 +228,7 @@
 // another failure domain, only a copy at a host of this one counts.
 func (coordinator *Coordinator) receiveAnswerReceipt(from identifier.HostID, submission identifier.SubmissionID) {
 	if coordinator.inOwnDomain(from) || len(coordinator.livingIn(coordinator.Self.FailureDomain)) == 1 {
-		coordinator.notifyDispatcher(&dispatcher.AnswerHeld{Submission: submission})
+		coordinator.notifyDispatcher(&dispatcher.AnswerReplicated{Submission: submission})
 	}
 }
 
@@ -269,7 +269,7 @@
 		coordinator.outputs.toPeer(output.To, PeerMessage{Forward: &output.Forward})
 	case *forwarder.ConfirmAnswer:
 		if output.To == self {
-			coordinator.notifyDispatcher(&dispatcher.AnswerHeld{Submission: output.Submission})
+			coordinator.notifyDispatcher(&dispatcher.AnswerReplicated{Submission: output.Submission})
 			return
 		}
 		coordinator.outputs.toPeer(output.To, PeerMessage{AnswerReceipt: output.Submission})
--- a/pkg/dispatcher/acknowledge_test.go
+++ b/pkg/dispatcher/acknowledge_test.go
@@ -40,7 +40,7 @@
 	if count := received(answered("t-1", false)); count != 0 {
 		t.Errorf("%d answers were acknowledged before a second host held the job's answer", count)
 	}
-	if count := received(&dispatcher.AnswerHeld{Submission: "s-1"}); count != 2 {
+	if count := received(&dispatcher.AnswerReplicated{Submission: "s-1"}); count != 2 {
 		t.Errorf("%d answers were acknowledged once it did, want 2", count)
 	}
 	if count := received(answered("t-2", false)); count != 1 {
--- a/pkg/dispatcher/answers.go
+++ b/pkg/dispatcher/answers.go
@@ -255,7 +255,7 @@
 
 // releaseAnswers acknowledges the task answers of a finished job to the backend servers, once a
 // second host holds the answer of the whole job.
-func (dispatcher *Dispatcher) releaseAnswers(input *AnswerHeld) {
+func (dispatcher *Dispatcher) releaseAnswers(input *AnswerReplicated) {
 	job := dispatcher.jobs.Get(input.Submission)
 	if job == nil || job.state != jobFinished || job.answerReplicated {
 		return
--- a/pkg/dispatcher/bench_test.go
+++ b/pkg/dispatcher/bench_test.go
@@ -72,6 +72,6 @@
 		}
 		answer := dispatcher.ServerAnswer{TaskKey: batch.Starts[0].TaskKey, RunTime: 100 * time.Millisecond}
 		bench.tick(&dispatcher.TasksAnswered{Server: batch.Server, Answers: []dispatcher.ServerAnswer{answer}})
-		bench.tick(&dispatcher.AnswerHeld{Submission: job.Submission})
+		bench.tick(&dispatcher.AnswerReplicated{Submission: job.Submission})
 	}
 }
--- a/pkg/dispatcher/confirming.go
+++ b/pkg/dispatcher/confirming.go
@@ -38,7 +38,7 @@
 		return
 	}
 	if job.finishedAt.Add(dispatcher.Settings.LoneAnswerWait).Due(dispatcher.now) {
-		dispatcher.releaseAnswers(&AnswerHeld{Submission: submission})
+		dispatcher.releaseAnswers(&AnswerReplicated{Submission: submission})
 		return
 	}
 	for _, recipient := range job.recipients {
--- a/pkg/dispatcher/dispatcher.go
+++ b/pkg/dispatcher/dispatcher.go
@@ -206,7 +206,7 @@
 		dispatcher.cancel(input)
 	case *LookupArrived:
 		dispatcher.lookUp(input)
-	case *AnswerHeld:
+	case *AnswerReplicated:
 		dispatcher.releaseAnswers(input)
 	case *IsolationEnded:
 		dispatcher.recordIsolation()
--- a/pkg/dispatcher/fake/cell.go
+++ b/pkg/dispatcher/fake/cell.go
@@ -210,7 +210,7 @@
 	if answer.NotRun && len(record.Started) > 0 {
 		cell.addViolation("refused as not run after a start: %s", answer.Submission)
 	}
-	cell.after(2*transitTime, func() { cell.post(&dispatcher.AnswerHeld{Submission: answer.Submission}) })
+	cell.after(2*transitTime, func() { cell.post(&dispatcher.AnswerReplicated{Submission: answer.Submission}) })
 }
 
 func (cell *Cell) addViolation(format string, values ...any) {
--- a/pkg/dispatcher/input.go
+++ b/pkg/dispatcher/input.go
@@ -129,8 +129,8 @@
 	Lookup messenger.Lookup
 }
 
-// AnswerHeld reports that a second host keeps the answer of a submission.
-type AnswerHeld struct {
+// AnswerReplicated reports that a second host keeps the answer of a submission.
+type AnswerReplicated struct {
 	Submission identifier.SubmissionID
 }
 
@@ -229,20 +229,20 @@
 	RunTime   time.Duration
 }
 
-func (*LeadTaken) isDispatcherInput()       {}
-func (*LeadLost) isDispatcherInput()        {}
-func (*HostReturned) isDispatcherInput()    {}
-func (*HostGone) isDispatcherInput()        {}
-func (*TakeoverReplied) isDispatcherInput() {}
-func (*JobForwarded) isDispatcherInput()    {}
-func (*CancelArrived) isDispatcherInput()   {}
-func (*LookupArrived) isDispatcherInput()   {}
-func (*AnswerHeld) isDispatcherInput()      {}
-func (*ClaimDecided) isDispatcherInput()    {}
-func (*ServerAnnounced) isDispatcherInput() {}
-func (*ServerReported) isDispatcherInput()  {}
-func (*ServerHeartbeat) isDispatcherInput() {}
-func (*ServerLeaving) isDispatcherInput()   {}
-func (*ServerLost) isDispatcherInput()      {}
-func (*TasksRefused) isDispatcherInput()    {}
-func (*TasksAnswered) isDispatcherInput()   {}
+func (*LeadTaken) isDispatcherInput()        {}
+func (*LeadLost) isDispatcherInput()         {}
+func (*HostReturned) isDispatcherInput()     {}
+func (*HostGone) isDispatcherInput()         {}
+func (*TakeoverReplied) isDispatcherInput()  {}
+func (*JobForwarded) isDispatcherInput()     {}
+func (*CancelArrived) isDispatcherInput()    {}
+func (*LookupArrived) isDispatcherInput()    {}
+func (*AnswerReplicated) isDispatcherInput() {}
+func (*ClaimDecided) isDispatcherInput()     {}
+func (*ServerAnnounced) isDispatcherInput()  {}
+func (*ServerReported) isDispatcherInput()   {}
+func (*ServerHeartbeat) isDispatcherInput()  {}
+func (*ServerLeaving) isDispatcherInput()    {}
+func (*ServerLost) isDispatcherInput()       {}
+func (*TasksRefused) isDispatcherInput()     {}
+func (*TasksAnswered) isDispatcherInput()    {}
