--- a/pkg/coordinator/evacuating.go
+++ b/pkg/coordinator/evacuating.go
@@ -19,7 +19,7 @@
 		return
 	}
 	coordinator.enforcedEvacuations = evacuated
-	coordinator.notifyDispatcher(&dispatcher.EvacuationsKnown{Evacuated: evacuated})
+	coordinator.notifyDispatcher(&dispatcher.EvacuationsChanged{Evacuated: evacuated})
 	coordinator.notifyAllocators(&allocator.EvacuationsChanged{Evacuated: evacuated})
 	coordinator.notifySupervisor(&supervisor.EvacuationsChanged{Evacuated: evacuated})
 	coordinator.notifyStarter(&starter.EvacuationsChanged{Evacuated: evacuated})
--- a/pkg/dispatcher/dispatcher.go
+++ b/pkg/dispatcher/dispatcher.go
@@ -216,7 +216,7 @@
 		dispatcher.decideClaim(input)
 	case *LimitsConfigured:
 		dispatcher.configureLimits(input)
-	case *EvacuationsKnown:
+	case *EvacuationsChanged:
 		dispatcher.handleEvacuations(input)
 	case *ServerAnnounced:
 		dispatcher.handleServerAnnounced(input)
--- a/pkg/dispatcher/evacuating.go
+++ b/pkg/dispatcher/evacuating.go
@@ -5,7 +5,7 @@
 )
 
 // handleEvacuations applies the operators' evacuations. Tasks that are running here continue.
-func (dispatcher *Dispatcher) handleEvacuations(input *EvacuationsKnown) {
+func (dispatcher *Dispatcher) handleEvacuations(input *EvacuationsChanged) {
 	dispatcher.evacuations = input.Evacuated
 	dispatcher.servers.Each(func(_ serverKey, server *server) bool {
 		server.evacuated = dispatcher.evacuated()
--- a/pkg/dispatcher/evacuating_test.go
+++ b/pkg/dispatcher/evacuating_test.go
@@ -46,7 +46,7 @@
 		job.MayRun = mayRun
 		return &dispatcher.JobForwarded{From: "entry-0", Job: job, Deadline: identifier.Never}
 	}
-	evacuated := &dispatcher.EvacuationsKnown{Evacuated: messenger.Evacuated{fake.Domain}}
+	evacuated := &dispatcher.EvacuationsChanged{Evacuated: messenger.Evacuated{fake.Domain}}
 	free := &dispatcher.LoadAnnounced{From: "other-0", Notice: messenger.LoadNotice{FailureDomain: other, Free: 8}}
 	for step, test := range []struct {
 		what   string
@@ -57,7 +57,7 @@
 		{"no free slots", []dispatcher.Input{forward("s-2", fake.Domain), forward("s-3", fake.Domain, other)}, outcomes{}},
 		{"evacuated, free slots elsewhere", []dispatcher.Input{free, evacuated}, outcomes{refused: 1, handedOver: 1}},
 		{"a new job", []dispatcher.Input{forward("s-4", fake.Domain)}, outcomes{refused: 1}},
-		{"readmitted", []dispatcher.Input{&dispatcher.EvacuationsKnown{}, forward("s-5", fake.Domain)}, outcomes{}},
+		{"readmitted", []dispatcher.Input{&dispatcher.EvacuationsChanged{}, forward("s-5", fake.Domain)}, outcomes{}},
 	} {
 		if counted := countOutcomes(lead.Tick(identifier.Moment(step+1), test.inputs)); counted != test.want {
 			t.Errorf("%s: %+v, want %+v", test.what, counted, test.want)
--- a/pkg/dispatcher/input.go
+++ b/pkg/dispatcher/input.go
@@ -145,10 +145,10 @@
 	HolderHome identifier.FailureDomain
 }
 
-// EvacuationsKnown lists the failure domains in which nothing is started from now on.
-type EvacuationsKnown struct{ Evacuated messenger.Evacuated }
+// EvacuationsChanged lists the failure domains in which nothing is started from now on.
+type EvacuationsChanged struct{ Evacuated messenger.Evacuated }
 
-func (*EvacuationsKnown) isDispatcherInput() {}
+func (*EvacuationsChanged) isDispatcherInput() {}
 
 // ServerAnnounced reports that a backend server has opened a stream. Tasks and Unacknowledged are
 // complete: a task that is in neither was not started there.
