--- a/pkg/coordinator/membership.go
+++ b/pkg/coordinator/membership.go
@@ -316,7 +316,7 @@
 		coordinator.notifyForwarder(&forwarder.LeadKnown{Notice: notice})
 		coordinator.handleLeadKnown(notice)
 		if output.FailureDomain != coordinator.Self.FailureDomain {
-			coordinator.notifyDispatcher(&dispatcher.RemoteLeadKnown{Notice: notice})
+			coordinator.notifyDispatcher(&dispatcher.RemoteLeadChanged{Notice: notice})
 		}
 	}
 }
--- a/pkg/dispatcher/dispatcher.go
+++ b/pkg/dispatcher/dispatcher.go
@@ -174,7 +174,7 @@
 		dispatcher.handleLeadTaken(input)
 	case *LeadLost:
 		dispatcher.handleLeadLost(input)
-	case *RemoteLeadKnown:
+	case *RemoteLeadChanged:
 		dispatcher.recordRemoteLead(input)
 	case *RemoteReconnected:
 		dispatcher.handleReconnected(input)
--- a/pkg/dispatcher/guestqueries_test.go
+++ b/pkg/dispatcher/guestqueries_test.go
@@ -26,7 +26,7 @@
 		job.MayRun = []identifier.FailureDomain{fake.Domain, away}
 		lead := &dispatcher.Dispatcher{Self: "entry-0", FailureDomain: fake.Domain, Settings: dispatcher.DefaultSettings()}
 		outputs := lead.Tick(0, []dispatcher.Input{
-			&dispatcher.RemoteLeadKnown{Notice: messenger.LeadNotice{FailureDomain: away, Host: "away-0", Epoch: 7}},
+			&dispatcher.RemoteLeadChanged{Notice: messenger.LeadNotice{FailureDomain: away, Host: "away-0", Epoch: 7}},
 			&dispatcher.LeadTaken{Epoch: 2, Hosts: []identifier.HostID{"entry-0"}, Missing: []identifier.HostID{"entry-1", "entry-2"}},
 			&dispatcher.TakeoverReplied{From: "entry-0", Reply: messenger.TakeoverReply{Epoch: 2}},
 			&dispatcher.GuestsListed{From: "away-0", Reply: reply},
--- a/pkg/dispatcher/guests.go
+++ b/pkg/dispatcher/guests.go
@@ -67,7 +67,7 @@
 		return true
 	}
 	if known == nil || known.epoch < epoch {
-		dispatcher.recordRemoteLead(&RemoteLeadKnown{Notice: messenger.LeadNotice{
+		dispatcher.recordRemoteLead(&RemoteLeadChanged{Notice: messenger.LeadNotice{
 			FailureDomain: key.failureDomain, Cell: key.cell, Host: from, Epoch: epoch,
 		}})
 	}
--- a/pkg/dispatcher/guests_test.go
+++ b/pkg/dispatcher/guests_test.go
@@ -32,7 +32,7 @@
 		lead.Tick(0, []dispatcher.Input{
 			&dispatcher.LeadTaken{Epoch: 2, Hosts: []identifier.HostID{"entry-0"}},
 			&dispatcher.TakeoverReplied{From: "entry-0", Reply: messenger.TakeoverReply{Epoch: 2}},
-			&dispatcher.RemoteLeadKnown{Notice: messenger.LeadNotice{FailureDomain: home, Host: "home-1", Epoch: 7}},
+			&dispatcher.RemoteLeadChanged{Notice: messenger.LeadNotice{FailureDomain: home, Host: "home-1", Epoch: 7}},
 			&dispatcher.ServerAnnounced{Server: "server-0", Incarnation: 1, Slots: 8},
 			&dispatcher.ServerReported{Server: "server-0", Epoch: 2},
 		})
--- a/pkg/dispatcher/input.go
+++ b/pkg/dispatcher/input.go
@@ -26,9 +26,9 @@
 	Cell messenger.CellNumber
 }
 
-// RemoteLeadKnown reports the lead of a cell of another failure domain. An empty host means that
+// RemoteLeadChanged reports the lead of a cell of another failure domain. An empty host means that
 // no live host leads it.
-type RemoteLeadKnown struct {
+type RemoteLeadChanged struct {
 	Notice messenger.LeadNotice
 }
 
@@ -78,7 +78,7 @@
 
 func (*GuestsQueried) isDispatcherInput()     {}
 func (*GuestsListed) isDispatcherInput()      {}
-func (*RemoteLeadKnown) isDispatcherInput()   {}
+func (*RemoteLeadChanged) isDispatcherInput() {}
 func (*RemoteReconnected) isDispatcherInput() {}
 func (*LoadAnnounced) isDispatcherInput()     {}
 func (*SpillRecorded) isDispatcherInput()     {}
--- a/pkg/dispatcher/remotes.go
+++ b/pkg/dispatcher/remotes.go
@@ -52,7 +52,7 @@
 	free identifier.Slots
 }
 
-func (dispatcher *Dispatcher) recordRemoteLead(input *RemoteLeadKnown) {
+func (dispatcher *Dispatcher) recordRemoteLead(input *RemoteLeadChanged) {
 	key := remoteKey{failureDomain: input.Notice.FailureDomain, cell: input.Notice.Cell}
 	known := dispatcher.remotes.Get(key)
 	switch {
