--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -94,29 +94,29 @@
 // AllocatorEvent carries the response of a backend server that was polled or called to stop a run.
 type AllocatorEvent struct{ Event allocator.Input }
 
-// CardAnnounced carries the report of a backend server that is called.
-type CardAnnounced struct{ Card messenger.ServerReport }
-
-func (*SupervisorEvent) isCoordinatorInput()     {}
-func (*StartEvent) isCoordinatorInput()          {}
-func (*AllocatorEvent) isCoordinatorInput()      {}
-func (*CardAnnounced) isCoordinatorInput()       {}
-func (*PeerBatchArrived) isCoordinatorInput()    {}
-func (*PeerConnected) isCoordinatorInput()       {}
-func (*PeerDisconnected) isCoordinatorInput()    {}
-func (*ServerEvent) isCoordinatorInput()         {}
-func (*CallerEvent) isCoordinatorInput()         {}
-func (*ShutdownRequested) isCoordinatorInput()   {}
-func (*Restored) isCoordinatorInput()            {}
-func (*Persisted) isCoordinatorInput()           {}
-func (*SnapshotSaved) isCoordinatorInput()       {}
-func (*ConfigRemembered) isCoordinatorInput()    {}
-func (*CellsRemembered) isCoordinatorInput()     {}
-func (*OperatorRequest) isCoordinatorInput()     {}
-func (*ConfigHistoryWanted) isCoordinatorInput() {}
-func (*ConfigWanted) isCoordinatorInput()        {}
-func (*ExplainWanted) isCoordinatorInput()       {}
-func (*StatusWanted) isCoordinatorInput()        {}
+// ServerReportAnnounced carries the report of a backend server that is called.
+type ServerReportAnnounced struct{ Card messenger.ServerReport }
+
+func (*SupervisorEvent) isCoordinatorInput()       {}
+func (*StartEvent) isCoordinatorInput()            {}
+func (*AllocatorEvent) isCoordinatorInput()        {}
+func (*ServerReportAnnounced) isCoordinatorInput() {}
+func (*PeerBatchArrived) isCoordinatorInput()      {}
+func (*PeerConnected) isCoordinatorInput()         {}
+func (*PeerDisconnected) isCoordinatorInput()      {}
+func (*ServerEvent) isCoordinatorInput()           {}
+func (*CallerEvent) isCoordinatorInput()           {}
+func (*ShutdownRequested) isCoordinatorInput()     {}
+func (*Restored) isCoordinatorInput()              {}
+func (*Persisted) isCoordinatorInput()             {}
+func (*SnapshotSaved) isCoordinatorInput()         {}
+func (*ConfigRemembered) isCoordinatorInput()      {}
+func (*CellsRemembered) isCoordinatorInput()       {}
+func (*OperatorRequest) isCoordinatorInput()       {}
+func (*ConfigHistoryWanted) isCoordinatorInput()   {}
+func (*ConfigWanted) isCoordinatorInput()          {}
+func (*ExplainWanted) isCoordinatorInput()         {}
+func (*StatusWanted) isCoordinatorInput()          {}
 
 // Output is something for the owner of the coordinator to carry out.
 type Output interface{ isCoordinatorOutput() }
--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -47,7 +47,7 @@
 		coordinator.notifySupervisor(input.Event)
 	case *AllocatorEvent:
 		coordinator.handleCallResult(input.Event)
-	case *CardAnnounced:
+	case *ServerReportAnnounced:
 		coordinator.handleAnnouncedReport(&input.Card)
 	case *ShutdownRequested:
 		coordinator.shutDown()
