--- a/pkg/coordinator/calledworld_test.go
+++ b/pkg/coordinator/calledworld_test.go
@@ -158,7 +158,7 @@
 	}
 	for _, host := range network.hosts {
 		if host.coordinator != nil {
-			network.tick(host, &coordinator.ServerReportAnnounced{Card: report})
+			network.tick(host, &coordinator.ServerReportAnnounced{Report: report})
 			break
 		}
 	}
--- a/pkg/coordinator/harsh_fuzz_test.go
+++ b/pkg/coordinator/harsh_fuzz_test.go
@@ -183,7 +183,7 @@
 		if harsh.kinds.lateReports && len(harsh.oldReports) > 0 {
 			report := harsh.oldReports[world.chance("old card", len(harsh.oldReports)-1)]
 			harsh.record("old card of %s to %s", report.Server, host.id)
-			world.network.tick(host, &coordinator.ServerReportAnnounced{Card: report})
+			world.network.tick(host, &coordinator.ServerReportAnnounced{Report: report})
 		}
 	}
 }
--- a/pkg/coordinator/harshworld_test.go
+++ b/pkg/coordinator/harshworld_test.go
@@ -122,7 +122,7 @@
 	for offset := range network.hosts {
 		host := network.hosts[(first+offset)%len(network.hosts)]
 		if host.coordinator != nil && !network.now.Before(harsh.cuts[pathKey{host.id, address}].answersLostUntil) {
-			network.tick(host, &coordinator.ServerReportAnnounced{Card: report})
+			network.tick(host, &coordinator.ServerReportAnnounced{Report: report})
 			return
 		}
 	}
--- a/pkg/coordinator/latereport_test.go
+++ b/pkg/coordinator/latereport_test.go
@@ -31,7 +31,7 @@
 	}
 	harsh.freeze(other, 4*time.Second, true)
 	old := world.servers["called-0-1"]
-	network.tick(other, &coordinator.ServerReportAnnounced{Card: old.report})
+	network.tick(other, &coordinator.ServerReportAnnounced{Report: old.report})
 	harsh.endIncarnation(old, false, 100*time.Millisecond, 2)
 	harsh.crash(lead)
 	harsh.start(lead)
--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -95,7 +95,7 @@
 type AllocatorEvent struct{ Event allocator.Input }
 
 // ServerReportAnnounced carries the report of a backend server that is called.
-type ServerReportAnnounced struct{ Card messenger.ServerReport }
+type ServerReportAnnounced struct{ Report messenger.ServerReport }
 
 func (*SupervisorEvent) isCoordinatorInput()       {}
 func (*StartEvent) isCoordinatorInput()            {}
--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -48,7 +48,7 @@
 	case *AllocatorEvent:
 		coordinator.handleCallResult(input.Event)
 	case *ServerReportAnnounced:
-		coordinator.handleAnnouncedReport(&input.Card)
+		coordinator.handleAnnouncedReport(&input.Report)
 	case *ShutdownRequested:
 		coordinator.shutDown()
 	default:
