--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -117,7 +117,7 @@
 
 func (coordinator *Coordinator) sendReports(to identifier.HostID, reports []messenger.ServerReport) {
 	if to != coordinator.Self.Host && len(reports) > 0 {
-		coordinator.outputs.toPeer(to, PeerMessage{ServerCards: reports})
+		coordinator.outputs.toPeer(to, PeerMessage{ServerReports: reports})
 	}
 }
 
@@ -209,9 +209,9 @@
 		coordinator.recordJobElsewhere(from, message.JobElsewhere)
 	case message.LeadFollowed != nil:
 		coordinator.followerTracker.handleFollowed(from, message.LeadFollowed)
-	case message.ServerCards != nil:
-		for index := range message.ServerCards {
-			coordinator.handlePeerReport(from, &message.ServerCards[index])
+	case message.ServerReports != nil:
+		for index := range message.ServerReports {
+			coordinator.handlePeerReport(from, &message.ServerReports[index])
 		}
 	default:
 		return false
