--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -181,8 +181,8 @@
 // applyAllocationMessage applies a message about allocation, and reports whether it was one.
 func (coordinator *Coordinator) applyAllocationMessage(from identifier.HostID, message *PeerMessage) bool {
 	switch {
-	case message.RoomRequest != nil:
-		coordinator.requestCapacity(from, message.RoomRequest)
+	case message.CapacityRequest != nil:
+		coordinator.requestCapacity(from, message.CapacityRequest)
 	case message.RoomRelease != nil:
 		coordinator.releaseCapacity(from, message.RoomRelease)
 	case message.StartReport != nil:
@@ -222,7 +222,7 @@
 func (coordinator *Coordinator) routeSupervisorOutput(output supervisor.Output) {
 	switch output := output.(type) {
 	case *supervisor.RequestCapacity:
-		coordinator.send(output.To, PeerMessage{RoomRequest: &output.Request})
+		coordinator.send(output.To, PeerMessage{CapacityRequest: &output.Request})
 	case *supervisor.ReleaseCapacity:
 		coordinator.send(output.To, PeerMessage{RoomRelease: &output.Release})
 	case *supervisor.ReportStart:
--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -298,15 +298,15 @@
 	IntentSync *IntentSync   `cbor:"40,keyasint,omitempty"`
 	IntentNews *planner.News `cbor:"41,keyasint,omitempty"`
 	// Jobs that need not be remembered, and the backend servers that are called.
-	RoomRequest   *messenger.CapacityRequest `cbor:"50,keyasint,omitempty"`
-	RoomRelease   *messenger.CapacityRelease `cbor:"51,keyasint,omitempty"`
-	StartReport   *messenger.StartReport     `cbor:"52,keyasint,omitempty"`
-	Grant         *messenger.Grant           `cbor:"53,keyasint,omitempty"`
-	RoomAnswer    *messenger.CapacityAnswer  `cbor:"54,keyasint,omitempty"`
-	TaskDone      *messenger.TaskDone        `cbor:"55,keyasint,omitempty"`
-	RoomNotice    *messenger.CapacityNotice  `cbor:"56,keyasint,omitempty"`
-	ServerReports []messenger.ServerReport   `cbor:"57,keyasint,omitempty"`
-	CellMemory    *messenger.StoredCell      `cbor:"58,keyasint,omitempty"`
+	CapacityRequest *messenger.CapacityRequest `cbor:"50,keyasint,omitempty"`
+	RoomRelease     *messenger.CapacityRelease `cbor:"51,keyasint,omitempty"`
+	StartReport     *messenger.StartReport     `cbor:"52,keyasint,omitempty"`
+	Grant           *messenger.Grant           `cbor:"53,keyasint,omitempty"`
+	RoomAnswer      *messenger.CapacityAnswer  `cbor:"54,keyasint,omitempty"`
+	TaskDone        *messenger.TaskDone        `cbor:"55,keyasint,omitempty"`
+	RoomNotice      *messenger.CapacityNotice  `cbor:"56,keyasint,omitempty"`
+	ServerReports   []messenger.ServerReport   `cbor:"57,keyasint,omitempty"`
+	CellMemory      *messenger.StoredCell      `cbor:"58,keyasint,omitempty"`
 	// LeadFollowed is sent after the capacity requests that name runs.
 	LeadFollowed    *messenger.LeadFollowed    `cbor:"59,keyasint,omitempty"`
 	StartOrder      *messenger.StartOrder      `cbor:"60,keyasint,omitempty"`
