--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -183,8 +183,8 @@
 	switch {
 	case message.CapacityRequest != nil:
 		coordinator.requestCapacity(from, message.CapacityRequest)
-	case message.RoomRelease != nil:
-		coordinator.releaseCapacity(from, message.RoomRelease)
+	case message.CapacityRelease != nil:
+		coordinator.releaseCapacity(from, message.CapacityRelease)
 	case message.StartReport != nil:
 		coordinator.notifyAllocator(message.StartReport.Cell, &allocator.StartReported{From: from, Report: *message.StartReport})
 	case message.Grant != nil:
@@ -224,7 +224,7 @@
 	case *supervisor.RequestCapacity:
 		coordinator.send(output.To, PeerMessage{CapacityRequest: &output.Request})
 	case *supervisor.ReleaseCapacity:
-		coordinator.send(output.To, PeerMessage{RoomRelease: &output.Release})
+		coordinator.send(output.To, PeerMessage{CapacityRelease: &output.Release})
 	case *supervisor.ReportStart:
 		coordinator.send(output.To, PeerMessage{StartReport: &output.Report})
 	case *supervisor.StartRun:
--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -299,7 +299,7 @@
 	IntentNews *planner.News `cbor:"41,keyasint,omitempty"`
 	// Jobs that need not be remembered, and the backend servers that are called.
 	CapacityRequest *messenger.CapacityRequest `cbor:"50,keyasint,omitempty"`
-	RoomRelease     *messenger.CapacityRelease `cbor:"51,keyasint,omitempty"`
+	CapacityRelease *messenger.CapacityRelease `cbor:"51,keyasint,omitempty"`
 	StartReport     *messenger.StartReport     `cbor:"52,keyasint,omitempty"`
 	Grant           *messenger.Grant           `cbor:"53,keyasint,omitempty"`
 	RoomAnswer      *messenger.CapacityAnswer  `cbor:"54,keyasint,omitempty"`
