--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -189,8 +189,8 @@
 		coordinator.notifyAllocator(message.StartReport.Cell, &allocator.StartReported{From: from, Report: *message.StartReport})
 	case message.Grant != nil:
 		coordinator.notifySupervisor(&supervisor.GrantArrived{From: from, Grant: *message.Grant})
-	case message.RoomAnswer != nil:
-		coordinator.notifySupervisor(&supervisor.AnswerArrived{From: from, Answer: *message.RoomAnswer})
+	case message.CapacityAnswer != nil:
+		coordinator.notifySupervisor(&supervisor.AnswerArrived{From: from, Answer: *message.CapacityAnswer})
 	case message.TaskDone != nil:
 		coordinator.notifySupervisor(&supervisor.TaskDoneArrived{From: from, Done: *message.TaskDone})
 	case message.RoomNotice != nil:
@@ -258,7 +258,7 @@
 	case *allocator.GrantCapacity:
 		coordinator.send(output.To, PeerMessage{Grant: &output.Grant})
 	case *allocator.AnswerRequest:
-		coordinator.send(output.To, PeerMessage{RoomAnswer: &output.Answer})
+		coordinator.send(output.To, PeerMessage{CapacityAnswer: &output.Answer})
 	case *allocator.NotifyDone:
 		coordinator.send(output.To, PeerMessage{TaskDone: &output.Done})
 	default:
--- a/pkg/coordinator/inquiring.go
+++ b/pkg/coordinator/inquiring.go
@@ -102,5 +102,5 @@
 
 func (coordinator *Coordinator) answerCapacityRequest(to identifier.HostID, request *messenger.CapacityRequest, kind messenger.CapacityAnswerKind) {
 	answer := messenger.CapacityAnswer{Job: request.Job, Kind: kind, Cell: request.Cell, RequestNumber: request.Number}
-	coordinator.send(to, PeerMessage{RoomAnswer: &answer})
+	coordinator.send(to, PeerMessage{CapacityAnswer: &answer})
 }
--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -302,7 +302,7 @@
 	CapacityRelease *messenger.CapacityRelease `cbor:"51,keyasint,omitempty"`
 	StartReport     *messenger.StartReport     `cbor:"52,keyasint,omitempty"`
 	Grant           *messenger.Grant           `cbor:"53,keyasint,omitempty"`
-	RoomAnswer      *messenger.CapacityAnswer  `cbor:"54,keyasint,omitempty"`
+	CapacityAnswer  *messenger.CapacityAnswer  `cbor:"54,keyasint,omitempty"`
 	TaskDone        *messenger.TaskDone        `cbor:"55,keyasint,omitempty"`
 	RoomNotice      *messenger.CapacityNotice  `cbor:"56,keyasint,omitempty"`
 	ServerReports   []messenger.ServerReport   `cbor:"57,keyasint,omitempty"`
