--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -193,8 +193,8 @@
 		coordinator.notifySupervisor(&supervisor.AnswerArrived{From: from, Answer: *message.CapacityAnswer})
 	case message.TaskDone != nil:
 		coordinator.notifySupervisor(&supervisor.TaskDoneArrived{From: from, Done: *message.TaskDone})
-	case message.RoomNotice != nil:
-		coordinator.notifyAllocators(&allocator.NoticeArrived{Notice: *message.RoomNotice})
+	case message.CapacityNotice != nil:
+		coordinator.notifyAllocators(&allocator.NoticeArrived{Notice: *message.CapacityNotice})
 	case message.CellMemory != nil:
 		coordinator.cellPersister.handleMemory(message.CellMemory)
 	case message.StartOrder != nil:
@@ -269,7 +269,7 @@
 func (coordinator *Coordinator) routeAllocatorCall(cell messenger.CellNumber, output allocator.Output) {
 	switch output := output.(type) {
 	case *allocator.SendNotice:
-		coordinator.send(output.To, PeerMessage{RoomNotice: &output.Notice})
+		coordinator.send(output.To, PeerMessage{CapacityNotice: &output.Notice})
 	case *allocator.PollServer:
 		coordinator.outputs.add(&CallHold{Call: output})
 	case *allocator.StopRun:
--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -304,7 +304,7 @@
 	Grant           *messenger.Grant           `cbor:"53,keyasint,omitempty"`
 	CapacityAnswer  *messenger.CapacityAnswer  `cbor:"54,keyasint,omitempty"`
 	TaskDone        *messenger.TaskDone        `cbor:"55,keyasint,omitempty"`
-	RoomNotice      *messenger.CapacityNotice  `cbor:"56,keyasint,omitempty"`
+	CapacityNotice  *messenger.CapacityNotice  `cbor:"56,keyasint,omitempty"`
 	ServerReports   []messenger.ServerReport   `cbor:"57,keyasint,omitempty"`
 	CellMemory      *messenger.StoredCell      `cbor:"58,keyasint,omitempty"`
 	// LeadFollowed is sent after the capacity requests that name runs.
