--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -271,7 +271,7 @@
 	case *allocator.SendNotice:
 		coordinator.send(output.To, PeerMessage{CapacityNotice: &output.Notice})
 	case *allocator.PollServer:
-		coordinator.outputs.add(&CallHold{Call: output})
+		coordinator.outputs.add(&CallPoll{Call: output})
 	case *allocator.StopRun:
 		coordinator.outputs.add(&CallStop{Call: output})
 	case *allocator.LeadFenced:
--- a/pkg/coordinator/calledworld_test.go
+++ b/pkg/coordinator/calledworld_test.go
@@ -263,7 +263,7 @@
 			outcome := server.stop(stop)
 			reply(func() { stopped(outcome) })
 		}, stopped)
-	case *coordinator.CallHold:
+	case *coordinator.CallPoll:
 		world.poll(host, output.Call, tick)
 	case *coordinator.JobEnded:
 		world.handleJobEnded(output.Ended)
--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -210,8 +210,8 @@
 	Status Status
 }
 
-// CallHold polls a backend server for its running and ended runs.
-type CallHold struct{ Call *allocator.PollServer }
+// CallPoll polls a backend server for its running and ended runs.
+type CallPoll struct{ Call *allocator.PollServer }
 
 // CallStop calls a backend server to stop a run.
 type CallStop struct{ Call *allocator.StopRun }
@@ -233,7 +233,7 @@
 // LeadKnown reports who leads a cell of a failure domain. An empty host means that nobody does.
 type LeadKnown struct{ Notice messenger.LeadNotice }
 
-func (*CallHold) isCoordinatorOutput()            {}
+func (*CallPoll) isCoordinatorOutput()            {}
 func (*CallStop) isCoordinatorOutput()            {}
 func (*CallStart) isCoordinatorOutput()           {}
 func (*JobEnded) isCoordinatorOutput()            {}
--- a/pkg/coordinator/network_test.go
+++ b/pkg/coordinator/network_test.go
@@ -351,7 +351,7 @@
 		network.endDrained(host)
 	case *coordinator.ToCaller:
 		network.oracle.checkAnswer(output.Answer.Waiter, output.Answer.Answer)
-	case *coordinator.CallStart, *coordinator.CallStop, *coordinator.CallHold, *coordinator.JobEnded, *coordinator.Decided:
+	case *coordinator.CallStart, *coordinator.CallStop, *coordinator.CallPoll, *coordinator.JobEnded, *coordinator.Decided:
 		network.called.carryOut(host, output)
 	default:
 		network.intents.carryOut(host, output)
