--- a/pkg/assembler/daemon.go
+++ b/pkg/assembler/daemon.go
@@ -187,7 +187,7 @@
 		daemon.Log.Error("keeper halted", "reason", output.Reason)
 	case *coordinator.ConfigInForce:
 		daemon.putInForce(output.Version)
-	case *coordinator.RememberCells:
+	case *coordinator.StoreCells:
 		daemon.cellMemory.remember(output.Cells)
 	case *coordinator.Persist:
 		daemon.keeping.persist(output.Persist)
--- a/pkg/coordinator/cellpersister.go
+++ b/pkg/coordinator/cellpersister.go
@@ -144,7 +144,7 @@
 	for _, known := range cellPersister.cells {
 		all = append(all, known)
 	}
-	cellPersister.coordinator.outputs.add(&RememberCells{Cells: all})
+	cellPersister.coordinator.outputs.add(&StoreCells{Cells: all})
 }
 
 // restore loads the memories that this keeper had on its disk at startup.
--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -168,9 +168,9 @@
 // ConfigInForce reports that a configuration is in force on this host from now on.
 type ConfigInForce struct{ Version configurer.Version }
 
-// RememberCells requests that everything known of the cells be stored on disk. The write is best
+// StoreCells requests that everything known of the cells be stored on disk. The write is best
 // effort: it is not in the journal and nothing waits for it.
-type RememberCells struct{ Cells []messenger.StoredCell }
+type StoreCells struct{ Cells []messenger.StoredCell }
 
 // ConfigHistory answers a ConfigHistoryWanted.
 type ConfigHistory struct {
@@ -251,7 +251,7 @@
 func (*KeeperJoined) isCoordinatorOutput()        {}
 func (*KeeperHalted) isCoordinatorOutput()        {}
 func (*ConfigInForce) isCoordinatorOutput()       {}
-func (*RememberCells) isCoordinatorOutput()       {}
+func (*StoreCells) isCoordinatorOutput()          {}
 func (*ConfigHistory) isCoordinatorOutput()       {}
 func (*ConfigAnswer) isCoordinatorOutput()        {}
 func (*OperatorAnswer) isCoordinatorOutput()      {}
--- a/pkg/coordinator/network_test.go
+++ b/pkg/coordinator/network_test.go
@@ -332,7 +332,7 @@
 		if output.Notice.Host != "" {
 			network.leads[host.domain] = host
 		}
-	case *coordinator.RememberCells:
+	case *coordinator.StoreCells:
 		host.cells = output.Cells
 	case *coordinator.Persist:
 		network.persist(host, output)
