--- a/pkg/assembler/cellmemory.go
+++ b/pkg/assembler/cellmemory.go
@@ -85,5 +85,5 @@
 		memory.Log.Error("remembered cells not read", "file", memory.path(), "err", err)
 		return
 	}
-	daemon.runner.Post(ctx, &coordinator.CellsRemembered{Cells: cells})
+	daemon.runner.Post(ctx, &coordinator.CellsRestored{Cells: cells})
 }
--- a/pkg/coordinator/cellpersister_test.go
+++ b/pkg/coordinator/cellpersister_test.go
@@ -31,7 +31,7 @@
 		network.advance(time.Second)
 		for _, host := range network.hosts {
 			network.startHost(host)
-			network.tick(host, &coordinator.CellsRemembered{Cells: host.cells})
+			network.tick(host, &coordinator.CellsRestored{Cells: host.cells})
 		}
 		network.advance(2 * time.Second)
 		world.submit(network.hosts[0], "job-after-the-loss", 2)
--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -55,8 +55,8 @@
 // ConfigRemembered carries the configuration that was in force on this host before it restarted.
 type ConfigRemembered struct{ Version configurer.Version }
 
-// CellsRemembered carries the cell memories that this keeper had stored before it restarted.
-type CellsRemembered struct{ Cells []messenger.StoredCell }
+// CellsRestored carries the cell memories that this keeper had stored before it restarted.
+type CellsRestored struct{ Cells []messenger.StoredCell }
 
 // OperatorRequest carries an operator's command for the keepers.
 type OperatorRequest struct {
@@ -111,7 +111,7 @@
 func (*Persisted) isCoordinatorInput()             {}
 func (*SnapshotSaved) isCoordinatorInput()         {}
 func (*ConfigRemembered) isCoordinatorInput()      {}
-func (*CellsRemembered) isCoordinatorInput()       {}
+func (*CellsRestored) isCoordinatorInput()         {}
 func (*OperatorRequest) isCoordinatorInput()       {}
 func (*ConfigHistoryWanted) isCoordinatorInput()   {}
 func (*ConfigWanted) isCoordinatorInput()          {}
--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -84,7 +84,7 @@
 		coordinator.notifyKeeper(&keeper.ToLog{Input: replicator.SnapshotSaved{Index: input.Index}})
 	case *ConfigRemembered:
 		coordinator.notifyFollower(&configurer.VersionFetched{Version: input.Version})
-	case *CellsRemembered:
+	case *CellsRestored:
 		coordinator.cellPersister.restore(input.Cells)
 	case *OperatorRequest:
 		coordinator.operatorRequests.begin(input)
