--- a/pkg/assembler/recall.go
+++ b/pkg/assembler/recall.go
@@ -135,7 +135,7 @@
 		memory.Log.Error("remembered configuration not read", "file", memory.path(), "err", err)
 		return
 	}
-	daemon.runner.Post(ctx, &coordinator.ConfigRemembered{Version: version})
+	daemon.runner.Post(ctx, &coordinator.ConfigRestored{Version: version})
 }
 
 func (memory *memory) read() (configurer.Version, error) {
--- a/pkg/coordinator/evacuating_test.go
+++ b/pkg/coordinator/evacuating_test.go
@@ -55,7 +55,7 @@
 		evacuations.bannedFrom[domain] = network.now.Add(evacuationPropagation)
 	}
 	evacuations.world.history = append(evacuations.world.history, fmt.Sprintf("%v %s hears that %s is evacuated: %t", time.Duration(network.now), host.id, domain, !evacuated))
-	network.tick(host, &coordinator.ConfigRemembered{Version: evacuations.version})
+	network.tick(host, &coordinator.ConfigRestored{Version: evacuations.version})
 }
 
 // checkStart records a problem if a task starts in an evacuated failure domain.
@@ -141,7 +141,7 @@
 		machine.version.Evacuations = append(machine.version.Evacuations, configurer.EvacuationState{FailureDomain: known, Evacuated: evacuated})
 	}
 	for _, host := range hosts {
-		machine.network.tick(host, &coordinator.ConfigRemembered{Version: machine.version})
+		machine.network.tick(host, &coordinator.ConfigRestored{Version: machine.version})
 	}
 }
 
--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -52,8 +52,8 @@
 // SnapshotSaved reports that a snapshot is durable.
 type SnapshotSaved struct{ Index identifier.LogIndex }
 
-// ConfigRemembered carries the configuration that was in force on this host before it restarted.
-type ConfigRemembered struct{ Version configurer.Version }
+// ConfigRestored carries the configuration that was in force on this host before it restarted.
+type ConfigRestored struct{ Version configurer.Version }
 
 // CellsRestored carries the cell memories that this keeper had stored before it restarted.
 type CellsRestored struct{ Cells []messenger.StoredCell }
@@ -110,7 +110,7 @@
 func (*Restored) isCoordinatorInput()              {}
 func (*Persisted) isCoordinatorInput()             {}
 func (*SnapshotSaved) isCoordinatorInput()         {}
-func (*ConfigRemembered) isCoordinatorInput()      {}
+func (*ConfigRestored) isCoordinatorInput()        {}
 func (*CellsRestored) isCoordinatorInput()         {}
 func (*OperatorRequest) isCoordinatorInput()       {}
 func (*ConfigHistoryWanted) isCoordinatorInput()   {}
--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -82,7 +82,7 @@
 		coordinator.notifyKeeper(&keeper.ToLog{Input: replicator.Persisted{Sequence: input.Sequence}})
 	case *SnapshotSaved:
 		coordinator.notifyKeeper(&keeper.ToLog{Input: replicator.SnapshotSaved{Index: input.Index}})
-	case *ConfigRemembered:
+	case *ConfigRestored:
 		coordinator.notifyFollower(&configurer.VersionFetched{Version: input.Version})
 	case *CellsRestored:
 		coordinator.cellPersister.restore(input.Cells)
