--- a/pkg/coordinator/membership.go
+++ b/pkg/coordinator/membership.go
@@ -42,7 +42,7 @@
 		FailureDomain: coordinator.Self.FailureDomain,
 		Cells:         max(coordinator.Settings.Dispatcher.Cells, 1),
 		Others:        coordinator.seedsOfOwnDomain(),
-		SettleTime:    coordinator.Settings.LeadSettle,
+		SettleTime:    coordinator.Settings.LeadSettleTime,
 		OvertakenTime: coordinator.Settings.LeadOvertaken,
 		JoinedTime:    coordinator.Settings.LeadJoined,
 		NextEpoch: func(after identifier.Epoch) identifier.Epoch {
--- a/pkg/coordinator/settings.go
+++ b/pkg/coordinator/settings.go
@@ -29,9 +29,9 @@
 	Starter       starter.Settings
 	Inquirer      inquirer.Settings
 	Allocator     allocator.Settings
-	// LeadSettle is how long a starting host waits for an announcement of a living lead before it
+	// LeadSettleTime is how long a starting host waits for an announcement of a living lead before it
 	// takes a cell, so that it doesn't compete with that lead.
-	LeadSettle time.Duration
+	LeadSettleTime time.Duration
 	// LeadOvertaken is how long a lead whose epoch was rejected waits for the lead with the higher
 	// one. Zero means LeadSettle.
 	LeadOvertaken time.Duration
@@ -49,17 +49,17 @@
 // DefaultSettings returns the daemon's default settings.
 func DefaultSettings() Settings {
 	return Settings{
-		Dispatcher:    dispatcher.DefaultSettings(),
-		Forwarder:     forwarder.DefaultSettings(),
-		Gossiper:      gossiper.DefaultSettings(),
-		Keeper:        keeper.DefaultSettings(),
-		Claims:        claimer.DefaultRequesterSettings(),
-		Configuration: configurer.DefaultFollowerSettings(),
-		Intents:       DefaultIntentSettings(),
-		Supervisor:    supervisor.DefaultSettings(),
-		Starter:       starter.DefaultSettings(),
-		Inquirer:      inquirer.DefaultSettings(),
-		Allocator:     allocator.DefaultSettings(),
-		LeadSettle:    elector.DefaultSettleTime,
+		Dispatcher:     dispatcher.DefaultSettings(),
+		Forwarder:      forwarder.DefaultSettings(),
+		Gossiper:       gossiper.DefaultSettings(),
+		Keeper:         keeper.DefaultSettings(),
+		Claims:         claimer.DefaultRequesterSettings(),
+		Configuration:  configurer.DefaultFollowerSettings(),
+		Intents:        DefaultIntentSettings(),
+		Supervisor:     supervisor.DefaultSettings(),
+		Starter:        starter.DefaultSettings(),
+		Inquirer:       inquirer.DefaultSettings(),
+		Allocator:      allocator.DefaultSettings(),
+		LeadSettleTime: elector.DefaultSettleTime,
 	}
 }
