--- a/pkg/coordinator/membership.go
+++ b/pkg/coordinator/membership.go
@@ -43,7 +43,7 @@
 		Cells:         max(coordinator.Settings.Dispatcher.Cells, 1),
 		Others:        coordinator.seedsOfOwnDomain(),
 		SettleTime:    coordinator.Settings.LeadSettleTime,
-		OvertakenTime: coordinator.Settings.LeadOvertaken,
+		OvertakenTime: coordinator.Settings.LeadOvertakenTime,
 		JoinedTime:    coordinator.Settings.LeadJoined,
 		NextEpoch: func(after identifier.Epoch) identifier.Epoch {
 			return nextEpoch(after, coordinator.Self.Host)
--- a/pkg/coordinator/settings.go
+++ b/pkg/coordinator/settings.go
@@ -32,9 +32,9 @@
 	// LeadSettleTime is how long a starting host waits for an announcement of a living lead before it
 	// takes a cell, so that it doesn't compete with that lead.
 	LeadSettleTime time.Duration
-	// LeadOvertaken is how long a lead whose epoch was rejected waits for the lead with the higher
+	// LeadOvertakenTime is how long a lead whose epoch was rejected waits for the lead with the higher
 	// one. Zero means LeadSettle.
-	LeadOvertaken time.Duration
+	LeadOvertakenTime time.Duration
 	// LeadJoined is how long a starting host still waits once another host has sent it all that it
 	// knows. Zero keeps LeadSettle.
 	LeadJoined time.Duration
