--- a/pkg/coordinator/membership.go
+++ b/pkg/coordinator/membership.go
@@ -44,7 +44,7 @@
 		Others:        coordinator.seedsOfOwnDomain(),
 		SettleTime:    coordinator.Settings.LeadSettleTime,
 		OvertakenTime: coordinator.Settings.LeadOvertakenTime,
-		JoinedTime:    coordinator.Settings.LeadJoined,
+		JoinedTime:    coordinator.Settings.LeadJoinedTime,
 		NextEpoch: func(after identifier.Epoch) identifier.Epoch {
 			return nextEpoch(after, coordinator.Self.Host)
 		},
--- a/pkg/coordinator/settings.go
+++ b/pkg/coordinator/settings.go
@@ -35,9 +35,9 @@
 	// LeadOvertakenTime is how long a lead whose epoch was rejected waits for the lead with the higher
 	// one. Zero means LeadSettle.
 	LeadOvertakenTime time.Duration
-	// LeadJoined is how long a starting host still waits once another host has sent it all that it
+	// LeadJoinedTime is how long a starting host still waits once another host has sent it all that it
 	// knows. Zero keeps LeadSettle.
-	LeadJoined time.Duration
+	LeadJoinedTime time.Duration
 	// JoinKeepers makes a keeper without a log wait until the others add it, instead of founding a
 	// log with the keepers that the settings name. Otherwise a keeper that lost its disk would vote
 	// as if it had never accepted anything.
