--- a/pkg/coordinator/intentplanner.go
+++ b/pkg/coordinator/intentplanner.go
@@ -160,7 +160,7 @@
 	}
 	intentPlanner.reviewAt = identifier.Never
 	if waiting {
-		intentPlanner.reviewAt = intentPlanner.coordinator.now.Add(intentPlanner.coordinator.Settings.Intents.LookInterval)
+		intentPlanner.reviewAt = intentPlanner.coordinator.now.Add(intentPlanner.coordinator.Settings.Intents.ReviewInterval)
 	}
 }
 
--- a/pkg/coordinator/intents.go
+++ b/pkg/coordinator/intents.go
@@ -19,8 +19,8 @@
 	// PictureAge is the age beyond which a picture is ignored, because its failure domain can't be
 	// reached.
 	PictureAge time.Duration
-	// LookInterval is the time between two reviews of the intents that wait for a plan.
-	LookInterval time.Duration
+	// ReviewInterval is the time between two reviews of the intents that wait for a plan.
+	ReviewInterval time.Duration
 	// RenewPlans is the time between two checks of unconfirmed plans.
 	RenewPlans time.Duration
 	// ConfirmWithin is how long a plan can be confirmed before it expires.
@@ -38,15 +38,15 @@
 // DefaultIntentSettings returns the daemon's default intent settings.
 func DefaultIntentSettings() IntentSettings {
 	return IntentSettings{
-		Lease:         10 * time.Second,
-		SyncInterval:  time.Second,
-		PictureAge:    5 * time.Second,
-		LookInterval:  time.Second,
-		RenewPlans:    5 * time.Second,
-		ConfirmWithin: planner.DefaultConfirmWithin,
-		Resend:        500 * time.Millisecond,
-		RetryLead:     5 * time.Second,
-		Driver:        planner.DefaultDriverSettings(),
+		Lease:          10 * time.Second,
+		SyncInterval:   time.Second,
+		PictureAge:     5 * time.Second,
+		ReviewInterval: time.Second,
+		RenewPlans:     5 * time.Second,
+		ConfirmWithin:  planner.DefaultConfirmWithin,
+		Resend:         500 * time.Millisecond,
+		RetryLead:      5 * time.Second,
+		Driver:         planner.DefaultDriverSettings(),
 	}
 }
 
