--- a/pkg/coordinator/intentplanner.go
+++ b/pkg/coordinator/intentplanner.go
@@ -249,7 +249,7 @@
 	for _, domain := range intentPlanner.failureDomains() {
 		driver := intentPlanner.drivers.Get(domain)
 		fresh := driver != nil && driver.picture != nil &&
-			intentPlanner.coordinator.now.Sub(driver.at) <= intentPlanner.coordinator.Settings.Intents.PictureAge
+			intentPlanner.coordinator.now.Sub(driver.at) <= intentPlanner.coordinator.Settings.Intents.MaxPictureAge
 		if fresh {
 			proposer.Pictures = append(proposer.Pictures, *driver.picture)
 			continue
--- a/pkg/coordinator/intents.go
+++ b/pkg/coordinator/intents.go
@@ -16,9 +16,9 @@
 	// SyncInterval is the time between two syncs of a driving host with the leading keeper. A sync
 	// carries the picture of its workers.
 	SyncInterval time.Duration
-	// PictureAge is the age beyond which a picture is ignored, because its failure domain can't be
+	// MaxPictureAge is the age beyond which a picture is ignored, because its failure domain can't be
 	// reached.
-	PictureAge time.Duration
+	MaxPictureAge time.Duration
 	// ReviewInterval is the time between two reviews of the intents that wait for a plan.
 	ReviewInterval time.Duration
 	// RenewPlans is the time between two checks of unconfirmed plans.
@@ -40,7 +40,7 @@
 	return IntentSettings{
 		Lease:          10 * time.Second,
 		SyncInterval:   time.Second,
-		PictureAge:     5 * time.Second,
+		MaxPictureAge:  5 * time.Second,
 		ReviewInterval: time.Second,
 		RenewPlans:     5 * time.Second,
 		ConfirmWithin:  planner.DefaultConfirmWithin,
