--- a/pkg/elector/decide.go
+++ b/pkg/elector/decide.go
@@ -7,36 +7,37 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-func (elector *Elector) take(input Input) {
+func (elector *Elector) handleInput(input Input) {
 	switch input := input.(type) {
 	case HostsChanged:
 		elector.setLiving(input.FailureDomain, input.Living)
 		if input.FailureDomain == elector.FailureDomain {
-			elector.noteHosts(elector.others(), input.Missing)
+			elector.recordHosts(elector.countOthers(), input.Missing)
 		}
 	case ServerHeard:
-		elector.noteServer()
+		elector.recordServerResponse()
 	case HostRestarted:
 		elector.dropAnnouncements(input.FailureDomain, input.Host)
 	case LeadSeen:
-		elector.takeAnnouncement(input)
+		elector.handleAnnouncement(input)
 	case LeadWithdrawn:
 		if input.FailureDomain != elector.FailureDomain || input.Host != elector.Self {
 			elector.cell(input.FailureDomain, input.Cell).withdraw(input.Host)
 		}
 	case EpochSeen:
 		cell := elector.cell(elector.FailureDomain, input.Cell)
-		cell.highest = max(cell.highest, input.Epoch)
+		cell.highestEpoch = max(cell.highestEpoch, input.Epoch)
 	case Joined:
-		elector.noteJoined()
+		elector.handleJoined()
 	case StoodStill:
-		elector.startOver()
+		elector.handleStall()
 	case Resign:
 		elector.resign()
 	}
 }
 
-// setLiving keeps a copy; this host is alive as far as it is concerned.
+// setLiving stores a copy of the living hosts. This host counts itself as living until it
+// resigns.
 func (elector *Elector) setLiving(domain identifier.FailureDomain, living []identifier.HostID) {
 	living = slices.Clone(living)
 	if domain == elector.FailureDomain {
@@ -48,8 +49,8 @@
 	elector.domains.Put(domain, &domainEntity{living: living})
 }
 
-// others counts the living hosts of the own failure domain but this one.
-func (elector *Elector) others() int {
+// countOthers counts the living hosts of the own failure domain, this one excluded.
+func (elector *Elector) countOthers() int {
 	count := 0
 	for _, host := range elector.domains.Get(elector.FailureDomain).living {
 		if host != elector.Self {
@@ -64,27 +65,27 @@
 	return found != nil && slices.Contains(found.living, host)
 }
 
-// takeAnnouncement notes the newest epoch that a host announces. This host's own
-// comes back with the membership and says nothing new, unless it stems from an
+// handleAnnouncement records the latest epoch that a host announces. This host's own
+// announcement comes back through the membership and adds nothing, unless it was made by an
 // earlier process; then only its epoch counts.
-func (elector *Elector) takeAnnouncement(seen LeadSeen) {
+func (elector *Elector) handleAnnouncement(seen LeadSeen) {
 	cell := elector.cell(seen.FailureDomain, seen.Cell)
-	cell.highest = max(cell.highest, seen.Epoch)
+	cell.highestEpoch = max(cell.highestEpoch, seen.Epoch)
 	if seen.FailureDomain == elector.FailureDomain && seen.Host == elector.Self {
 		return
 	}
 	cell.announce(announcement{seen.Host, seen.Epoch})
 }
 
-func (cell *cellEntity) announce(told announcement) {
-	cell.highest = max(cell.highest, told.epoch)
+func (cell *cellEntity) announce(latest announcement) {
+	cell.highestEpoch = max(cell.highestEpoch, latest.epoch)
 	for position, known := range cell.announced {
-		if known.host == told.host {
-			cell.announced[position].epoch = max(known.epoch, told.epoch)
+		if known.host == latest.host {
+			cell.announced[position].epoch = max(known.epoch, latest.epoch)
 			return
 		}
 	}
-	cell.announced = append(cell.announced, told)
+	cell.announced = append(cell.announced, latest)
 }
 
 func (cell *cellEntity) withdraw(host identifier.HostID) {
@@ -105,22 +106,23 @@
 	})
 }
 
-// startOver gives up the cells that this host leads and listens before it takes any.
-func (elector *Elector) startOver() {
-	elector.settles = elector.now.Add(elector.SettleTime)
+// handleStall gives up the cells that this host leads and waits for the settle time before it
+// acquires any.
+func (elector *Elector) handleStall() {
+	elector.settlesAt = elector.now.Add(elector.SettleTime)
 	elector.cells.Each(func(key cellKey, cell *cellEntity) bool {
-		if cell.mine != 0 {
+		if cell.ownEpoch != 0 {
 			elector.giveUp(key.cell, cell, "")
 		}
 		return true
 	})
 }
 
-// giveUp ends this host's lead of a cell; next takes it over, if somebody does.
+// giveUp ends this host's lead of a cell. next is the host that takes over, if any.
 func (elector *Elector) giveUp(id identifier.CellID, cell *cellEntity, next identifier.HostID) {
-	elector.emit(LeadLost{Cell: id, Epoch: cell.mine, To: next})
-	cell.mine = 0
-	cell.overtakenUntil = identifier.Never
+	elector.emit(LeadLost{Cell: id, Epoch: cell.ownEpoch, To: next})
+	cell.ownEpoch = 0
+	cell.retakeAt = identifier.Never
 	cell.withdraw(elector.Self)
 }
 
@@ -129,8 +131,8 @@
 	elector.setLiving(elector.FailureDomain, elector.domains.Get(elector.FailureDomain).living)
 }
 
-// lead returns the living host with the highest epoch; among equal epochs the
-// smaller host id, so that all hosts choose the same.
+// lead returns the living host with the highest epoch. Among equal epochs the smaller host id
+// wins, so that all hosts choose the same one.
 func (elector *Elector) lead(domain identifier.FailureDomain, cell *cellEntity) announcement {
 	var best announcement
 	for _, known := range cell.announced {
@@ -145,62 +147,62 @@
 	return best
 }
 
-// decide brings this host's part in one cell of its failure domain up to date.
+// decide re-evaluates whether this host leads a cell of its failure domain.
 func (elector *Elector) decide(id identifier.CellID, cell *cellEntity) {
 	lead := elector.lead(elector.FailureDomain, cell)
-	if cell.mine != 0 {
-		elector.defend(id, cell, lead)
+	if cell.ownEpoch != 0 {
+		elector.reviewOwnLead(id, cell, lead)
 		return
 	}
-	if lead.host != "" || elector.resigned || !elector.settled() || elector.cutOff() {
+	if lead.host != "" || elector.resigned || !elector.hasSettled() || elector.isCutOff() {
 		return
 	}
-	if elector.first(id) == elector.Self {
-		elector.takeLead(id, cell)
+	if elector.preferredLead(id) == elector.Self {
+		elector.acquireLead(id, cell)
 	}
 }
 
-func (elector *Elector) settled() bool { return elector.settles == identifier.Never }
+func (elector *Elector) hasSettled() bool { return elector.settlesAt == identifier.Never }
 
-// defend keeps or gives up a cell that this host leads.
-func (elector *Elector) defend(id identifier.CellID, cell *cellEntity, lead announcement) {
+// reviewOwnLead keeps, renews or gives up a cell that this host leads.
+func (elector *Elector) reviewOwnLead(id identifier.CellID, cell *cellEntity, lead announcement) {
 	switch {
-	case elector.stepsDown():
+	case elector.mustStepDown():
 		elector.giveUp(id, cell, "")
 	case lead.host != elector.Self:
 		next := lead.host
 		if next == "" {
-			next = elector.first(id)
+			next = elector.preferredLead(id)
 		}
 		elector.giveUp(id, cell, next)
-	case elector.dueling(cell):
-		// Backend servers can't tell two leads of one epoch apart. The one that
-		// stays takes a higher epoch, so that the other's starts are refused.
-		elector.takeLead(id, cell)
-	case cell.highest == cell.mine:
-		cell.overtakenUntil = identifier.Never
-	case cell.overtakenUntil == identifier.Never:
-		// Someone leads or led with a higher epoch, and backend servers refuse
-		// this host's starts. Its announcement is mostly on the way.
-		cell.overtakenUntil = elector.now.Add(cmp.Or(elector.OvertakenTime, elector.SettleTime))
-	case cell.overtakenUntil.Due(elector.now):
-		elector.takeLead(id, cell)
+	case elector.hasEpochConflict(cell):
+		// Backend servers cannot distinguish two leads with one epoch. The lead that stays
+		// acquires a higher epoch, so that the other's starts are refused.
+		elector.acquireLead(id, cell)
+	case cell.highestEpoch == cell.ownEpoch:
+		cell.retakeAt = identifier.Never
+	case cell.retakeAt == identifier.Never:
+		// Another host leads or led with a higher epoch, and backend servers refuse this
+		// host's starts. Its announcement is usually on its way.
+		cell.retakeAt = elector.now.Add(cmp.Or(elector.OvertakenTime, elector.SettleTime))
+	case cell.retakeAt.Due(elector.now):
+		elector.acquireLead(id, cell)
 	}
 }
 
-// dueling tells whether another living host announces this host's own epoch.
-func (elector *Elector) dueling(cell *cellEntity) bool {
+// hasEpochConflict reports whether another living host announces this host's own epoch.
+func (elector *Elector) hasEpochConflict(cell *cellEntity) bool {
 	return slices.ContainsFunc(cell.announced, func(known announcement) bool {
-		return known.host != elector.Self && known.epoch == cell.mine &&
+		return known.host != elector.Self && known.epoch == cell.ownEpoch &&
 			elector.isLiving(elector.FailureDomain, known.host)
 	})
 }
 
-func (elector *Elector) takeLead(id identifier.CellID, cell *cellEntity) {
-	cell.mine = elector.nextEpoch(cell.highest)
-	cell.overtakenUntil = identifier.Never
-	cell.announce(announcement{elector.Self, cell.mine})
-	elector.emit(LeadTaken{Cell: id, Epoch: cell.mine})
+func (elector *Elector) acquireLead(id identifier.CellID, cell *cellEntity) {
+	cell.ownEpoch = elector.nextEpoch(cell.highestEpoch)
+	cell.retakeAt = identifier.Never
+	cell.announce(announcement{elector.Self, cell.ownEpoch})
+	elector.emit(LeadTaken{Cell: id, Epoch: cell.ownEpoch})
 }
 
 func (elector *Elector) nextEpoch(after identifier.Epoch) identifier.Epoch {
@@ -210,12 +212,12 @@
 	return elector.NextEpoch(after)
 }
 
-// tell outputs the lead of a cell when it differs from the one told before.
-func (elector *Elector) tell(key cellKey, cell *cellEntity) {
+// reportLead outputs the lead of a cell when it differs from the one last output.
+func (elector *Elector) reportLead(key cellKey, cell *cellEntity) {
 	lead := elector.lead(key.domain, cell)
-	if lead == cell.told {
+	if lead == cell.reported {
 		return
 	}
-	cell.told = lead
+	cell.reported = lead
 	elector.emit(LeadIs{FailureDomain: key.domain, Cell: key.cell, Host: lead.host, Epoch: lead.epoch})
 }
--- a/pkg/elector/elector.go
+++ b/pkg/elector/elector.go
@@ -1,11 +1,11 @@
-// Package elector decides from a host's view of the others which host leads each
-// cell of a failure domain. There is no vote: an epoch that backend servers
-// check fences a lead that others have replaced, so that two hosts which hold
-// themselves for the lead for a moment cannot both start work.
+// Package elector determines from a host's membership view which host leads each cell of a
+// failure domain. There is no vote. Backend servers check epochs and so fence a lead that has
+// been replaced: two hosts that both believe for a moment that they lead cannot both start
+// work.
 //
-// The living host that announces the highest epoch leads. Where none does, the
-// first living host in rendezvous order takes the cell with the next epoch. A
-// host that comes back takes nothing back.
+// The living host that announces the highest epoch leads. Where none does, the first living
+// host in rendezvous order acquires the cell with the next epoch. A host that returns does not
+// reclaim its former cells.
 package elector
 
 import (
@@ -18,37 +18,36 @@
 // DefaultSettleTime is the usual value of Elector.SettleTime.
 const DefaultSettleTime = 300 * time.Millisecond
 
-// Elector is one host's view of who leads. Set the exported fields, then call
-// Tick whenever NextDeadline falls due or an input arrives.
+// Elector holds one host's view of which hosts lead. Set the exported fields, then call Tick
+// whenever NextDeadline is due or an input arrives.
 type Elector struct {
 	Self          identifier.HostID
 	FailureDomain identifier.FailureDomain
 	// Cells is the number of cells of the own failure domain.
 	Cells int
-	// Others is how many other hosts of the own failure domain the settings name.
-	// While none of them and no backend server is heard, a host that has just
-	// started takes no cell.
+	// Others is how many other hosts of the own failure domain the settings name. If it is
+	// positive, a host that has just started acquires no cell until one of them or a backend
+	// server has responded.
 	Others int
-	// OvertakenTime is how long a lead that is overtaken waits for the one who overtook
-	// it to show itself, before it takes the cell anew. Zero means SettleTime.
+	// OvertakenTime is how long a lead that learns of a higher epoch waits for the holder of
+	// that epoch to announce itself before it acquires the cell again. Zero means SettleTime.
 	OvertakenTime time.Duration
-	// SettleTime is how long a host that starts listens before it takes a cell,
-	// so that it doesn't duel with a living lead it has not heard of yet; and how
-	// long a lead that is overtaken waits for the one who overtook it.
+	// SettleTime is how long a host that starts waits before it acquires a cell, so that it
+	// does not compete with a living lead that it does not know yet. It is also the default of
+	// OvertakenTime.
 	SettleTime time.Duration
-	// JoinedTime is how long a host that starts still listens once another host has told
-	// it all that it knows, where that is sooner than SettleTime; zero means that it makes
-	// no difference.
+	// JoinedTime is how long a host that starts still waits after another host has sent its
+	// whole state, if that ends sooner than SettleTime. Zero disables this.
 	JoinedTime time.Duration
-	// NextEpoch returns the epoch under which this host takes a cell after another;
-	// nil counts on by one. Hosts that lose sight of each other must not take the
-	// same one: backend servers could not tell them apart.
+	// NextEpoch returns the epoch with which this host acquires a cell after the given one;
+	// nil increments by one. Hosts that cannot reach each other must not choose the same
+	// epoch: backend servers could not distinguish them.
 	NextEpoch func(after identifier.Epoch) identifier.Epoch
 
 	started   bool
 	resigned  bool
 	now       identifier.Moment
-	settles   identifier.Moment
+	settlesAt identifier.Moment
 	isolation isolation
 	outputs   []Output
 	domains   *tabulator.Table[identifier.FailureDomain, domainEntity]
@@ -65,19 +64,19 @@
 	cell   identifier.CellID
 }
 
-// cellEntity is what is known about one cell.
+// cellEntity holds what is known about one cell.
 type cellEntity struct {
-	// highest is the highest epoch ever seen, whoever announced it.
-	highest identifier.Epoch
-	// announced holds each host's newest announcement.
+	// highestEpoch is the highest epoch seen so far, from any source.
+	highestEpoch identifier.Epoch
+	// announced holds each host's latest announcement.
 	announced []announcement
-	// mine is the epoch with which this host leads; zero if it does not.
-	mine identifier.Epoch
-	// overtakenUntil is when a lead that a higher epoch has fenced takes the cell
-	// anew, unless the one with the higher epoch has shown itself.
-	overtakenUntil identifier.Moment
-	// told is the lead that was last output.
-	told announcement
+	// ownEpoch is the epoch with which this host leads; zero if it does not.
+	ownEpoch identifier.Epoch
+	// retakeAt is when a lead that a higher epoch has fenced acquires the cell again, unless
+	// the holder of that epoch has announced itself by then.
+	retakeAt identifier.Moment
+	// reported is the lead that was last output.
+	reported announcement
 }
 
 type announcement struct {
@@ -85,7 +84,7 @@
 	epoch identifier.Epoch
 }
 
-// Tick takes the inputs and decides anew.
+// Tick handles the inputs, re-evaluates every cell and returns the decisions.
 func (elector *Elector) Tick(now identifier.Moment, inputs []Input) []Output {
 	elector.outputs = nil
 	elector.now = now
@@ -93,39 +92,39 @@
 		elector.start()
 	}
 	for _, input := range inputs {
-		elector.take(input)
+		elector.handleInput(input)
 	}
-	if elector.settles.Due(now) {
-		elector.settles = identifier.Never
+	if elector.settlesAt.Due(now) {
+		elector.settlesAt = identifier.Never
 	}
 	elector.cells.Each(func(key cellKey, cell *cellEntity) bool {
 		if key.domain == elector.FailureDomain {
 			elector.decide(key.cell, cell)
 		}
-		elector.tell(key, cell)
+		elector.reportLead(key, cell)
 		return true
 	})
 	return elector.outputs
 }
 
-// NextDeadline returns when Tick wants to run next without any input.
+// NextDeadline returns when Tick must run next even without inputs.
 func (elector *Elector) NextDeadline() identifier.Moment {
 	if !elector.started {
 		return 0
 	}
-	next := elector.settles
-	if elector.cutOff() && !elector.stepsDown() {
+	next := elector.settlesAt
+	if elector.isCutOff() && !elector.mustStepDown() {
 		next = min(next, elector.isolation.stepsDownAt)
 	}
 	elector.cells.Each(func(_ cellKey, cell *cellEntity) bool {
-		next = min(next, cell.overtakenUntil)
+		next = min(next, cell.retakeAt)
 		return true
 	})
 	return next
 }
 
-// Lead returns the living lead of a cell of any failure domain; the host is
-// empty where none is known.
+// Lead returns the living lead of a cell of any failure domain and its epoch. The host is
+// empty if none is known.
 func (elector *Elector) Lead(domain identifier.FailureDomain, cell identifier.CellID) (identifier.HostID, identifier.Epoch) {
 	if !elector.started {
 		return "", 0
@@ -134,12 +133,12 @@
 	if found == nil {
 		return "", 0
 	}
-	return found.told.host, found.told.epoch
+	return found.reported.host, found.reported.epoch
 }
 
 func (elector *Elector) start() {
 	elector.started = true
-	elector.settles = elector.now.Add(elector.SettleTime)
+	elector.settlesAt = elector.now.Add(elector.SettleTime)
 	elector.isolation = isolation{alone: elector.Others > 0, stepsDownAt: elector.now.Add(stepDownWait)}
 	elector.domains = tabulator.New[identifier.FailureDomain, domainEntity]()
 	elector.cells = tabulator.New[cellKey, cellEntity]()
@@ -149,12 +148,12 @@
 	}
 }
 
-// cell returns the entity of a cell, made when it is first named.
+// cell returns the entity of a cell and creates it on first use.
 func (elector *Elector) cell(domain identifier.FailureDomain, cell identifier.CellID) *cellEntity {
 	key := cellKey{domain, cell}
 	found := elector.cells.Get(key)
 	if found == nil {
-		found = &cellEntity{overtakenUntil: identifier.Never}
+		found = &cellEntity{retakeAt: identifier.Never}
 		elector.cells.Put(key, found)
 	}
 	return found
--- a/pkg/elector/elector_test.go
+++ b/pkg/elector/elector_test.go
@@ -33,20 +33,20 @@
 					inputs = append(inputs, parseInput(line))
 				}
 			}
-			var told strings.Builder
+			var printed strings.Builder
 			for _, output := range elector.Tick(now, inputs) {
-				fmt.Fprintf(&told, "%T %+v\n", output, output)
+				fmt.Fprintf(&printed, "%T %+v\n", output, output)
 			}
 			if next := elector.NextDeadline(); next != identifier.Never {
-				fmt.Fprintf(&told, "next tick at %d ms\n", time.Duration(next).Milliseconds())
+				fmt.Fprintf(&printed, "next tick at %d ms\n", time.Duration(next).Milliseconds())
 			}
-			return told.String()
+			return printed.String()
 		})
 	})
 }
 
-// parseInput reads one input: its name, then the failure domain where there is
-// one, hosts, cell and epoch.
+// parseInput parses one input: its name, then, where present, the failure domain, hosts, cell
+// and epoch.
 func parseInput(line string) Input {
 	words := strings.Fields(line)
 	var cell identifier.CellID
@@ -63,7 +63,7 @@
 		}
 		return HostsChanged{FailureDomain: domain, Living: hosts}
 	case "cut-off":
-		// All hosts of the own failure domain but this one are out of reach.
+		// All hosts of the own failure domain except this one are unreachable.
 		return HostsChanged{FailureDomain: domain, Living: []identifier.HostID{"b"}, Missing: 2}
 	case "server-heard":
 		return ServerHeard{}
@@ -90,7 +90,7 @@
 	}
 }
 
-// host is one elector of the fuzz test, with what it has announced.
+// host is one elector of the fuzz test with the epochs that it leads with and has announced.
 type host struct {
 	elector   *Elector
 	up        bool
@@ -98,8 +98,8 @@
 	announced map[identifier.CellID]identifier.Epoch
 }
 
-// domain runs the electors of one failure domain. Views lag: a host hears of the
-// others only when it is brought up to date.
+// domain runs the electors of one failure domain. Views lag: a host sees changes of the others
+// only when its view is updated.
 type domain struct {
 	now     identifier.Moment
 	hosts   []*host
@@ -124,7 +124,7 @@
 		switch output := output.(type) {
 		case LeadTaken:
 			if output.Epoch <= current.announced[output.Cell] {
-				t.Fatalf("%s took cell %d with epoch %d after %d", current.elector.Self,
+				t.Fatalf("%s acquired cell %d with epoch %d after %d", current.elector.Self,
 					output.Cell, output.Epoch, current.announced[output.Cell])
 			}
 			current.leads[output.Cell] = output.Epoch
@@ -139,7 +139,7 @@
 	}
 }
 
-// update brings one host's view of some of the others up to date.
+// update updates one host's view of some of the others.
 func (domain *domain) update(t *rapid.T, current *host, sees func(index int) bool) {
 	hosts := HostsChanged{FailureDomain: ownDomain}
 	var inputs []Input
@@ -159,11 +159,10 @@
 	domain.tick(t, current, append(inputs, hosts)...)
 }
 
-// TestOneLeadOnceViewsAgree mixes restarts, resigning and partial views.
-//
-// Symptom: two hosts go on leading one cell, or none does, or an epoch is given
-// out lower than before. Sequence: hosts restart, resign and lose sight of each
-// other in any order. Cause: rules that depend on the order of what is heard.
+// TestOneLeadOnceViewsAgree mixes restarts, resignations and partial views. It guards against
+// two hosts that both keep leading one cell, a cell without a lead, and an epoch lower than
+// one announced before. Hosts restart, resign and lose sight of each other in any order; rules
+// that depend on the order of inputs would fail.
 func TestOneLeadOnceViewsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 5).Draw(t, "hosts")
@@ -211,8 +210,8 @@
 	})
 }
 
-// checkDeadlines makes sure that a host which has just run does not ask to run
-// again at the same moment, which would keep a processor busy for nothing.
+// checkDeadlines checks that a host that has just run does not request another tick at the
+// same moment, which would keep a processor busy for nothing.
 func (domain *domain) checkDeadlines(t *rapid.T) {
 	for _, current := range domain.hosts {
 		if !current.up {
@@ -220,12 +219,13 @@
 		}
 		domain.tick(t, current)
 		if current.elector.NextDeadline().Due(domain.now) {
-			t.Fatalf("%s asks for another tick at once", current.elector.Self)
+			t.Fatalf("%s requests another tick at once", current.elector.Self)
 		}
 	}
 }
 
-// check compares who holds itself for the lead with what all others hold.
+// check compares which hosts lead each cell by their own account with the lead that every host
+// sees.
 func (domain *domain) check(t *rapid.T) {
 	willing := slices.ContainsFunc(domain.hosts, func(current *host) bool {
 		return current.up && !current.elector.resigned
@@ -245,7 +245,7 @@
 				continue
 			}
 			if lead, _ := current.elector.Lead(ownDomain, cell); lead != leads[0] {
-				t.Fatalf("%s holds %q for the lead of cell %d, not %v", current.elector.Self, lead, cell, leads)
+				t.Fatalf("%s sees %q as the lead of cell %d, not %v", current.elector.Self, lead, cell, leads)
 			}
 		}
 	}
--- a/pkg/elector/membership.go
+++ b/pkg/elector/membership.go
@@ -9,11 +9,12 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// announcementPrefix starts the keys of the member records that announce leads;
-// the cell's number follows, and the value is the epoch in decimal digits.
+// announcementPrefix starts the keys of the member records that announce leads. The cell's
+// number follows; the value is the epoch in decimal digits.
 const announcementPrefix = "lead-cell-"
 
-// Announce turns decisions into the records that tell the other hosts of them.
+// Announce converts decisions into the membership records that announce them to the other
+// hosts.
 func Announce(decided []Output) []gossiper.Input {
 	var inputs []gossiper.Input
 	for _, output := range decided {
@@ -28,12 +29,12 @@
 	return inputs
 }
 
-// Follow turns what the membership told into what the elector takes in. The
-// view must be the one that told it, after that tick.
-func Follow(view *gossiper.Gossiper, told []gossiper.Output) []Input {
+// InputsFrom converts outputs of the membership into inputs of the elector. The view must be
+// the one that produced them, after that tick.
+func InputsFrom(view *gossiper.Gossiper, outputs []gossiper.Output) []Input {
 	var inputs []Input
 	var domains []identifier.FailureDomain
-	for _, output := range told {
+	for _, output := range outputs {
 		switch output := output.(type) {
 		case gossiper.MemberChanged:
 			member := output.New.Member
@@ -53,7 +54,7 @@
 	return inputs
 }
 
-// followRecord reads an announcement; other records give nothing.
+// followRecord parses an announcement and returns nil for any other record.
 func followRecord(view *gossiper.Gossiper, changed gossiper.RecordChanged) []Input {
 	digits, isAnnouncement := strings.CutPrefix(changed.Record.Key, announcementPrefix)
 	state, known := view.State(changed.Host)
--- a/pkg/elector/membership_test.go
+++ b/pkg/elector/membership_test.go
@@ -35,12 +35,12 @@
 	process.up = true
 }
 
-// TestLeadsOverTheMembership runs three hosts and their electors over a network
-// that takes a millisecond, and writes down who takes and loses which cell when.
+// TestLeadsOverTheMembership runs three hosts and their electors over a network with a delay
+// of one millisecond, and prints which host acquires and loses which cell when.
 //
-// Symptom: a cell without a lead for longer than a loss takes to be seen, or one
-// that moves although its lead lives. Sequence: start, loss, return, leaving.
-// Cause: announcements that the membership withholds or brings back.
+// It guards against a cell without a lead for longer than a loss takes to be detected, and
+// against a cell that moves although its lead lives, at a start, loss, return and leave. The
+// cause would be announcements that the membership withholds or restores.
 func TestLeadsOverTheMembership(t *testing.T) {
 	var processes []*process
 	var seeds []gossiper.Member
@@ -69,25 +69,25 @@
 				current.inbox = append(current.inbox, gossiper.LeaveRequested{})
 			}
 		}
-		var told strings.Builder
+		var printed strings.Builder
 		since := now
 		for now.Sub(since) < 5*time.Second {
 			now = now.Add(time.Millisecond)
-			step(now, since, processes, &told)
+			step(now, since, processes, &printed)
 		}
-		return told.String()
+		return printed.String()
 	})
 }
 
-// step runs a millisecond; what is sent in it arrives in the next.
-func step(now, since identifier.Moment, processes []*process, told *strings.Builder) {
+// step simulates one millisecond. Messages sent in it arrive in the next.
+func step(now, since identifier.Moment, processes []*process, printed *strings.Builder) {
 	var sent []gossiper.Send
 	for _, current := range processes {
 		if !current.up {
 			continue
 		}
 		outputs := current.gossiper.Tick(now, current.inbox)
-		decided := current.elector.Tick(now, Follow(current.gossiper, outputs))
+		decided := current.elector.Tick(now, InputsFrom(current.gossiper, outputs))
 		current.inbox = Announce(decided)
 		for _, output := range outputs {
 			if send, isSend := output.(gossiper.Send); isSend {
@@ -96,7 +96,7 @@
 		}
 		for _, output := range decided {
 			if _, isView := output.(LeadIs); !isView {
-				fmt.Fprintf(told, "%4d %s: %T %+v\n", now.Sub(since).Milliseconds(), current.member.Host, output, output)
+				fmt.Fprintf(printed, "%4d %s: %T %+v\n", now.Sub(since).Milliseconds(), current.member.Host, output, output)
 			}
 		}
 	}
--- a/pkg/elector/messages.go
+++ b/pkg/elector/messages.go
@@ -2,23 +2,23 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// Input is what this host learned about others.
+// Input is an event about this host or other hosts and servers that Tick handles.
 type Input interface{ input() }
 
-// HostsChanged gives all hosts of a failure domain that are alive or suspected.
-// Hosts that are dead or leave are not in it. This host needs not be.
+// HostsChanged lists all hosts of a failure domain that are alive or suspected. Hosts that are
+// dead or leaving are not in it. This host may be omitted.
 type HostsChanged struct {
 	FailureDomain identifier.FailureDomain
 	Living        []identifier.HostID
-	// Missing counts the hosts that are known, have not left and don't live.
+	// Missing counts the hosts that are known, have not left and are not living.
 	Missing int
 }
 
-// ServerHeard tells that a backend server of the own failure domain was heard.
+// ServerHeard reports that a backend server of the own failure domain has responded.
 type ServerHeard struct{}
 
-// HostRestarted tells that a host has a new process, which leads nothing of what
-// the old one announced.
+// HostRestarted reports that a host runs a new process, which leads none of the cells that the
+// old one announced.
 type HostRestarted struct {
 	FailureDomain identifier.FailureDomain
 	Host          identifier.HostID
@@ -32,30 +32,31 @@
 	Epoch         identifier.Epoch
 }
 
-// LeadWithdrawn tells that a host no longer announces that it leads a cell. It
-// must follow each LeadLost of that host: a host that gave way to another which
-// died since would else be taken for the living lead, and nobody would lead.
+// LeadWithdrawn reports that a host no longer announces that it leads a cell. It must follow
+// each LeadLost of that host. Otherwise a host that gave way to another one that has died
+// since would still count as the living lead, and nobody would lead.
 type LeadWithdrawn struct {
 	FailureDomain identifier.FailureDomain
 	Host          identifier.HostID
 	Cell          identifier.CellID
 }
 
-// EpochSeen is a backend server's report of the highest epoch it was shown for a
-// cell of the own failure domain.
+// EpochSeen is a backend server's report of the highest epoch that it has received for a cell
+// of the own failure domain.
 type EpochSeen struct {
 	Cell  identifier.CellID
 	Epoch identifier.Epoch
 }
 
-// Joined tells that another host has answered with all that it knows: who leads is
-// known from now on, but for what is on its way.
+// Joined reports that another host has sent its whole state. From then on the leads are known,
+// except for announcements still on their way.
 type Joined struct{}
 
-// StoodStill tells that this host did nothing for so long that others may have taken its cells.
+// StoodStill reports that this host was stalled for so long that others may have acquired its
+// cells.
 type StoodStill struct{}
 
-// Resign makes this host give up its cells and take none any more.
+// Resign makes this host give up its cells and acquire none from then on.
 type Resign struct{}
 
 func (HostsChanged) input()  {}
@@ -68,27 +69,26 @@
 func (StoodStill) input()    {}
 func (Resign) input()        {}
 
-// Output is a decision or a change of view.
+// Output is a decision of this host or a change of its view.
 type Output interface{ output() }
 
-// LeadTaken tells that this host leads a cell of its failure domain from now on,
-// with a new epoch, which it must announce.
+// LeadTaken reports that this host leads a cell of its failure domain from now on, with a new
+// epoch that it must announce.
 type LeadTaken struct {
 	Cell  identifier.CellID
 	Epoch identifier.Epoch
 }
 
-// LeadLost tells that this host no longer leads and must withdraw what it
-// announced; To is the next lead, or empty
-// if there is nobody to take over.
+// LeadLost reports that this host no longer leads a cell and must withdraw its announcement.
+// To is the next lead, or empty if there is none.
 type LeadLost struct {
 	Cell  identifier.CellID
 	Epoch identifier.Epoch
 	To    identifier.HostID
 }
 
-// LeadIs tells who leads a cell of any failure domain; Host is empty while no
-// living host announces that it does.
+// LeadIs reports a change of the lead of a cell of any failure domain. Host is empty while no
+// living host announces that it leads.
 type LeadIs struct {
 	FailureDomain identifier.FailureDomain
 	Cell          identifier.CellID
--- a/pkg/elector/rendezvous.go
+++ b/pkg/elector/rendezvous.go
@@ -8,10 +8,10 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// first returns the living host of the own failure domain that comes first in
-// rendezvous order for a cell: each cell has its own order, so that the cells of
-// a lost host spread over those that are left.
-func (elector *Elector) first(cell identifier.CellID) identifier.HostID {
+// preferredLead returns the living host of the own failure domain that comes first in
+// rendezvous order for a cell. Each cell has its own order, so that the cells of a lost host
+// spread over the remaining hosts.
+func (elector *Elector) preferredLead(cell identifier.CellID) identifier.HostID {
 	var best identifier.HostID
 	var bestWeight uint64
 	for _, host := range elector.domains.Get(elector.FailureDomain).living {
--- a/pkg/elector/seed_test.go
+++ b/pkg/elector/seed_test.go
@@ -1,4 +1,4 @@
 package elector
 
-// The random tests draw from a fixed seed, so that CI has one verdict.
+// The random tests draw from a fixed seed, so that every CI run has the same result.
 import _ "github.com/stoathitch/stoathitch/pkg/seeder"
