--- a/pkg/forwarder/answers.go
+++ b/pkg/forwarder/answers.go
@@ -7,199 +7,197 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// recordAnswer takes the one answer of a submission. A second one is ignored.
+// recordAnswer records the one answer of a submission. A second one is ignored.
 func (forwarder *Forwarder) recordAnswer(input *AnswerArrived) {
-	front := forwarder.fronts.Get(input.Answer.Submission)
-	if front == nil {
+	localSubmission := forwarder.localSubmissions.Get(input.Answer.Submission)
+	if localSubmission == nil {
 		return
 	}
-	if front.answerHeldBack && input.From != forwarder.Self {
-		forwarder.replaceHeldBack(input, front)
+	if localSubmission.answerWithheld && input.From != forwarder.Self {
+		forwarder.replaceWithheldAnswer(input, localSubmission)
 		return
 	}
-	if front.answer != nil {
-		forwarder.confirmKnown(input, front)
+	if localSubmission.answer != nil {
+		forwarder.confirmSameAnswer(input, localSubmission)
 		return
 	}
-	front.answer = trustedAnswer(input, front)
-	submission := front.job.Submission
-	forwarder.keepHandingOver(submission)
+	localSubmission.answer = dropUntrustedNotRun(input, localSubmission)
+	submission := localSubmission.job.Submission
+	forwarder.replicateIfLeaving(submission)
 	forwarder.timers.Clear(timerKey{kind: timerHomeWait, submission: submission})
 	forwarder.timers.Clear(timerKey{kind: timerCopyWait, submission: submission})
-	forwarder.timers.Clear(timerKey{kind: timerAskAgain, submission: submission})
-	forgetAt := forwarder.now.Add(forwarder.Settings.AnswerRetention)
-	forwarder.timers.Set(timerKey{kind: timerForgetFront, submission: submission}, forgetAt)
-	forwarder.confirmAnswer(input.From, front)
-	if forwarder.mustSpreadFirst(input.From, front) {
-		front.answerHeldBack = true
-		front.heldBackAt = forwarder.now
+	forwarder.timers.Clear(timerKey{kind: timerResend, submission: submission})
+	expiresAt := forwarder.now.Add(forwarder.Settings.AnswerRetention)
+	forwarder.timers.Set(timerKey{kind: timerExpireSubmission, submission: submission}, expiresAt)
+	forwarder.confirmAnswer(input.From, localSubmission)
+	if forwarder.mustReplicateFirst(input.From, localSubmission) {
+		localSubmission.answerWithheld = true
+		localSubmission.withheldAt = forwarder.now
 		due := forwarder.now.Add(forwarder.Settings.CopyWait)
 		forwarder.timers.Set(timerKey{kind: timerCopyWait, submission: submission}, due)
 		return
 	}
-	forwarder.answerWaiters(front)
+	forwarder.answerWaiters(localSubmission)
 }
 
-// confirmKnown confirms an answer that this host has already, and only that one.
+// confirmSameAnswer confirms an answer only if this host already has the same one.
 //
-// A lead that was deposed without knowing may have another answer than the new lead
-// gave. If this host confirmed it, the deposed lead would take that for a second host
-// that holds its answer, and tell its callers: a submission would have two. Unconfirmed,
-// it asks its neighbours, which tell it who leads.
-func (forwarder *Forwarder) confirmKnown(input *AnswerArrived, front *front) {
-	if input.From == forwarder.Self || input.Answer.Outcome == front.answer.Outcome {
-		forwarder.confirmAnswer(input.From, front)
+// A deposed lead that does not know of its loss may have a different answer than the new lead.
+// If this host confirmed it, the deposed lead would conclude that a second host holds its
+// answer, and send it to its callers: a submission would have two answers. Unconfirmed, it
+// queries its neighbours, which notify it of the new lead.
+func (forwarder *Forwarder) confirmSameAnswer(input *AnswerArrived, localSubmission *localSubmission) {
+	if input.From == forwarder.Self || input.Answer.Outcome == localSubmission.answer.Outcome {
+		forwarder.confirmAnswer(input.From, localSubmission)
 	}
 }
 
-// trustedAnswer takes the claim "not run" out of an answer that does not come from
-// the lead which has the job now: a lead that was deposed can't know what the next
-// one starts.
-func trustedAnswer(input *AnswerArrived, front *front) *messenger.JobAnswer {
-	if !input.Answer.NotRun || input.From == front.forwardedTo {
+// dropUntrustedNotRun removes the claim "not run" from an answer that does not come from the
+// lead which has the job now: a deposed lead cannot know what the next one starts.
+func dropUntrustedNotRun(input *AnswerArrived, localSubmission *localSubmission) *messenger.JobAnswer {
+	if !input.Answer.NotRun || input.From == localSubmission.forwardedTo {
 		return input.Answer
 	}
-	careful := *input.Answer
-	careful.NotRun = false
-	return &careful
+	copied := *input.Answer
+	copied.NotRun = false
+	return &copied
 }
 
-// mustSpreadFirst tells whether another host must hold the answer before a caller
-// hears it. That is so for failures, and for what did not run, where this host is
-// the lead itself: if it died just after it had told them, the next lead could
-// finish the job and a resend would hear that it is complete. It costs one message
-// to a neighbour and back, which is sent anyway. A complete answer needs no such
-// wait: its parts are kept by the backend servers, and the next lead puts the same
-// answer together.
-func (forwarder *Forwarder) mustSpreadFirst(from identifier.HostID, front *front) bool {
-	mayChange := front.answer.Outcome == messenger.OutcomeFailed || front.answer.NotRun
-	return from == forwarder.Self && mayChange && !front.answerAlone
+// mustReplicateFirst reports whether another host must hold the answer before a caller gets
+// it. That is so where this host is the lead itself, for failures and for answers that claim
+// "not run": if it died just after it had sent them, the next lead could finish the job and
+// answer a resend as complete. It costs one round trip to a neighbour, which takes place
+// anyway. A complete answer needs no such wait: backend servers keep the answers of its tasks,
+// and the next lead assembles the same answer.
+func (forwarder *Forwarder) mustReplicateFirst(from identifier.HostID, localSubmission *localSubmission) bool {
+	mayChange := localSubmission.answer.Outcome == messenger.OutcomeFailed || localSubmission.answer.NotRun
+	return from == forwarder.Self && mayChange && !localSubmission.awaitsSecondHolder
 }
 
-// spreadHeldBack asks the next neighbour to hold an answer that none has confirmed
-// in time. Where that goes on, this host may be cut off from the others, and one of
-// them may have taken the cell: then the caller hears that nobody here can tell.
-func (forwarder *Forwarder) spreadHeldBack(submission identifier.SubmissionID) {
-	front := forwarder.fronts.Get(submission)
-	if front == nil || !front.answerHeldBack {
+// replicateWithheldAnswer requests that the next neighbour hold an answer that none has
+// confirmed in time. If no neighbour confirms within HomeWait or none lives, this host may be
+// cut off and another one may have acquired the cell. Then the caller gets the answer that the
+// state of the job is unknown.
+func (forwarder *Forwarder) replicateWithheldAnswer(submission identifier.SubmissionID) {
+	localSubmission := forwarder.localSubmissions.Get(submission)
+	if localSubmission == nil || !localSubmission.answerWithheld {
 		return
 	}
-	second := forwarder.secondHost(front.spreadTo)
-	if second == "" || forwarder.now.Sub(front.heldBackAt) >= forwarder.Settings.HomeWait {
-		front.answer = messenger.RefuseUnknown(submission, front.answer.Reason, front.answer.Detail)
-		forwarder.answerWaiters(front)
+	second := forwarder.secondHost(localSubmission.answerCopyAt)
+	if second == "" || forwarder.now.Sub(localSubmission.withheldAt) >= forwarder.Settings.HomeWait {
+		localSubmission.answer = messenger.RefuseUnknown(submission, localSubmission.answer.Reason, localSubmission.answer.Detail)
+		forwarder.answerWaiters(localSubmission)
 		return
 	}
-	front.spreadTo = second
-	forwarder.holdAnswerAt(second, front)
+	localSubmission.answerCopyAt = second
+	forwarder.requestAnswerCopy(second, localSubmission)
 	due := forwarder.now.Add(forwarder.Settings.CopyWait)
 	forwarder.timers.Set(timerKey{kind: timerCopyWait, submission: submission}, due)
 }
 
-func (forwarder *Forwarder) answerWaiters(front *front) {
-	front.answerHeldBack = false
-	front.job = front.job.WithoutTasks()
-	for _, waiter := range front.waiters {
-		forwarder.add(&AnswerCaller{Waiter: waiter, Answer: front.answer})
+func (forwarder *Forwarder) answerWaiters(localSubmission *localSubmission) {
+	localSubmission.answerWithheld = false
+	localSubmission.job = localSubmission.job.WithoutTasks()
+	for _, waiter := range localSubmission.waiters {
+		forwarder.emit(&AnswerCaller{Waiter: waiter, Answer: localSubmission.answer})
 	}
-	front.waiters = nil
+	localSubmission.waiters = nil
 }
 
-// confirmAnswer tells the lead that two hosts hold the answer. Where this host
-// is the lead, another host must hold a copy first.
-func (forwarder *Forwarder) confirmAnswer(from identifier.HostID, front *front) {
+// confirmAnswer confirms to the lead that two hosts hold the answer. Where this host is the
+// lead, another host must hold a copy first.
+func (forwarder *Forwarder) confirmAnswer(from identifier.HostID, localSubmission *localSubmission) {
 	if from != forwarder.Self {
-		forwarder.add(&ConfirmAnswer{To: from, Submission: front.job.Submission})
+		forwarder.emit(&ConfirmAnswer{To: from, Submission: localSubmission.job.Submission})
 		return
 	}
-	second := front.copyAt
+	second := localSubmission.copyAt
 	if !slices.Contains(forwarder.living, second) {
 		second = forwarder.secondHost("")
 	}
 	if second == "" {
-		forwarder.keepAnswerAlone(front)
+		forwarder.awaitSecondHolder(localSubmission)
 		return
 	}
-	front.spreadTo = second
-	forwarder.holdAnswerAt(second, front)
+	localSubmission.answerCopyAt = second
+	forwarder.requestAnswerCopy(second, localSubmission)
 }
 
-// holdAnswerAt asks a neighbour to hold an answer of the lead's epoch.
-func (forwarder *Forwarder) holdAnswerAt(neighbour identifier.HostID, front *front) {
-	copied := messenger.AnswerCopy{Answer: front.answer}
-	if known := forwarder.leads.Get(forwarder.cellOf(front.job)); known != nil {
+// requestAnswerCopy requests that a neighbour hold an answer, under the lead's epoch.
+func (forwarder *Forwarder) requestAnswerCopy(neighbour identifier.HostID, localSubmission *localSubmission) {
+	copied := messenger.AnswerCopy{Answer: localSubmission.answer}
+	if known := forwarder.leads.Get(forwarder.cellOf(localSubmission.job)); known != nil {
 		copied.Epoch = known.epoch
 	}
-	forwarder.add(&HoldAnswer{To: neighbour, Copy: copied})
+	forwarder.emit(&HoldAnswer{To: neighbour, Copy: copied})
 }
 
-// keepAnswerAlone waits for a second host to hold the answer. Meanwhile the
-// backend servers keep the answers of the tasks: if they forgot them at once and
-// another host took the cell, it would find no trace of the submission and a
-// resend would run again. The wait is bounded, because backend servers hold the
-// answers of every job meanwhile.
-func (forwarder *Forwarder) keepAnswerAlone(front *front) {
-	front.answerAlone = true
+// awaitSecondHolder waits for a second host to hold the answer. Meanwhile the backend servers
+// keep the answers of the tasks: if they forgot them at once and another host acquired the
+// cell, it would find no trace of the submission and a resend would run again. The wait is
+// bounded, because backend servers hold the answers of every job meanwhile.
+func (forwarder *Forwarder) awaitSecondHolder(localSubmission *localSubmission) {
+	localSubmission.awaitsSecondHolder = true
 	due := forwarder.now.Add(forwarder.Settings.LoneAnswerWait)
-	forwarder.timers.Set(timerKey{kind: timerLoneAnswer, submission: front.job.Submission}, due)
+	forwarder.timers.Set(timerKey{kind: timerSecondHolder, submission: localSubmission.job.Submission}, due)
 }
 
-// confirmLoneAnswer goes on without a second host once the wait is over.
-func (forwarder *Forwarder) confirmLoneAnswer(submission identifier.SubmissionID) {
-	front := forwarder.fronts.Get(submission)
-	if front == nil || !front.answerAlone {
+// confirmWithoutSecondHolder confirms the answer without a second host once the wait is over.
+func (forwarder *Forwarder) confirmWithoutSecondHolder(submission identifier.SubmissionID) {
+	localSubmission := forwarder.localSubmissions.Get(submission)
+	if localSubmission == nil || !localSubmission.awaitsSecondHolder {
 		return
 	}
-	front.answerAlone = false
-	forwarder.add(&ConfirmAnswer{To: forwarder.Self, Submission: submission})
+	localSubmission.awaitsSecondHolder = false
+	forwarder.emit(&ConfirmAnswer{To: forwarder.Self, Submission: submission})
 }
 
-// spreadLoneAnswers has a host that has come hold the answers which stand here
-// alone.
-func (forwarder *Forwarder) spreadLoneAnswers() {
+// replicateLoneAnswers requests that a host which has joined hold the answers that only this
+// host holds.
+func (forwarder *Forwarder) replicateLoneAnswers() {
 	second := forwarder.secondHost("")
 	if second == "" {
 		return
 	}
-	forwarder.fronts.Each(func(submission identifier.SubmissionID, front *front) bool {
-		if front.answerAlone {
-			front.answerAlone = false
-			forwarder.timers.Clear(timerKey{kind: timerLoneAnswer, submission: submission})
-			forwarder.add(&HoldAnswer{To: second, Copy: messenger.AnswerCopy{Answer: front.answer}})
+	forwarder.localSubmissions.Each(func(submission identifier.SubmissionID, localSubmission *localSubmission) bool {
+		if localSubmission.awaitsSecondHolder {
+			localSubmission.awaitsSecondHolder = false
+			forwarder.timers.Clear(timerKey{kind: timerSecondHolder, submission: submission})
+			forwarder.emit(&HoldAnswer{To: second, Copy: messenger.AnswerCopy{Answer: localSubmission.answer}})
 		}
 		return true
 	})
 }
 
 func (forwarder *Forwarder) recordAnswerCopyHeld(input *AnswerCopyHeld) {
-	if front := forwarder.fronts.Get(input.Submission); front != nil {
-		front.partner = input.From
+	if localSubmission := forwarder.localSubmissions.Get(input.Submission); localSubmission != nil {
+		localSubmission.partner = input.From
 	}
-	forwarder.add(&ConfirmAnswer{To: forwarder.Self, Submission: input.Submission})
-	forwarder.releaseHeldBack(input.Submission)
+	forwarder.emit(&ConfirmAnswer{To: forwarder.Self, Submission: input.Submission})
+	forwarder.releaseWithheldAnswer(input.Submission)
 }
 
-// replaceHeldBack takes the answer that another host holds already in place of one
-// that no caller has heard yet.
-func (forwarder *Forwarder) replaceHeldBack(input *AnswerArrived, front *front) {
-	front.answer = input.Answer
-	forwarder.confirmAnswer(input.From, front)
-	forwarder.releaseHeldBack(input.Answer.Submission)
+// replaceWithheldAnswer replaces an answer that no caller has received yet by the one that
+// another host already holds.
+func (forwarder *Forwarder) replaceWithheldAnswer(input *AnswerArrived, localSubmission *localSubmission) {
+	localSubmission.answer = input.Answer
+	forwarder.confirmAnswer(input.From, localSubmission)
+	forwarder.releaseWithheldAnswer(input.Answer.Submission)
 }
 
-func (forwarder *Forwarder) withdrawAnswer(front *front) {
-	front.answer = nil
-	front.answerHeldBack = false
-	submission := front.job.Submission
+func (forwarder *Forwarder) withdrawAnswer(localSubmission *localSubmission) {
+	localSubmission.answer = nil
+	localSubmission.answerWithheld = false
+	submission := localSubmission.job.Submission
 	forwarder.timers.Clear(timerKey{kind: timerCopyWait, submission: submission})
-	forwarder.timers.Clear(timerKey{kind: timerForgetFront, submission: submission})
+	forwarder.timers.Clear(timerKey{kind: timerExpireSubmission, submission: submission})
 }
 
-// releaseHeldBack tells the callers an answer that waited for its second copy.
-func (forwarder *Forwarder) releaseHeldBack(submission identifier.SubmissionID) {
-	front := forwarder.fronts.Get(submission)
-	if front != nil && front.answerHeldBack {
+// releaseWithheldAnswer sends callers an answer that waited for its second copy.
+func (forwarder *Forwarder) releaseWithheldAnswer(submission identifier.SubmissionID) {
+	localSubmission := forwarder.localSubmissions.Get(submission)
+	if localSubmission != nil && localSubmission.answerWithheld {
 		forwarder.timers.Clear(timerKey{kind: timerCopyWait, submission: submission})
-		forwarder.answerWaiters(front)
+		forwarder.answerWaiters(localSubmission)
 	}
 }
--- a/pkg/forwarder/bench_test.go
+++ b/pkg/forwarder/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// BenchmarkRecords tells the memory of an answered submission at its caller's host
-// and of a second copy, each with an answer of four tasks of 100 bytes.
+// BenchmarkRecords reports the memory of an answered submission at its caller's host and of a
+// second copy, each with an answer of four tasks of 100 bytes.
 func BenchmarkRecords(b *testing.B) {
 	answerOf := func(submission identifier.SubmissionID) *messenger.JobAnswer {
 		answer := &messenger.JobAnswer{Submission: submission, Outcome: messenger.OutcomeComplete}
@@ -50,7 +50,8 @@
 	})
 }
 
-// measureHeap applies the inputs of b.N submissions and reports what stays.
+// measureHeap applies the inputs of b.N submissions and reports the heap that remains in use
+// per submission.
 func measureHeap(b *testing.B, inputsOf func(number int) []forwarder.Input) {
 	tested := &forwarder.Forwarder{Self: "entry", FailureDomain: "leuven", Settings: forwarder.DefaultSettings()}
 	tested.Tick(0, []forwarder.Input{&forwarder.LeadKnown{Notice: messenger.LeadNotice{FailureDomain: "leuven", Host: "lead", Epoch: 1}}})
--- a/pkg/forwarder/cancel_test.go
+++ b/pkg/forwarder/cancel_test.go
@@ -8,10 +8,10 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// TestCancellationFollowsTheLead: symptom: a cancelled job runs to its end after a
-// change of the lead (row 13). Sequence: a job is forwarded to a lead and
-// cancelled; before the lead answers, another host takes the cell, and the job is
-// forwarded to it. Cause: the cancellation goes to the first lead only.
+// TestCancellationFollowsTheLead guards against a cancelled job that runs to its end after a
+// change of the lead (row 13). A job is forwarded to a lead and cancelled; before the lead
+// answers, another host acquires the cell, and the job is forwarded to it. The cancellation
+// must go to the new lead too, not to the first one only.
 func TestCancellationFollowsTheLead(t *testing.T) {
 	tested := &forwarder.Forwarder{Self: "entry-0", FailureDomain: "thu-duc", Settings: forwarder.DefaultSettings()}
 	lead := func(host identifier.HostID, epoch identifier.Epoch) forwarder.Input {
--- a/pkg/forwarder/differing_test.go
+++ b/pkg/forwarder/differing_test.go
@@ -8,12 +8,12 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// TestOtherAnswerIsNotConfirmed. Symptom: two callers hear different answers of one
-// submission. Sequence: a lead is cut off with a job, and its deadline passes there;
-// the new lead completes the job; the old one comes back and has a neighbour, which
-// has the complete answer, hold its own. Cause: the neighbour confirmed whatever
-// answer came, and the old lead told its caller what two hosts seemed to hold.
-func TestOtherAnswerIsNotConfirmed(t *testing.T) {
+// TestDifferingAnswerIsNotConfirmed guards against two callers that get different answers of
+// one submission. A lead is cut off with a job, and the job's deadline passes there, while the
+// new lead completes it. The old lead returns and requests that a neighbour hold its own
+// answer, though the neighbour has the complete one. If the neighbour confirmed any answer,
+// the old lead would conclude that two hosts hold it and send it to its caller.
+func TestDifferingAnswerIsNotConfirmed(t *testing.T) {
 	job := &messenger.Job{
 		Submission: "s-1", Job: "j-1", Caller: "garage-7", Repeatable: true,
 		MayRun: []identifier.FailureDomain{"thu-duc"}, Tasks: []messenger.Task{{Task: "t-0"}},
--- a/pkg/forwarder/ending_test.go
+++ b/pkg/forwarder/ending_test.go
@@ -8,11 +8,11 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// TestCallersHearThatTheirHostEnds. Symptom: a caller's connection closes without an answer while
-// its host is shut down as planned. Sequence: a job runs for longer than a drain may last; the host
-// ends. Cause: nobody told the callers that still waited where to ask. The answer claims nothing
-// of the job, which goes on.
-func TestCallersHearThatTheirHostEnds(t *testing.T) {
+// TestShutdownAnswersWaitingCallers guards against a caller's connection that closes without
+// an answer while its host is shut down as planned. A job runs for longer than a drain may
+// last, and the host stops. Callers that still wait must be sent to another host, with an
+// answer that claims nothing about the job, which continues.
+func TestShutdownAnswersWaitingCallers(t *testing.T) {
 	tested := &forwarder.Forwarder{Self: "entry-0", FailureDomain: "thu-duc", Settings: forwarder.DefaultSettings()}
 	tested.Tick(0, []forwarder.Input{
 		&forwarder.HostsChanged{Living: []identifier.HostID{"entry-0", "entry-1"}},
@@ -21,16 +21,16 @@
 	})
 	complete := &messenger.JobAnswer{Submission: "s-short", Outcome: messenger.OutcomeComplete}
 	tested.Tick(1, []forwarder.Input{&forwarder.AnswerArrived{From: "entry-1", Answer: complete}})
-	var told []*forwarder.AnswerCaller
+	var answers []*forwarder.AnswerCaller
 	for _, output := range tested.Tick(2, []forwarder.Input{&forwarder.HostEnds{}}) {
 		if answer, isAnswer := output.(*forwarder.AnswerCaller); isAnswer {
-			told = append(told, answer)
+			answers = append(answers, answer)
 		}
 	}
-	if len(told) != 1 || told[0].Waiter != 1 {
-		t.Fatalf("told %+v, want the waiter of s-long alone", told)
+	if len(answers) != 1 || answers[0].Waiter != 1 {
+		t.Fatalf("answered %+v, want only the waiter of s-long", answers)
 	}
-	answer := told[0].Answer
+	answer := answers[0].Answer
 	if answer.Reason != messenger.ReasonShuttingDown || !answer.ClaimsNothing() || answer.RetryAfter <= 0 {
 		t.Errorf("answered %+v", answer)
 	}
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestShutdownWaitsForCancellations guards against a planned shutdown that ends on a caller who waits
-// for the answer to a cancellation.
+// TestShutdownWaitsForCancellations guards against a planned shutdown that leaves a caller
+// without the answer to its cancellation.
 func TestShutdownWaitsForCancellations(t *testing.T) {
 	tested := &forwarder.Forwarder{Self: "entry-0", FailureDomain: "thu-duc", Settings: forwarder.DefaultSettings()}
 	tested.Tick(0, []forwarder.Input{
@@ -51,14 +51,14 @@
 	if tested.Questions() != 1 {
 		t.Errorf("%d requests are without an answer, want the cancellation", tested.Questions())
 	}
-	told := 0
+	answered := 0
 	for _, output := range tested.Tick(1, []forwarder.Input{&forwarder.HostEnds{}}) {
 		if answer, isAnswer := output.(*forwarder.AnswerCaller); isAnswer && answer.Waiter == 1 && answer.Answer.ClaimsNothing() {
-			told++
+			answered++
 		}
 	}
-	if told != 1 || tested.Questions() != 0 {
-		t.Errorf("told %d times, %d left without an answer", told, tested.Questions())
+	if answered != 1 || tested.Questions() != 0 {
+		t.Errorf("answered %d times, %d left without an answer", answered, tested.Questions())
 	}
 }
 
--- a/pkg/forwarder/expiry.go
+++ b/pkg/forwarder/expiry.go
@@ -1,6 +1,6 @@
 package forwarder
 
-// expire handles every deadline that has been reached.
+// expire handles every deadline that is due.
 func (forwarder *Forwarder) expire() {
 	forwarder.timers.EachDue(forwarder.now, forwarder.expireOne)
 }
@@ -8,39 +8,39 @@
 func (forwarder *Forwarder) expireOne(key timerKey) {
 	switch key.kind {
 	case timerHomeWait:
-		forwarder.giveUpHome(key)
+		forwarder.refuseHomeUnreachable(key)
 	case timerCopyWait:
-		forwarder.askAnotherHost(key)
-		forwarder.spreadHeldBack(key.submission)
-	case timerForgetFront:
-		forwarder.fronts.Remove(key.submission)
-	case timerRelay:
-		forwarder.expireRelay(key.submission)
-	case timerForgetRelay:
+		forwarder.retryCopy(key)
+		forwarder.replicateWithheldAnswer(key.submission)
+	case timerExpireSubmission:
+		forwarder.localSubmissions.Remove(key.submission)
+	case timerRelayCopy:
+		forwarder.retryRelayCopy(key.submission)
+	case timerExpireRelay:
 		forwarder.relays.Remove(key.submission)
-	case timerAskAgain:
-		forwarder.askAgain(key.submission)
-	case timerLoneAnswer:
-		forwarder.confirmLoneAnswer(key.submission)
-	case timerForgetCopy:
-		forwarder.forgetCopy(key.submission)
-	case timerQuestion:
-		forwarder.expireQuestion(key.question)
+	case timerResend:
+		forwarder.resend(key.submission)
+	case timerSecondHolder:
+		forwarder.confirmWithoutSecondHolder(key.submission)
+	case timerExpireCopy:
+		forwarder.expireCopy(key.submission)
+	case timerLookup:
+		forwarder.retryLookup(key.lookup)
 	case timerReplicas:
 		forwarder.sendReplicas()
 	}
 }
 
-// askAnotherHost tries the next living host for a second copy that was not
-// confirmed in time.
-func (forwarder *Forwarder) askAnotherHost(key timerKey) {
-	front := forwarder.fronts.Get(key.submission)
-	if front == nil || front.answer != nil || front.copyHeld {
+// retryCopy requests a second copy from the next living host after one was not confirmed in
+// time.
+func (forwarder *Forwarder) retryCopy(key timerKey) {
+	localSubmission := forwarder.localSubmissions.Get(key.submission)
+	if localSubmission == nil || localSubmission.answer != nil || localSubmission.copyHeld {
 		return
 	}
-	if front.deadline.Due(forwarder.now) {
-		forwarder.refuseLate(front, "the deadline passed before a second host remembered the job")
+	if localSubmission.deadline.Due(forwarder.now) {
+		forwarder.refuseLate(localSubmission, "the deadline passed before a second host remembered the job")
 		return
 	}
-	forwarder.route(front)
+	forwarder.route(localSubmission)
 }
--- a/pkg/forwarder/forwarder.go
+++ b/pkg/forwarder/forwarder.go
@@ -1,14 +1,14 @@
-// Package forwarder decides, on the host that a caller is connected to, which
-// lead gets the job, and keeps the caller's side of it until the one answer is
-// there. It also holds the second copy of submissions that other hosts lead.
+// Package forwarder decides, on the host that a caller is connected to, which lead receives
+// the job, and keeps the state of the caller's requests until the one answer has arrived. It
+// also holds the second copy of submissions that other hosts lead.
 //
-// It is pure: time and messages come in through Tick, messages to send go out.
+// It has no side effects: time and messages enter through Tick, and Tick returns the messages
+// to send.
 //
-// Before the first task of a submission starts, two hosts know it: the lead of
-// its cell, and either the host that the caller is connected to or, where that
-// is the lead itself, another host of the failure domain. Without the second
-// host, a resend after the lead's death would look like a new submission and its
-// tasks would run twice.
+// Before the first task of a submission starts, two hosts know it: the lead of its cell, and
+// either the host that the caller is connected to or, where that is the lead itself, another
+// host of the failure domain. Without the second host, a resend after the lead's death would
+// look like a new submission and its tasks would run twice.
 package forwarder
 
 import (
@@ -19,40 +19,39 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// Settings bounds how long the forwarder waits and remembers.
+// Settings bounds how long the forwarder waits and how much it retains.
 type Settings struct {
-	// Cells is how many cells each failure domain's slots are divided into.
+	// Cells is the number of cells into which each failure domain's slots are divided.
 	Cells int
-	// HomeWait is how long a job waits for a lead of its home to be known before
-	// it is refused as not known to have run.
+	// HomeWait is how long a job waits for a lead of its home to become known before it is
+	// refused; the refusal does not say whether it ran.
 	HomeWait time.Duration
-	// CopyWait is how long the lead waits for a second host to hold its copy
-	// before it asks another.
+	// CopyWait is how long the lead waits for a second host to confirm a copy before it
+	// requests one from another host.
 	CopyWait time.Duration
 	// AnswerRetention is how long an answer or a copy is kept.
 	AnswerRetention time.Duration
-	// LoneAnswerWait is how long the only living host of a failure domain waits
-	// for a second one to hold an answer before it does without.
+	// LoneAnswerWait is how long the only living host of a failure domain waits for a second
+	// host to hold an answer before it goes on without one.
 	LoneAnswerWait time.Duration
-	// AskAgain is how long after its forwarding a job is forwarded again for want of
-	// an answer; each wait is twice as long as the one before.
+	// AskAgain is how long after its forwarding a job without an answer is forwarded again.
+	// Each further wait is twice as long as the one before.
 	AskAgain time.Duration
 	// LostHomeWait is how long a job waits for a home of which no host lives.
 	LostHomeWait time.Duration
-	// QuestionWait is how long leads may take to tell what they know of a
-	// submission before others are asked and the same ones again.
+	// QuestionWait is how long leads have to answer a lookup of a submission before further
+	// leads are queried and the same ones again.
 	QuestionWait time.Duration
-	// Records bounds the submissions that this host remembers; beyond it new ones
+	// Records is the maximum number of submissions that this host holds. Beyond it new ones
 	// are refused.
 	Records int
-	// LongestJob is how long the copy of an unanswered job without a deadline is
-	// kept.
+	// LongestJob is how long the copy of an unanswered job without a deadline is kept.
 	LongestJob time.Duration
-	// Replicas paces the copying of records when hosts come and go.
+	// Replicas limits the rate at which records are copied when hosts come and go.
 	Replicas ReplicaSettings
 }
 
-// DefaultSettings returns the settings that the daemon starts from.
+// DefaultSettings returns the defaults that the daemon starts from.
 func DefaultSettings() Settings {
 	return Settings{
 		Cells:           1,
@@ -69,33 +68,33 @@
 	}
 }
 
-// Forwarder holds the caller's side of submissions. Set the exported fields
-// before the first Tick.
+// Forwarder holds the requests of this host's callers and the copies that it keeps for other
+// hosts. Set the exported fields before the first Tick.
 type Forwarder struct {
 	Self          identifier.HostID
 	FailureDomain identifier.FailureDomain
 	Settings      Settings
 
-	now    identifier.Moment
-	fronts *tabulator.Table[identifier.SubmissionID, front]
-	copies *tabulator.Table[identifier.SubmissionID, heldCopy]
-	relays *tabulator.Table[identifier.SubmissionID, relay]
-	leads  *tabulator.Table[cellKey, lead]
-	timers *tabulator.Timers[timerKey]
-	living []identifier.HostID
-	// lostDomains are the failure domains of which no host lives.
-	lostDomains  map[identifier.FailureDomain]bool
-	questions    *tabulator.Table[messenger.QuestionNumber, question]
-	lastQuestion messenger.QuestionNumber
-	// leaving tells that this host hands over what it knows.
+	now              identifier.Moment
+	localSubmissions *tabulator.Table[identifier.SubmissionID, localSubmission]
+	copies           *tabulator.Table[identifier.SubmissionID, heldCopy]
+	relays           *tabulator.Table[identifier.SubmissionID, relay]
+	leads            *tabulator.Table[cellKey, lead]
+	timers           *tabulator.Timers[timerKey]
+	living           []identifier.HostID
+	// lostDomains holds the failure domains of which no host lives.
+	lostDomains map[identifier.FailureDomain]bool
+	lookups     *tabulator.Table[messenger.QuestionNumber, lookup]
+	lastLookup  messenger.QuestionNumber
+	// leaving reports whether this host is handing over its records before it leaves.
 	leaving      bool
 	replications *tabulator.Table[identifier.SubmissionID, replication]
-	nextReplicas identifier.Moment
+	nextBatchAt  identifier.Moment
 	outputs      []Output
 }
 
-// Tick applies the inputs in order, lets deadlines fall due and returns the
-// messages to send.
+// Tick handles the inputs in order, then the deadlines that are due, and returns the messages
+// to send.
 func (forwarder *Forwarder) Tick(now identifier.Moment, inputs []Input) []Output {
 	forwarder.prepare(now)
 	for _, input := range inputs {
@@ -107,7 +106,7 @@
 	return outputs
 }
 
-// NextDeadline returns when Tick must run even without inputs.
+// NextDeadline returns when Tick must run next even without inputs.
 func (forwarder *Forwarder) NextDeadline() identifier.Moment {
 	if forwarder.timers == nil {
 		return identifier.Never
@@ -115,14 +114,14 @@
 	return forwarder.timers.Next()
 }
 
-// Unanswered returns how many submissions of this host's callers have no answer.
+// Unanswered returns how many submissions of this host's callers have no answer yet.
 func (forwarder *Forwarder) Unanswered() int {
-	if forwarder.fronts == nil {
+	if forwarder.localSubmissions == nil {
 		return 0
 	}
 	count := 0
-	forwarder.fronts.Each(func(_ identifier.SubmissionID, front *front) bool {
-		if front.answer == nil || front.answerHeldBack {
+	forwarder.localSubmissions.Each(func(_ identifier.SubmissionID, localSubmission *localSubmission) bool {
+		if localSubmission.answer == nil || localSubmission.answerWithheld {
 			count++
 		}
 		return true
@@ -130,11 +129,12 @@
 	return count
 }
 
-// Questions returns how many questions and cancellations of this host's callers have no answer.
+// Questions returns how many queries and cancellations of this host's callers wait for the
+// answer of a lookup.
 func (forwarder *Forwarder) Questions() int {
 	count := 0
-	forwarder.questions.Each(func(_ messenger.QuestionNumber, question *question) bool {
-		if len(question.waiters) > 0 {
+	forwarder.lookups.Each(func(_ messenger.QuestionNumber, lookup *lookup) bool {
+		if len(lookup.waiters) > 0 {
 			count++
 		}
 		return true
@@ -144,13 +144,13 @@
 
 func (forwarder *Forwarder) prepare(now identifier.Moment) {
 	forwarder.now = now
-	if forwarder.fronts != nil {
+	if forwarder.localSubmissions != nil {
 		return
 	}
-	forwarder.fronts = tabulator.New[identifier.SubmissionID, front]()
+	forwarder.localSubmissions = tabulator.New[identifier.SubmissionID, localSubmission]()
 	forwarder.copies = tabulator.New[identifier.SubmissionID, heldCopy]()
 	forwarder.relays = tabulator.New[identifier.SubmissionID, relay]()
-	forwarder.questions = tabulator.New[messenger.QuestionNumber, question]()
+	forwarder.lookups = tabulator.New[messenger.QuestionNumber, lookup]()
 	forwarder.lostDomains = make(map[identifier.FailureDomain]bool)
 	forwarder.replications = tabulator.New[identifier.SubmissionID, replication]()
 	forwarder.leads = tabulator.New[cellKey, lead]()
@@ -162,11 +162,11 @@
 	case *CallerSubmitted:
 		forwarder.submit(input)
 	case *CallerAsked:
-		forwarder.ask(input)
+		forwarder.lookUp(input)
 	case *CallerCancelled:
 		forwarder.cancel(input)
 	case *HostEnds:
-		forwarder.endAll()
+		forwarder.answerAllOnShutdown()
 	case *AnswerArrived:
 		forwarder.recordAnswer(input)
 	case *AnswerRequested:
@@ -174,19 +174,19 @@
 	case *LeadKnown:
 		forwarder.recordLead(input)
 	case *HostsChanged:
-		forwarder.changeLiving(input.Living)
+		forwarder.handleHostsChanged(input.Living)
 	case *DomainChanged:
-		forwarder.changeDomain(input)
+		forwarder.handleDomainChanged(input)
 	case *QuestionAnswered:
-		forwarder.answerQuestion(input)
+		forwarder.handleLookupReply(input)
 	case *HolderAsked:
-		forwarder.askHolder(input)
+		forwarder.lookUpHolder(input)
 	case *HostRestarted:
-		forwarder.replaceRestarted(input.Host)
+		forwarder.handleHostRestarted(input.Host)
 	case *LeadReconnected:
-		forwarder.reconnect(input.Host)
+		forwarder.handleReconnected(input.Host)
 	case *LeaveRequested:
-		forwarder.handOver()
+		forwarder.startLeaving()
 	case *ReplicasArrived:
 		forwarder.holdReplicas(input)
 	case *ReplicasHeld:
@@ -198,13 +198,13 @@
 	case *CopiesHeld:
 		forwarder.recordCopiesHeld(input)
 	case *JobHandedOver:
-		forwarder.recordHandOver(input)
+		forwarder.recordSpill(input)
 	case *RecordsLearned:
-		forwarder.learnRecords(input)
+		forwarder.addTakeoverRecords(input)
 	case *JobRelayed:
 		forwarder.relayJob(input)
 	case *AnswerGiven:
-		forwarder.keepGivenAnswer(input.Answer)
+		forwarder.keepOwnAnswer(input.Answer)
 	case *AnswerCopyArrived:
 		forwarder.holdAnswer(input)
 	case *AnswerCopyHeld:
@@ -214,9 +214,11 @@
 	}
 }
 
-func (forwarder *Forwarder) add(output Output) { forwarder.outputs = append(forwarder.outputs, output) }
+func (forwarder *Forwarder) emit(output Output) {
+	forwarder.outputs = append(forwarder.outputs, output)
+}
 
-// cellOf names the cell that keeps the record of a job.
+// cellOf returns the cell that keeps the record of a job.
 func (forwarder *Forwarder) cellOf(job *messenger.Job) cellKey {
 	return cellKey{failureDomain: job.Home(), cell: messenger.CellOf(job.Submission, forwarder.Settings.Cells)}
 }
--- a/pkg/forwarder/homes.go
+++ b/pkg/forwarder/homes.go
@@ -7,9 +7,9 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// changeDomain notes whether any host of a failure domain lives. Jobs that wait for
-// a home of which nobody lives are refused soon.
-func (forwarder *Forwarder) changeDomain(input *DomainChanged) {
+// handleDomainChanged records whether any host of a failure domain lives. Jobs that wait for a
+// home without living hosts are refused after a shorter wait.
+func (forwarder *Forwarder) handleDomainChanged(input *DomainChanged) {
 	if forwarder.lostDomains[input.FailureDomain] == !input.Living {
 		return
 	}
@@ -18,9 +18,9 @@
 		return
 	}
 	forwarder.lostDomains[input.FailureDomain] = true
-	forwarder.fronts.Each(func(_ identifier.SubmissionID, front *front) bool {
-		if front.answer == nil && front.job.Home() == input.FailureDomain {
-			forwarder.route(front)
+	forwarder.localSubmissions.Each(func(_ identifier.SubmissionID, localSubmission *localSubmission) bool {
+		if localSubmission.answer == nil && localSubmission.job.Home() == input.FailureDomain {
+			forwarder.route(localSubmission)
 		}
 		return true
 	})
@@ -34,20 +34,20 @@
 	return forwarder.Settings.HomeWait
 }
 
-// giveUpHome refuses a job whose home has no reachable lead. An earlier sending
-// may have reached the home, so the refusal does not say "not run". No other failure
-// domain takes the job in its place: none can know what has started at the home,
-// whose backend servers may still be at work.
-func (forwarder *Forwarder) giveUpHome(key timerKey) {
-	front := forwarder.fronts.Get(key.submission)
-	if front == nil || front.answer != nil {
+// refuseHomeUnreachable refuses a job whose home has no reachable lead. An earlier submission
+// may have reached the home, so the refusal does not claim "not run". No other failure domain
+// runs the job instead: none can know what has started at the home, whose backend servers may
+// still be working.
+func (forwarder *Forwarder) refuseHomeUnreachable(key timerKey) {
+	localSubmission := forwarder.localSubmissions.Get(key.submission)
+	if localSubmission == nil || localSubmission.answer != nil {
 		return
 	}
-	if front.deadline.Due(forwarder.now) {
-		forwarder.refuseLate(front, "the deadline passed while no lead of the job's home could be reached")
+	if localSubmission.deadline.Due(forwarder.now) {
+		forwarder.refuseLate(localSubmission, "the deadline passed while no lead of the job's home could be reached")
 		return
 	}
-	home := front.job.Home()
+	home := localSubmission.job.Home()
 	detail := "no lead of the job's home failure domain " + string(home) + " can be reached"
 	if forwarder.lostDomains[home] {
 		detail = "no entry host of the job's home failure domain " + string(home) + " lives or can be reached"
@@ -55,26 +55,26 @@
 	refusal := messenger.RefuseUnknown(key.submission, messenger.ReasonHomeUnreachable,
 		detail+"; submit it under a new id with another failure domain first")
 	refusal.RetryAfter = forwarder.Settings.HomeWait
-	forwarder.answerHere(front, refusal)
+	forwarder.answerLocally(localSubmission, refusal)
 }
 
-// refuseLate ends a job whose deadline has passed while this host waited for others.
-// An earlier sending may have started, so it does not say "not run".
-func (forwarder *Forwarder) refuseLate(front *front, detail string) {
-	forwarder.answerHere(front, messenger.RefuseUnknown(front.job.Submission, messenger.ReasonDeadlinePassed, detail))
+// refuseLate ends a job whose deadline has passed while this host waited for others. Tasks of
+// an earlier submission may have started, so it does not claim "not run".
+func (forwarder *Forwarder) refuseLate(localSubmission *localSubmission, detail string) {
+	forwarder.answerLocally(localSubmission, messenger.RefuseUnknown(localSubmission.job.Submission, messenger.ReasonDeadlinePassed, detail))
 }
 
-// full tells whether this host remembers as many submissions as it may. What it
-// remembers is never dropped early for new ones.
-func (forwarder *Forwarder) full() bool {
-	return forwarder.fronts.Len()+forwarder.copies.Len() >= forwarder.Settings.Records
+// isFull reports whether this host holds the maximum number of submissions. Held ones are
+// never evicted early for new ones.
+func (forwarder *Forwarder) isFull() bool {
+	return forwarder.localSubmissions.Len()+forwarder.copies.Len() >= forwarder.Settings.Records
 }
 
-// refuseFull refuses a new submission. Another host may have had it earlier, so the
-// refusal does not say "not run".
+// refuseFull refuses a new submission. Another host may have received it earlier, so the
+// refusal does not claim "not run".
 func (forwarder *Forwarder) refuseFull(input *CallerSubmitted) {
 	refusal := messenger.RefuseUnknown(input.Job.Submission, messenger.ReasonQueueFull,
 		"this entry host remembers as many submissions as its settings allow; send it to another")
 	refusal.RetryAfter = time.Second
-	forwarder.add(&AnswerCaller{Waiter: input.Waiter, Answer: refusal})
+	forwarder.emit(&AnswerCaller{Waiter: input.Waiter, Answer: refusal})
 }
--- a/pkg/forwarder/lead_test.go
+++ b/pkg/forwarder/lead_test.go
@@ -7,12 +7,11 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// Symptom: jobs that come through two of three hosts are never answered, from the
-// start of the system on.
-// Sequence: two hosts start together and both take the cell under epoch 1; one
-// gives way, and the elector names the other as the lead, under the same epoch.
-// Cause: the forwarder took only notices with a higher epoch for news, so that it
-// went on handing jobs to the host that had given way.
+// TestLeadChangesWithinOneEpoch guards against jobs that come through two of three hosts and
+// are never answered, from the start of the system on. Two hosts start together and both
+// acquire the cell under epoch 1; one gives way, and the elector names the other as the lead
+// under the same epoch. A forwarder that accepted only notices with a higher epoch would keep
+// forwarding jobs to the host that gave way.
 func TestLeadChangesWithinOneEpoch(t *testing.T) {
 	forwarder := &Forwarder{Self: "a", FailureDomain: "geel", Settings: DefaultSettings()}
 	lead := func(host identifier.HostID) *LeadKnown {
--- a/pkg/forwarder/output.go
+++ b/pkg/forwarder/output.go
@@ -5,74 +5,74 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// Output is a message that the owner of the forwarder sends on.
+// Output is a message that the owner of the forwarder sends.
 type Output interface{ isForwarderOutput() }
 
-// AnswerCaller carries the one answer to a caller's request.
+// AnswerCaller is the one answer to a caller's request.
 type AnswerCaller struct {
 	Waiter WaiterID
 	Answer *messenger.JobAnswer
 }
 
-// ForwardJob hands a job to the lead of its cell, which may be this host.
+// ForwardJob sends a job to the lead of its cell, which may be this host.
 type ForwardJob struct {
 	To       identifier.HostID
 	Forward  messenger.Forward
 	Deadline identifier.Moment
 }
 
-// HoldCopies asks another host to hold the second copy of submissions.
+// HoldCopies requests that another host hold the second copy of submissions.
 type HoldCopies struct {
 	To      identifier.HostID
 	Records []messenger.CopyRecord
 }
 
-// ConfirmCopies tells a lead that this host holds the copies.
+// ConfirmCopies confirms to a lead that this host holds the copies.
 type ConfirmCopies struct {
 	To          identifier.HostID
 	Submissions []identifier.SubmissionID
 }
 
-// ConfirmAnswer tells a lead that a second host holds the answer.
+// ConfirmAnswer confirms to a lead that a second host holds the answer.
 type ConfirmAnswer struct {
 	To         identifier.HostID
 	Submission identifier.SubmissionID
 }
 
-// HoldAnswer asks another host to hold the second copy of an answer.
+// HoldAnswer requests that another host hold the second copy of an answer.
 type HoldAnswer struct {
 	To   identifier.HostID
 	Copy messenger.AnswerCopy
 }
 
-// ConfirmAnswerCopy tells the sender of a HoldAnswer that the copy is held.
+// ConfirmAnswerCopy confirms to the sender of a HoldAnswer that the copy is held.
 type ConfirmAnswerCopy struct {
 	To         identifier.HostID
 	Submission identifier.SubmissionID
 }
 
-// SendAnswer sends a kept answer to a host that asked for it.
+// SendAnswer sends a kept answer to a host that requested it, or that has a different one.
 type SendAnswer struct {
 	To     identifier.HostID
 	Answer *messenger.JobAnswer
 }
 
-// ForwardCancel hands a cancellation to a lead, which may be this host.
+// ForwardCancel sends a cancellation to a lead, which may be this host.
 type ForwardCancel struct {
 	To     identifier.HostID
 	Cancel messenger.Cancel
 }
 
-// ForwardLookup asks a lead, which may be this host, for a submission.
+// ForwardLookup queries a lead, which may be this host, for a submission.
 type ForwardLookup struct {
 	To     identifier.HostID
 	Lookup messenger.Lookup
 }
 
-// PassJob hands a relayed job to the dispatcher of this host.
+// PassJob passes a relayed job to the dispatcher of this host.
 type PassJob struct {
 	From identifier.HostID
-	// Partner is the neighbour that remembers the job.
+	// Partner is the neighbour that holds a copy of the job.
 	Partner  identifier.HostID
 	Forward  messenger.Forward
 	Deadline identifier.Moment
@@ -80,7 +80,7 @@
 
 func (*PassJob) isForwarderOutput() {}
 
-// AnswerQuestion sends a kept answer to a host that looks for it.
+// AnswerQuestion replies to another host's lookup with a kept answer, or without one.
 type AnswerQuestion struct {
 	To    identifier.HostID
 	Reply messenger.LookupReply
@@ -95,13 +95,13 @@
 func (*AnswerQuestion) isForwarderOutput() {}
 func (*HolderAnswered) isForwarderOutput() {}
 
-// SendReplicas has another host hold what this one knows.
+// SendReplicas sends records for another host to hold.
 type SendReplicas struct {
 	To       identifier.HostID
 	Replicas []messenger.Replica
 }
 
-// ConfirmReplicas tells that this host holds replicas.
+// ConfirmReplicas confirms that this host holds replicas.
 type ConfirmReplicas struct {
 	To      identifier.HostID
 	Receipt messenger.ReplicaReceipt
@@ -110,7 +110,7 @@
 func (*SendReplicas) isForwarderOutput()    {}
 func (*ConfirmReplicas) isForwarderOutput() {}
 
-// TellLead tells a host that another one leads its cell.
+// TellLead notifies a host that another one leads its cell.
 type TellLead struct {
 	To     identifier.HostID
 	Notice messenger.LeadNotice
@@ -118,7 +118,7 @@
 
 func (*TellLead) isForwarderOutput() {}
 
-// ReplyTakeover tells a new lead which submissions of its cell this host knows.
+// ReplyTakeover lists the submissions of its cell that this host knows for a new lead.
 type ReplyTakeover struct {
 	To    identifier.HostID
 	Reply messenger.TakeoverReply
--- a/pkg/forwarder/relay_test.go
+++ b/pkg/forwarder/relay_test.go
@@ -9,12 +9,12 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// TestEveryRelayedSendingIsPassedOn. Symptom: a caller hears the answer of a job
-// seconds after it was ready (row 4). Sequence: a job comes from a host of another
-// failure domain; before a neighbour holds its copy, a resend comes from a second
-// host, and again from the first. Cause: the lead notes the last sender only; the
-// others wait until they ask again.
-func TestEveryRelayedSendingIsPassedOn(t *testing.T) {
+// TestEveryRelayedSubmissionIsPassedOn guards against a caller that gets the answer of a job
+// seconds after it was ready (row 4). A job comes from a host of another failure domain;
+// before a neighbour holds its copy, a resend comes from a second host, and again from the
+// first. If the lead recorded only the last sender, the others would wait until they resent
+// the job.
+func TestEveryRelayedSubmissionIsPassedOn(t *testing.T) {
 	tested := &forwarder.Forwarder{Self: "entry-0", FailureDomain: "thu-duc", Settings: forwarder.DefaultSettings()}
 	job := &messenger.Job{
 		Submission: "s-1", Job: "j-1", Caller: "garage-7", Repeatable: true,
@@ -28,14 +28,14 @@
 		&forwarder.LeadKnown{Notice: messenger.LeadNotice{FailureDomain: "thu-duc", Host: "entry-0", Epoch: 1}},
 		relayed("far-0"), relayed("far-1"), relayed("far-0"),
 	})
-	asked := 0
+	requested := 0
 	for _, output := range outputs {
 		if _, wanted := output.(*forwarder.HoldCopies); wanted {
-			asked++
+			requested++
 		}
 	}
-	if asked != 1 {
-		t.Errorf("a neighbour was asked for the copy %d times", asked)
+	if requested != 1 {
+		t.Errorf("the copy was requested from neighbours %d times", requested)
 	}
 	var passed []identifier.HostID
 	for _, output := range tested.Tick(1, []forwarder.Input{
@@ -46,6 +46,6 @@
 		}
 	}
 	if !slices.Equal(passed, []identifier.HostID{"far-0", "far-1"}) {
-		t.Errorf("the sendings of %v were passed on", passed)
+		t.Errorf("the submissions from %v were passed on", passed)
 	}
 }
--- a/pkg/forwarder/replicas.go
+++ b/pkg/forwarder/replicas.go
@@ -8,27 +8,28 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// A submission of the own failure domain is known to two hosts: this one and its
-// partner. When the partner dies, restarts without its memory or leaves, or when
-// this host leaves, the record and the answer go to another host.
+// Two hosts know each submission of the own failure domain: this one and its partner. When
+// the partner dies, restarts without state or leaves, or when this host leaves, the record
+// and the answer are copied to another host.
 //
-// Without that, two losses some minutes apart would make a resend look new, and its
-// tasks would run twice. It would show as a task of one submission at two backend
-// servers, with both losses in the log before it.
+// Otherwise two losses some minutes apart would make a resend look new, and its tasks would
+// run twice. The symptom is a task of one submission at two backend servers, with both
+// losses in the log before it.
 
-// ReplicaSettings paces the copying of records, so that the loss of a host with many
-// records does not hold up the jobs of the day.
+// ReplicaSettings limits the rate at which records are copied, so that the loss of a host with
+// many records does not delay current jobs.
 type ReplicaSettings struct {
 	// Pace is the time between two batches.
 	Pace time.Duration
-	// Batch and BatchBytes bound one batch; the first replica always fits.
+	// Batch and BatchBytes bound one batch in records and bytes; the first replica always
+	// fits.
 	Batch      int
 	BatchBytes int
-	// Resend is how long a receipt is waited for.
+	// Resend is how long to wait for a receipt before a replica is sent again.
 	Resend time.Duration
 }
 
-// DefaultReplicaSettings returns the settings that the daemon starts from.
+// DefaultReplicaSettings returns the defaults that the daemon starts from.
 func DefaultReplicaSettings() ReplicaSettings {
 	return ReplicaSettings{
 		Pace:       10 * time.Millisecond,
@@ -38,37 +39,38 @@
 	}
 }
 
-// replication is a record that has still to reach another host.
+// replication is a record that has still to be copied to another host.
 type replication struct {
 	to     identifier.HostID
 	sentAt identifier.Moment
 	sent   bool
 }
 
-// replicaOverhead is about what a record takes in a message without its answer.
+// replicaOverhead is the approximate size in bytes of a record in a message without its
+// answer.
 const replicaOverhead = 96
 
-// replicate has another host hold what this one knows of a submission.
+// replicate schedules the copying of this host's record of a submission to another host.
 func (forwarder *Forwarder) replicate(submission identifier.SubmissionID) {
 	if known := forwarder.replications.Get(submission); known != nil {
 		known.sent = false
 	} else {
 		forwarder.replications.Put(submission, &replication{})
 	}
-	forwarder.flushReplicasAt(forwarder.now.Add(forwarder.Settings.Replicas.Pace))
+	forwarder.scheduleReplicas(forwarder.now.Add(forwarder.Settings.Replicas.Pace))
 }
 
-// flushReplicasAt plans the next batch, unless an earlier one is planned.
-func (forwarder *Forwarder) flushReplicasAt(due identifier.Moment) {
-	if forwarder.nextReplicas != 0 && forwarder.nextReplicas <= due {
+// scheduleReplicas schedules the next batch, unless one is already scheduled no later.
+func (forwarder *Forwarder) scheduleReplicas(due identifier.Moment) {
+	if forwarder.nextBatchAt != 0 && forwarder.nextBatchAt <= due {
 		return
 	}
-	forwarder.nextReplicas = due
+	forwarder.nextBatchAt = due
 	forwarder.timers.Set(timerKey{kind: timerReplicas}, due)
 }
 
-// Unhanded returns how many records have still to reach another host, as far as
-// there is one.
+// Unhanded returns how many records have still to be copied to another host; zero if no other
+// host of the failure domain lives.
 func (forwarder *Forwarder) Unhanded() int {
 	if forwarder.replications == nil || forwarder.secondHost("") == "" {
 		return 0
@@ -76,11 +78,11 @@
 	return forwarder.replications.Len()
 }
 
-// replicateWith copies the records anew that the lost hosts shared with this one.
-func (forwarder *Forwarder) replicateWith(lost func(identifier.HostID) bool) {
-	forwarder.fronts.Each(func(submission identifier.SubmissionID, front *front) bool {
-		if forwarder.sharesRecord(front) && lost(front.partner) {
-			front.partner = ""
+// replicateAfterLoss copies again the records whose other holder is lost.
+func (forwarder *Forwarder) replicateAfterLoss(lost func(identifier.HostID) bool) {
+	forwarder.localSubmissions.Each(func(submission identifier.SubmissionID, localSubmission *localSubmission) bool {
+		if forwarder.isRecordHolder(localSubmission) && lost(localSubmission.partner) {
+			localSubmission.partner = ""
 			forwarder.replicate(submission)
 		}
 		return true
@@ -94,20 +96,20 @@
 	})
 }
 
-// sharesRecord tells whether this host is one of the two that keep the record of a
-// caller's submission. Before that is so, route sees to it.
-func (forwarder *Forwarder) sharesRecord(front *front) bool {
-	if front.job.Home() != forwarder.FailureDomain || !front.forwardedBefore {
+// isRecordHolder reports whether this host is one of the two that hold the record of a
+// caller's submission. Until then, route ensures that there are two.
+func (forwarder *Forwarder) isRecordHolder(localSubmission *localSubmission) bool {
+	if localSubmission.job.Home() != forwarder.FailureDomain || !localSubmission.forwardedBefore {
 		return false
 	}
-	return front.answer != nil || front.forwardedTo == forwarder.Self
+	return localSubmission.answer != nil || localSubmission.forwardedTo == forwarder.Self
 }
 
-// handOver copies all records before this host leaves.
-func (forwarder *Forwarder) handOver() {
+// startLeaving copies all records before this host leaves.
+func (forwarder *Forwarder) startLeaving() {
 	forwarder.leaving = true
-	forwarder.fronts.Each(func(submission identifier.SubmissionID, front *front) bool {
-		if front.forwardedBefore && front.job.Home() == forwarder.FailureDomain {
+	forwarder.localSubmissions.Each(func(submission identifier.SubmissionID, localSubmission *localSubmission) bool {
+		if localSubmission.forwardedBefore && localSubmission.job.Home() == forwarder.FailureDomain {
 			forwarder.replicate(submission)
 		}
 		return true
@@ -118,8 +120,8 @@
 	})
 }
 
-// keepHandingOver copies what has become known while this host leaves.
-func (forwarder *Forwarder) keepHandingOver(submission identifier.SubmissionID) {
+// replicateIfLeaving copies a record that has changed while this host leaves.
+func (forwarder *Forwarder) replicateIfLeaving(submission identifier.SubmissionID) {
 	if forwarder.leaving {
 		forwarder.replicate(submission)
 	}
@@ -127,7 +129,7 @@
 
 // sendReplicas sends the next batch to each host.
 func (forwarder *Forwarder) sendReplicas() {
-	forwarder.nextReplicas = 0
+	forwarder.nextBatchAt = 0
 	batches := make(map[identifier.HostID]*SendReplicas)
 	count, size := 0, 0
 	next := identifier.Never
@@ -149,13 +151,13 @@
 		return true
 	})
 	if next != identifier.Never {
-		forwarder.flushReplicasAt(next)
+		forwarder.scheduleReplicas(next)
 	}
 }
 
-// sendReplica puts one replica into its host's batch and returns its size; zero
-// when there is nothing to send or nobody to send it to. What has nobody waits in
-// the table until a host comes.
+// sendReplica adds one replica to its host's batch and returns its size, or zero when there is
+// nothing to send or no host to send it to. A record without a host waits in the table until
+// one joins.
 func (forwarder *Forwarder) sendReplica(submission identifier.SubmissionID, replication *replication, batches map[identifier.HostID]*SendReplicas) int {
 	replica := forwarder.replicaOf(submission)
 	if replica == nil {
@@ -173,7 +175,7 @@
 	if batch == nil {
 		batch = &SendReplicas{To: to}
 		batches[to] = batch
-		forwarder.add(batch)
+		forwarder.emit(batch)
 	}
 	batch.Replicas = append(batch.Replicas, *replica)
 	return replicaOverhead + sizeOf(replica.Answer)
@@ -190,11 +192,11 @@
 	return size
 }
 
-// nextHolder picks a host for a record: rather one that does not have it yet, and
-// another than the one tried before.
+// nextHolder picks a host for a record: preferably one that does not have it yet, and another
+// than the one tried before.
 func (forwarder *Forwarder) nextHolder(submission identifier.SubmissionID, tried identifier.HostID) identifier.HostID {
 	partners := forwarder.partnersOf(submission)
-	// The lead is asked for answers, so it had better be the one that has them.
+	// The lead is preferred, because it receives the requests for answers.
 	lead := forwarder.leads.Get(cellKey{
 		failureDomain: forwarder.FailureDomain, cell: messenger.CellOf(submission, forwarder.Settings.Cells),
 	})
@@ -219,8 +221,8 @@
 
 func (forwarder *Forwarder) partnersOf(submission identifier.SubmissionID) []identifier.HostID {
 	var partners []identifier.HostID
-	if front := forwarder.fronts.Get(submission); front != nil && front.partner != "" {
-		partners = append(partners, front.partner)
+	if localSubmission := forwarder.localSubmissions.Get(submission); localSubmission != nil && localSubmission.partner != "" {
+		partners = append(partners, localSubmission.partner)
 	}
 	if held := forwarder.copies.Get(submission); held != nil && held.partner != "" {
 		partners = append(partners, held.partner)
@@ -228,18 +230,18 @@
 	return partners
 }
 
-// replicaOf gathers what this host knows of a submission of the own failure
-// domain, or nil.
+// replicaOf collects this host's record and answer of a submission of the own failure domain,
+// or returns nil.
 func (forwarder *Forwarder) replicaOf(submission identifier.SubmissionID) *messenger.Replica {
-	front, held := forwarder.fronts.Get(submission), forwarder.copies.Get(submission)
-	ownFront := front != nil && front.forwardedBefore && front.job.Home() == forwarder.FailureDomain
+	localSubmission, held := forwarder.localSubmissions.Get(submission), forwarder.copies.Get(submission)
+	isOwn := localSubmission != nil && localSubmission.forwardedBefore && localSubmission.job.Home() == forwarder.FailureDomain
 	switch {
-	case ownFront && (held == nil || held.answer == nil):
-		answer := front.answer
+	case isOwn && (held == nil || held.answer == nil):
+		answer := localSubmission.answer
 		if answer != nil && answer.ClaimsNothing() {
 			answer = nil
 		}
-		replica := &messenger.Replica{Record: forwarder.recordOf(front), Answer: answer}
+		replica := &messenger.Replica{Record: forwarder.recordOf(localSubmission), Answer: answer}
 		replica.Record.Answered = answer != nil
 		if held != nil && held.record.SpilledTo != "" {
 			replica.Record.SpilledTo = held.record.SpilledTo
@@ -252,13 +254,13 @@
 	}
 }
 
-// holdReplicas keeps what another host can't keep alone, and confirms it.
+// holdReplicas stores records that another host cannot keep alone, and confirms them.
 func (forwarder *Forwarder) holdReplicas(input *ReplicasArrived) {
 	receipt := messenger.ReplicaReceipt{}
 	for _, replica := range input.Replicas {
 		submission := replica.Record.Submission
-		if known := forwarder.otherAnswer(replica.Answer); known != nil {
-			forwarder.add(&SendAnswer{To: input.From, Answer: known})
+		if known := forwarder.differingAnswer(replica.Answer); known != nil {
+			forwarder.emit(&SendAnswer{To: input.From, Answer: known})
 			receipt.Differing = append(receipt.Differing, submission)
 			continue
 		}
@@ -275,24 +277,24 @@
 			held.answer = replica.Answer
 		}
 		held.deadline = identifier.DeadlineFrom(forwarder.now, replica.Record.Remaining)
-		forwarder.expireCopyLater(submission)
-		forwarder.keepHandingOver(submission)
+		forwarder.scheduleCopyExpiry(submission)
+		forwarder.replicateIfLeaving(submission)
 		if replica.Answer != nil {
 			receipt.Answered = append(receipt.Answered, submission)
 		} else {
 			receipt.Submissions = append(receipt.Submissions, submission)
 		}
 	}
-	forwarder.add(&ConfirmReplicas{To: input.From, Receipt: receipt})
+	forwarder.emit(&ConfirmReplicas{To: input.From, Receipt: receipt})
 }
 
-// otherAnswer returns the answer that this host holds of a submission, where it is not
+// differingAnswer returns the answer that this host holds of a submission if it differs from
 // the one that another host wants held; else nil.
 //
-// A lead that was deposed without knowing may have an answer of its own. Were that
-// confirmed, it would pass for one that two hosts hold, and its callers would hear
-// another answer than those of the new lead.
-func (forwarder *Forwarder) otherAnswer(answer *messenger.JobAnswer) *messenger.JobAnswer {
+// A deposed lead that does not know of its loss may have an answer of its own. If that were
+// confirmed, it would count as held by two hosts, and its callers would get another answer
+// than those of the new lead.
+func (forwarder *Forwarder) differingAnswer(answer *messenger.JobAnswer) *messenger.JobAnswer {
 	if answer == nil {
 		return nil
 	}
@@ -303,8 +305,8 @@
 	return known
 }
 
-// recordReplicasHeld notes the new partner of each record. An answer that stands at
-// two hosts may be forgotten by the backend servers.
+// recordReplicasHeld records the new partner of each record. An answer that two hosts hold may
+// be forgotten by the backend servers.
 func (forwarder *Forwarder) recordReplicasHeld(input *ReplicasHeld) {
 	for _, submission := range input.Receipt.Submissions {
 		if replica := forwarder.replicaOf(submission); replica == nil || replica.Answer == nil {
@@ -316,15 +318,15 @@
 	}
 	for _, submission := range input.Receipt.Answered {
 		forwarder.endReplication(submission, input.From)
-		forwarder.add(&ConfirmAnswer{To: forwarder.Self, Submission: submission})
-		forwarder.releaseHeldBack(submission)
+		forwarder.emit(&ConfirmAnswer{To: forwarder.Self, Submission: submission})
+		forwarder.releaseWithheldAnswer(submission)
 	}
 }
 
 func (forwarder *Forwarder) endReplication(submission identifier.SubmissionID, partner identifier.HostID) {
 	forwarder.replications.Remove(submission)
-	if front := forwarder.fronts.Get(submission); front != nil {
-		front.partner = partner
+	if localSubmission := forwarder.localSubmissions.Get(submission); localSubmission != nil {
+		localSubmission.partner = partner
 	}
 	if held := forwarder.copies.Get(submission); held != nil {
 		held.partner = partner
--- a/pkg/forwarder/submissions.go
+++ b/pkg/forwarder/submissions.go
@@ -7,16 +7,16 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// submit takes a job from a caller. A resend waits for, or gets, the answer of
-// the first sending.
+// submit handles a job from a caller. A resend waits for, or gets, the answer of the first
+// submission.
 func (forwarder *Forwarder) submit(input *CallerSubmitted) {
-	known := forwarder.fronts.Get(input.Job.Submission)
-	if known == nil && forwarder.full() {
+	known := forwarder.localSubmissions.Get(input.Job.Submission)
+	if known == nil && forwarder.isFull() {
 		forwarder.refuseFull(input)
 		return
 	}
 	if known == nil {
-		forwarder.begin(input)
+		forwarder.addSubmission(input)
 		return
 	}
 	if !known.job.SameRequest(input.Job) {
@@ -24,87 +24,87 @@
 		return
 	}
 	if known.answer != nil && known.answer.ClaimsNothing() {
-		forwarder.beginAgain(known, input)
+		forwarder.retryUnknown(known, input)
 		return
 	}
-	forwarder.join(known, input.Waiter)
+	forwarder.addWaiter(known, input.Waiter)
 }
 
-// beginAgain asks anew for a submission that was refused because nobody could tell
-// what became of it. Its home may be back.
-func (forwarder *Forwarder) beginAgain(known *front, input *CallerSubmitted) {
+// retryUnknown forwards a submission again that was refused because its state was unknown. Its
+// home may be reachable again.
+func (forwarder *Forwarder) retryUnknown(known *localSubmission, input *CallerSubmitted) {
 	known.answer = nil
 	known.job = input.Job
 	known.deadline = input.Deadline
 	known.forwardedTo = ""
-	forwarder.timers.Clear(timerKey{kind: timerForgetFront, submission: input.Job.Submission})
+	forwarder.timers.Clear(timerKey{kind: timerExpireSubmission, submission: input.Job.Submission})
 	known.waiters = append(known.waiters, input.Waiter)
 	forwarder.route(known)
 }
 
-func (forwarder *Forwarder) begin(input *CallerSubmitted) {
-	created := &front{
+func (forwarder *Forwarder) addSubmission(input *CallerSubmitted) {
+	created := &localSubmission{
 		job:       input.Job,
 		deadline:  input.Deadline,
 		waiters:   []WaiterID{input.Waiter},
 		arrivedAt: forwarder.now,
 	}
-	forwarder.fronts.Put(input.Job.Submission, created)
+	forwarder.localSubmissions.Put(input.Job.Submission, created)
 	forwarder.route(created)
 }
 
 func (forwarder *Forwarder) answerConflict(input *CallerSubmitted) {
 	refusal := messenger.RefuseUnknown(input.Job.Submission, messenger.ReasonConflict,
 		"the submission id is in use for another request")
-	forwarder.add(&AnswerCaller{Waiter: input.Waiter, Answer: refusal})
+	forwarder.emit(&AnswerCaller{Waiter: input.Waiter, Answer: refusal})
 }
 
-func (forwarder *Forwarder) join(front *front, waiter WaiterID) {
-	if front.answer != nil && !front.answerHeldBack {
-		forwarder.add(&AnswerCaller{Waiter: waiter, Answer: front.answer})
+func (forwarder *Forwarder) addWaiter(localSubmission *localSubmission, waiter WaiterID) {
+	if localSubmission.answer != nil && !localSubmission.answerWithheld {
+		forwarder.emit(&AnswerCaller{Waiter: waiter, Answer: localSubmission.answer})
 		return
 	}
-	front.waiters = append(front.waiters, waiter)
+	localSubmission.waiters = append(localSubmission.waiters, waiter)
 }
 
-// route hands an unanswered job to the lead of its cell, or waits for one.
-func (forwarder *Forwarder) route(front *front) {
-	submission := front.job.Submission
-	lead := forwarder.leads.Get(forwarder.cellOf(front.job))
+// route forwards an unanswered job to the lead of its cell, or waits for one.
+func (forwarder *Forwarder) route(localSubmission *localSubmission) {
+	submission := localSubmission.job.Submission
+	lead := forwarder.leads.Get(forwarder.cellOf(localSubmission.job))
 	if lead == nil || lead.host == "" || lead.unreachable {
-		front.forwardedTo = ""
-		due := identifier.Earlier(forwarder.now.Add(forwarder.homeWait(front.job.Home())), front.deadline)
+		localSubmission.forwardedTo = ""
+		due := identifier.Earlier(forwarder.now.Add(forwarder.homeWait(localSubmission.job.Home())), localSubmission.deadline)
 		forwarder.timers.Set(timerKey{kind: timerHomeWait, submission: submission}, due)
 		return
 	}
 	forwarder.timers.Clear(timerKey{kind: timerHomeWait, submission: submission})
-	if lead.host == forwarder.Self && !front.copyHeld {
-		forwarder.requestCopy(front)
+	if lead.host == forwarder.Self && !localSubmission.copyHeld {
+		forwarder.requestCopy(localSubmission)
 		return
 	}
-	forwarder.forward(front, lead.host)
+	forwarder.forward(localSubmission, lead.host)
 }
 
-// requestCopy asks a second host to remember the submission before anything of
-// it starts. Where no other host lives, the job goes on without a copy.
-func (forwarder *Forwarder) requestCopy(front *front) {
-	second := forwarder.secondHost(front.copyAt)
+// requestCopy requests a copy of the submission at a second host before any of its tasks
+// starts. Where no other host lives, the job is forwarded without a copy.
+func (forwarder *Forwarder) requestCopy(localSubmission *localSubmission) {
+	second := forwarder.secondHost(localSubmission.copyAt)
 	if second == "" {
-		front.copyHeld = true
-		front.copyAt = ""
-		forwarder.forward(front, forwarder.Self)
+		localSubmission.copyHeld = true
+		localSubmission.copyAt = ""
+		forwarder.forward(localSubmission, forwarder.Self)
 		return
 	}
-	front.copyAt = second
-	record := forwarder.recordOf(front)
-	record.Epoch = forwarder.leads.Get(forwarder.cellOf(front.job)).epoch
-	forwarder.add(&HoldCopies{To: second, Records: []messenger.CopyRecord{record}})
-	due := identifier.Earlier(forwarder.now.Add(forwarder.Settings.CopyWait), front.deadline)
-	forwarder.timers.Set(timerKey{kind: timerCopyWait, submission: front.job.Submission}, due)
+	localSubmission.copyAt = second
+	record := forwarder.recordOf(localSubmission)
+	record.Epoch = forwarder.leads.Get(forwarder.cellOf(localSubmission.job)).epoch
+	forwarder.emit(&HoldCopies{To: second, Records: []messenger.CopyRecord{record}})
+	due := identifier.Earlier(forwarder.now.Add(forwarder.Settings.CopyWait), localSubmission.deadline)
+	forwarder.timers.Set(timerKey{kind: timerCopyWait, submission: localSubmission.job.Submission}, due)
 }
 
-// secondHost picks a living host of the failure domain other than this one, and
-// other than the one tried before where there is a choice.
+// secondHost picks a living host of the failure domain other than this one, and other than the
+// one tried before where there is a choice.
 func (forwarder *Forwarder) secondHost(tried identifier.HostID) identifier.HostID {
 	var fallback identifier.HostID
 	for _, host := range forwarder.living {
@@ -119,71 +119,71 @@
 	return fallback
 }
 
-func (forwarder *Forwarder) forward(front *front, to identifier.HostID) {
-	age := forwarder.now.Sub(front.arrivedAt)
-	forwarder.add(&ForwardJob{
+func (forwarder *Forwarder) forward(localSubmission *localSubmission, to identifier.HostID) {
+	age := forwarder.now.Sub(localSubmission.arrivedAt)
+	forwarder.emit(&ForwardJob{
 		To: to,
 		Forward: messenger.Forward{
-			Job:       front.job,
-			Remaining: front.deadline.Remaining(forwarder.now),
-			Again:     front.forwardedBefore,
+			Job:       localSubmission.job,
+			Remaining: localSubmission.deadline.Remaining(forwarder.now),
+			Again:     localSubmission.forwardedBefore,
 			Age:       age,
 		},
-		Deadline: front.deadline,
+		Deadline: localSubmission.deadline,
 	})
-	if front.forwardedTo != to {
-		front.resends = 0
+	if localSubmission.forwardedTo != to {
+		localSubmission.resends = 0
 	}
-	front.forwardedTo = to
-	if !front.forwardedBefore {
-		front.firstEpoch = forwarder.leads.Get(forwarder.cellOf(front.job)).epoch
+	localSubmission.forwardedTo = to
+	if !localSubmission.forwardedBefore {
+		localSubmission.firstEpoch = forwarder.leads.Get(forwarder.cellOf(localSubmission.job)).epoch
 	}
-	front.forwardedBefore = true
+	localSubmission.forwardedBefore = true
 	if to != forwarder.Self {
-		front.partner = to
+		localSubmission.partner = to
 	}
-	if front.cancelled {
-		forwarder.forwardCancel(front)
+	if localSubmission.cancelled {
+		forwarder.forwardCancel(localSubmission)
 	}
-	wait := forwarder.Settings.AskAgain << min(front.resends, mostDoublings)
-	front.resends++
+	wait := forwarder.Settings.AskAgain << min(localSubmission.resends, maxResendDoublings)
+	localSubmission.resends++
 	due := forwarder.now.Add(wait)
-	if latest := forwarder.latestAnswer(front); latest > forwarder.now {
+	if latest := forwarder.answerDueAt(localSubmission); latest > forwarder.now {
 		due = identifier.Earlier(due, latest)
 	}
-	forwarder.timers.Set(timerKey{kind: timerAskAgain, submission: front.job.Submission}, due)
+	forwarder.timers.Set(timerKey{kind: timerResend, submission: localSubmission.job.Submission}, due)
 }
 
-// latestAnswer is when the lead's answer must be here: it comes with the deadline,
-// if the lead can be reached.
-func (forwarder *Forwarder) latestAnswer(front *front) identifier.Moment {
-	if front.deadline == identifier.Never {
+// answerDueAt returns when the lead's answer must have arrived: it is sent at the deadline at
+// the latest and, if the lead is reachable, arrives within HomeWait.
+func (forwarder *Forwarder) answerDueAt(localSubmission *localSubmission) identifier.Moment {
+	if localSubmission.deadline == identifier.Never {
 		return identifier.Never
 	}
-	return front.deadline.Add(forwarder.Settings.HomeWait)
+	return localSubmission.deadline.Add(forwarder.Settings.HomeWait)
 }
 
-// mostDoublings bounds how rare the resends of an unanswered job become.
-const mostDoublings = 4
+// maxResendDoublings bounds the backoff between resends of an unanswered job.
+const maxResendDoublings = 4
 
-// askAgain forwards a job again that has no answer yet. The job, or its answer from
-// a third host, may have been lost with a connection whose end told this host
-// nothing; the caller would wait for ever. The lead knows the submission and sends
-// the one answer again, or has the host send it that keeps it.
-func (forwarder *Forwarder) askAgain(submission identifier.SubmissionID) {
-	front := forwarder.fronts.Get(submission)
-	if front == nil || front.answer != nil {
+// resend forwards a job again that has no answer yet. The job, or its answer from a third
+// host, may have been lost with a connection whose end this host did not notice, and the
+// caller would wait for ever. The lead recognises the submission and sends the one answer
+// again, or makes the host that keeps it send it.
+func (forwarder *Forwarder) resend(submission identifier.SubmissionID) {
+	localSubmission := forwarder.localSubmissions.Get(submission)
+	if localSubmission == nil || localSubmission.answer != nil {
 		return
 	}
-	if forwarder.latestAnswer(front).Due(forwarder.now) {
-		forwarder.refuseLate(front, "the deadline passed and the lead of the job's home does not answer")
+	if forwarder.answerDueAt(localSubmission).Due(forwarder.now) {
+		forwarder.refuseLate(localSubmission, "the deadline passed and the lead of the job's home does not answer")
 		return
 	}
-	forwarder.route(front)
+	forwarder.route(localSubmission)
 }
 
-// recordLead notes who leads a cell and forwards the unanswered jobs of the cell
-// to a new lead. A notice without a host tells that no living host leads it.
+// recordLead records which host leads a cell and forwards the unanswered jobs of the cell to a
+// new lead. A notice without a host means that no living host leads the cell.
 func (forwarder *Forwarder) recordLead(input *LeadKnown) {
 	key := cellKey{failureDomain: input.Notice.FailureDomain, cell: input.Notice.Cell}
 	known := forwarder.leads.Get(key)
@@ -196,113 +196,113 @@
 			learned.promised = known.promised
 		}
 		forwarder.leads.Put(key, learned)
-		forwarder.routeCell(key)
+		forwarder.rerouteCell(key)
 	case input.Notice.Epoch == known.epoch && known.unreachable:
-		// The same lead can be reached again. It knows a job that it has already.
+		// The same lead is reachable again. It recognises a job that it already has.
 		known.unreachable = false
-		forwarder.routeCell(key)
+		forwarder.rerouteCell(key)
 	}
 }
 
-// replacedBy tells whether another host leads under the same epoch. Two hosts that
-// start together may both take the first epoch; the elector then settles on one.
+// replacedBy reports whether another host leads under the same epoch. Two hosts that start
+// together may both acquire the first epoch; the elector then settles on one.
 func (lead *lead) replacedBy(notice messenger.LeadNotice) bool {
 	return notice.Epoch == lead.epoch && notice.Host != lead.host
 }
 
-// markUnreachable holds the unanswered jobs of a cell back until it has a lead.
+// markUnreachable makes the unanswered jobs of a cell wait until it has a lead.
 func (forwarder *Forwarder) markUnreachable(key cellKey, known *lead) {
 	if known == nil || known.unreachable {
 		return
 	}
 	known.unreachable = true
-	forwarder.routeCell(key)
+	forwarder.rerouteCell(key)
 }
 
-// routeCell forwards the unanswered jobs of a cell anew.
-func (forwarder *Forwarder) routeCell(key cellKey) {
-	forwarder.fronts.Each(func(_ identifier.SubmissionID, front *front) bool {
-		if forwarder.cellOf(front.job) != key {
+// rerouteCell routes the unanswered jobs of a cell again.
+func (forwarder *Forwarder) rerouteCell(key cellKey) {
+	forwarder.localSubmissions.Each(func(_ identifier.SubmissionID, localSubmission *localSubmission) bool {
+		if forwarder.cellOf(localSubmission.job) != key {
 			return true
 		}
-		if front.answerHeldBack {
-			// Nobody has heard this answer, and the new lead may give another.
-			forwarder.withdrawAnswer(front)
+		if localSubmission.answerWithheld {
+			// No caller has received this answer, and the new lead may send another.
+			forwarder.withdrawAnswer(localSubmission)
 		}
-		if front.answer == nil {
-			forwarder.route(front)
+		if localSubmission.answer == nil {
+			forwarder.route(localSubmission)
 		}
 		return true
 	})
 }
 
-// routeToAgain forwards the unanswered jobs of a lead again to which a new
-// connection stands: what was under way on the old one may be lost. The lead knows
-// a resend when it sees one.
-func (forwarder *Forwarder) routeToAgain(host identifier.HostID) {
+// rerouteToHost forwards the unanswered jobs of a lead again after a new connection to it:
+// messages in flight on the old one may be lost. The lead recognises a resend.
+func (forwarder *Forwarder) rerouteToHost(host identifier.HostID) {
 	forwarder.leads.Each(func(key cellKey, lead *lead) bool {
 		if lead.host == host && !lead.unreachable {
-			forwarder.routeCell(key)
+			forwarder.rerouteCell(key)
 		}
 		return true
 	})
 }
 
-// cancel hands a cancellation to the lead of the caller's own submission.
+// cancel sends a cancellation to the lead of the caller's own submission.
 func (forwarder *Forwarder) cancel(input *CallerCancelled) {
-	front := forwarder.fronts.Get(input.Submission)
-	if front == nil || front.job.Caller != input.Caller {
-		forwarder.cancelElsewhere(input)
+	localSubmission := forwarder.localSubmissions.Get(input.Submission)
+	if localSubmission == nil || localSubmission.job.Caller != input.Caller {
+		forwarder.cancelByLookup(input)
 		return
 	}
-	forwarder.join(front, input.Waiter)
-	if front.answer != nil {
+	forwarder.addWaiter(localSubmission, input.Waiter)
+	if localSubmission.answer != nil {
 		return
 	}
-	if front.forwardedTo == "" {
-		forwarder.cancelUnforwarded(front)
+	if localSubmission.forwardedTo == "" {
+		forwarder.cancelUnforwarded(localSubmission)
 		return
 	}
-	front.cancelled = true
-	forwarder.forwardCancel(front)
+	localSubmission.cancelled = true
+	forwarder.forwardCancel(localSubmission)
 }
 
-func (forwarder *Forwarder) forwardCancel(front *front) {
-	cancel := messenger.Cancel{Submission: front.job.Submission, Caller: front.job.Caller}
-	forwarder.add(&ForwardCancel{To: front.forwardedTo, Cancel: cancel})
+func (forwarder *Forwarder) forwardCancel(localSubmission *localSubmission) {
+	cancel := messenger.Cancel{Submission: localSubmission.job.Submission, Caller: localSubmission.job.Caller}
+	forwarder.emit(&ForwardCancel{To: localSubmission.forwardedTo, Cancel: cancel})
 }
 
-// cancelUnforwarded ends a job that no lead has had from this host. Another host
-// may have had an earlier sending, so the answer does not claim "not run".
-func (forwarder *Forwarder) cancelUnforwarded(front *front) {
-	forwarder.answerHere(front, messenger.RefuseUnknown(front.job.Submission, messenger.ReasonCancelled,
+// cancelUnforwarded ends a job that this host has forwarded to no lead. Another host may have
+// received an earlier submission, so the answer does not claim "not run".
+func (forwarder *Forwarder) cancelUnforwarded(localSubmission *localSubmission) {
+	forwarder.answerLocally(localSubmission, messenger.RefuseUnknown(localSubmission.job.Submission, messenger.ReasonCancelled,
 		"the caller cancelled before the job reached its lead"))
 }
 
-// askElsewhere is when a caller whose host ended before its job may ask for it elsewhere: by then
-// the next host has what was known of the job.
-const askElsewhere = time.Second
+// shutdownRetryAfter is how long a caller whose host stopped before its job ended should wait
+// before it queries another host, which has the records of the job by then.
+const shutdownRetryAfter = time.Second
 
-// endAll answers every caller that still waits when this host must end. A shutdown that just
-// closed the connections would leave them to guess whether their jobs run. The jobs go on at their
-// leads, and other hosts hold their records: a resend to one of them gets the one answer.
-func (forwarder *Forwarder) endAll() {
-	forwarder.fronts.Each(func(submission identifier.SubmissionID, front *front) bool {
-		if front.answer != nil && !front.answerHeldBack {
+// answerAllOnShutdown answers every caller that still waits when this host must stop. If the
+// connections were just closed, callers could not know whether their jobs run. The jobs
+// continue at their leads, and other hosts hold their records: a resend to one of them gets
+// the one answer.
+func (forwarder *Forwarder) answerAllOnShutdown() {
+	forwarder.localSubmissions.Each(func(submission identifier.SubmissionID, localSubmission *localSubmission) bool {
+		if localSubmission.answer != nil && !localSubmission.answerWithheld {
 			return true
 		}
 		refusal := messenger.RefuseUnknown(submission, messenger.ReasonShuttingDown,
-			"this host ends before the job; ask another host of failure domain "+string(front.job.Home())+" for its answer")
-		refusal.RetryAfter = askElsewhere
-		forwarder.answerHere(front, refusal)
+			"this host ends before the job; ask another host of failure domain "+string(localSubmission.job.Home())+" for its answer")
+		refusal.RetryAfter = shutdownRetryAfter
+		forwarder.answerLocally(localSubmission, refusal)
 		return true
 	})
-	forwarder.endQuestions()
+	forwarder.refuseAllLookups()
 }
 
-func (forwarder *Forwarder) answerHere(front *front, answer *messenger.JobAnswer) {
-	front.answer = answer
-	forwarder.answerWaiters(front)
-	forgetAt := forwarder.now.Add(forwarder.Settings.AnswerRetention)
-	forwarder.timers.Set(timerKey{kind: timerForgetFront, submission: front.job.Submission}, forgetAt)
+func (forwarder *Forwarder) answerLocally(localSubmission *localSubmission, answer *messenger.JobAnswer) {
+	localSubmission.answer = answer
+	forwarder.answerWaiters(localSubmission)
+	expiresAt := forwarder.now.Add(forwarder.Settings.AnswerRetention)
+	forwarder.timers.Set(timerKey{kind: timerExpireSubmission, submission: localSubmission.job.Submission}, expiresAt)
 }
