--- a/pkg/forwarder/answers.go
+++ b/pkg/forwarder/answers.go
@@ -138,7 +138,7 @@
 // bounded, because backend servers hold the answers of every job meanwhile.
 func (forwarder *Forwarder) awaitSecondHolder(localSubmission *localSubmission) {
 	localSubmission.awaitsSecondHolder = true
-	due := forwarder.now.Add(forwarder.Settings.LoneAnswerWait)
+	due := forwarder.now.Add(forwarder.Settings.UnreplicatedAnswerWait)
 	forwarder.timers.Set(timerKey{kind: timerSecondHolder, submission: localSubmission.job.Submission}, due)
 }
 
--- a/pkg/forwarder/copies.go
+++ b/pkg/forwarder/copies.go
@@ -78,14 +78,14 @@
 }
 
 // expireCopy forgets a copy at the end of its retention. An unanswered job without a deadline
-// may still run, so its copy is kept for up to LongestJob.
+// may still run, so its copy is kept for up to MaxJobDuration.
 func (forwarder *Forwarder) expireCopy(submission identifier.SubmissionID) {
 	held := forwarder.copies.Get(submission)
 	if held == nil {
 		return
 	}
 	mayRun := held.answer == nil && !held.record.Answered && held.deadline == identifier.Never
-	if mayRun && forwarder.now.Sub(held.heldAt) < forwarder.Settings.LongestJob {
+	if mayRun && forwarder.now.Sub(held.heldAt) < forwarder.Settings.MaxJobDuration {
 		forwarder.scheduleCopyExpiry(submission)
 		return
 	}
--- a/pkg/forwarder/forwarder.go
+++ b/pkg/forwarder/forwarder.go
@@ -31,22 +31,22 @@
 	CopyWait time.Duration
 	// AnswerRetention is how long an answer or a copy is kept.
 	AnswerRetention time.Duration
-	// LoneAnswerWait is how long the only living host of a failure domain waits for a second
-	// host to hold an answer before it goes on without one.
-	LoneAnswerWait time.Duration
-	// AskAgain is how long after its forwarding a job without an answer is forwarded again.
+	// UnreplicatedAnswerWait is how long the only living host of a failure domain waits for a
+	// second host to hold an answer before it goes on without one.
+	UnreplicatedAnswerWait time.Duration
+	// ResendInterval is how long after its forwarding a job without an answer is forwarded again.
 	// Each further wait is twice as long as the one before.
-	AskAgain time.Duration
-	// LostHomeWait is how long a job waits for a home of which no host lives.
-	LostHomeWait time.Duration
-	// QuestionWait is how long leads have to answer a lookup of a submission before further
+	ResendInterval time.Duration
+	// DeadHomeWait is how long a job waits for a home of which no host lives.
+	DeadHomeWait time.Duration
+	// LookupWait is how long leads have to answer a lookup of a submission before further
 	// leads are queried and the same ones again.
-	QuestionWait time.Duration
+	LookupWait time.Duration
 	// Records is the maximum number of submissions that this host holds. Beyond it new ones
 	// are refused.
 	Records int
-	// LongestJob is how long the copy of an unanswered job without a deadline is kept.
-	LongestJob time.Duration
+	// MaxJobDuration is how long the copy of an unanswered job without a deadline is kept.
+	MaxJobDuration time.Duration
 	// Replicas limits the rate at which records are copied when hosts come and go.
 	Replicas ReplicaSettings
 }
@@ -54,17 +54,17 @@
 // DefaultSettings returns the defaults that the daemon starts from.
 func DefaultSettings() Settings {
 	return Settings{
-		Cells:           1,
-		HomeWait:        3 * time.Second,
-		CopyWait:        200 * time.Millisecond,
-		AnswerRetention: 10 * time.Minute,
-		LoneAnswerWait:  30 * time.Second,
-		AskAgain:        5 * time.Second,
-		LostHomeWait:    200 * time.Millisecond,
-		QuestionWait:    500 * time.Millisecond,
-		Records:         2_000_000,
-		LongestJob:      time.Hour,
-		Replicas:        DefaultReplicaSettings(),
+		Cells:                  1,
+		HomeWait:               3 * time.Second,
+		CopyWait:               200 * time.Millisecond,
+		AnswerRetention:        10 * time.Minute,
+		UnreplicatedAnswerWait: 30 * time.Second,
+		ResendInterval:         5 * time.Second,
+		DeadHomeWait:           200 * time.Millisecond,
+		LookupWait:             500 * time.Millisecond,
+		Records:                2_000_000,
+		MaxJobDuration:         time.Hour,
+		Replicas:               DefaultReplicaSettings(),
 	}
 }
 
--- a/pkg/forwarder/homes.go
+++ b/pkg/forwarder/homes.go
@@ -29,7 +29,7 @@
 // homeWait returns how long a job may wait for a lead of its home.
 func (forwarder *Forwarder) homeWait(home identifier.FailureDomain) time.Duration {
 	if forwarder.lostDomains[home] {
-		return forwarder.Settings.LostHomeWait
+		return forwarder.Settings.DeadHomeWait
 	}
 	return forwarder.Settings.HomeWait
 }
--- a/pkg/forwarder/lookups.go
+++ b/pkg/forwarder/lookups.go
@@ -94,7 +94,7 @@
 	if len(lookup.queried) == 0 {
 		forwarder.queryAllDomains(lookup)
 	}
-	forwarder.timers.Set(timerKey{kind: timerLookup, lookup: lookup.number}, forwarder.now.Add(forwarder.Settings.QuestionWait))
+	forwarder.timers.Set(timerKey{kind: timerLookup, lookup: lookup.number}, forwarder.now.Add(forwarder.Settings.LookupWait))
 }
 
 func (forwarder *Forwarder) cellKeyOf(submission identifier.SubmissionID, failureDomain identifier.FailureDomain) cellKey {
@@ -214,7 +214,7 @@
 		}
 	}
 	if forwarder.lookups.Get(number) != nil {
-		forwarder.timers.Set(timerKey{kind: timerLookup, lookup: number}, forwarder.now.Add(forwarder.Settings.QuestionWait))
+		forwarder.timers.Set(timerKey{kind: timerLookup, lookup: number}, forwarder.now.Add(forwarder.Settings.LookupWait))
 	}
 }
 
--- a/pkg/forwarder/replicas.go
+++ b/pkg/forwarder/replicas.go
@@ -21,10 +21,10 @@
 type ReplicaSettings struct {
 	// Pace is the time between two batches.
 	Pace time.Duration
-	// Batch and BatchBytes bound one batch in records and bytes; the first replica always
-	// fits.
-	Batch      int
-	BatchBytes int
+	// BatchRecords and BatchBytes bound one batch in records and bytes; the first replica
+	// always fits.
+	BatchRecords int
+	BatchBytes   int
 	// Resend is how long to wait for a receipt before a replica is sent again.
 	Resend time.Duration
 }
@@ -32,10 +32,10 @@
 // DefaultReplicaSettings returns the defaults that the daemon starts from.
 func DefaultReplicaSettings() ReplicaSettings {
 	return ReplicaSettings{
-		Pace:       10 * time.Millisecond,
-		Batch:      500,
-		BatchBytes: 256 << 10,
-		Resend:     500 * time.Millisecond,
+		Pace:         10 * time.Millisecond,
+		BatchRecords: 500,
+		BatchBytes:   256 << 10,
+		Resend:       500 * time.Millisecond,
 	}
 }
 
@@ -138,7 +138,7 @@
 			next = identifier.Earlier(next, due)
 			return true
 		}
-		if count >= forwarder.Settings.Replicas.Batch || size >= forwarder.Settings.Replicas.BatchBytes {
+		if count >= forwarder.Settings.Replicas.BatchRecords || size >= forwarder.Settings.Replicas.BatchBytes {
 			next = forwarder.now.Add(forwarder.Settings.Replicas.Pace)
 			return false
 		}
--- a/pkg/forwarder/submissions.go
+++ b/pkg/forwarder/submissions.go
@@ -145,7 +145,7 @@
 	if localSubmission.cancelled {
 		forwarder.forwardCancel(localSubmission)
 	}
-	wait := forwarder.Settings.AskAgain << min(localSubmission.resends, maxResendDoublings)
+	wait := forwarder.Settings.ResendInterval << min(localSubmission.resends, maxResendDoublings)
 	localSubmission.resends++
 	due := forwarder.now.Add(wait)
 	if latest := forwarder.answerDueAt(localSubmission); latest > forwarder.now {
