--- a/pkg/gossiper/digest.go
+++ b/pkg/gossiper/digest.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// rehash brings the digest up to date with an entity whose state changed. Lost
-// members do not count, because hosts forget them at different times.
-func (gossiper *Gossiper) rehash(entity *memberEntity) {
+// updateDigest recomputes an entity's hash and the digest after the entity's state changed. Lost
+// members are left out of the digest, because hosts forget them at different times.
+func (gossiper *Gossiper) updateDigest(entity *memberEntity) {
 	gossiper.digest ^= entity.hash
 	entity.hash = 0
 	entity.recordsHash = 0
@@ -24,7 +24,7 @@
 
 func (gossiper *Gossiper) putRecord(entity *memberEntity, record Record) {
 	entity.records.Put(record.Key, &record)
-	gossiper.rehash(entity)
+	gossiper.updateDigest(entity)
 }
 
 func hashState(state State, recordsHash uint64) uint64 {
--- a/pkg/gossiper/error.go
+++ b/pkg/gossiper/error.go
@@ -2,17 +2,17 @@
 
 import "github.com/rotisserie/eris"
 
-// ErrorKind classes what went wrong.
+// ErrorKind classifies the errors of this package.
 type ErrorKind uint8
 
 const (
-	// ErrorMalformedMessage is a message that is not readable as CBOR.
+	// ErrorMalformedMessage reports a message that cannot be encoded or decoded as CBOR.
 	ErrorMalformedMessage ErrorKind = iota
-	// ErrorNoSender is a message that does not name its sender.
+	// ErrorNoSender reports a message that does not name its sender.
 	ErrorNoSender
 )
 
-// Error is the error type of this package.
+// Error is the error type of this package. Err is the cause and may be nil.
 type Error struct {
 	Operation string
 	Kind      ErrorKind
@@ -27,7 +27,7 @@
 	return err.Operation + ": " + err.Kind.String() + ": " + err.Err.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, or nil if there is none.
 func (err *Error) Unwrap() error { return err.Err }
 
 func newError(operation string, kind ErrorKind, cause error) error {
--- a/pkg/gossiper/fuzz_test.go
+++ b/pkg/gossiper/fuzz_test.go
@@ -11,67 +11,65 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// versionSeen is the newest that one process was told of something. The value
-// orders records of two processes that took the same incarnation.
-type versionSeen struct {
+// observedVersion is the newest version that one process reported of a member or record. The value
+// orders records of two processes with the same incarnation.
+type observedVersion struct {
 	incarnation identifier.Incarnation
 	version     uint64
 	value       string
 }
 
-// oracle checks that nothing a process was told ever goes back.
-type oracle struct {
+// orderChecker checks that nothing a process reported reverts to an older version.
+type orderChecker struct {
 	t    *rapid.T
-	seen map[string]versionSeen
+	seen map[string]observedVersion
 }
 
-func (oracle *oracle) observe(of *node, output Output) {
-	process := fmt.Sprintf("%s/%d", of.member.Host, of.lives)
+func (orderChecker *orderChecker) observe(of *node, output Output) {
+	process := fmt.Sprintf("%s/%d", of.member.Host, of.processes)
 	switch output := output.(type) {
 	case RecordChanged:
-		told := versionSeen{version: output.Record.Version, value: string(output.Record.Value)}
+		observed := observedVersion{version: output.Record.Version, value: string(output.Record.Value)}
 		if output.Host != "" {
 			state, _ := of.gossiper.State(output.Host)
-			told.incarnation = state.Member.Incarnation
+			observed.incarnation = state.Member.Incarnation
 		}
-		oracle.advance(process+" record "+string(output.Host)+"/"+output.Record.Key, told)
+		orderChecker.advance(process+" record "+string(output.Host)+"/"+output.Record.Key, observed)
 	case MemberChanged:
-		told := versionSeen{
+		observed := observedVersion{
 			incarnation: output.New.Member.Incarnation,
 			version:     output.New.Refutation*4 + uint64(output.New.Status),
 		}
-		oracle.advance(process+" member "+string(output.New.Member.Host), told)
+		orderChecker.advance(process+" member "+string(output.New.Member.Host), observed)
 	case MemberForgotten:
-		oracle.t.Fatalf("%s forgot %s within minutes", process, output.Host)
+		orderChecker.t.Fatalf("%s forgot %s within minutes", process, output.Host)
 	}
 }
 
-func (oracle *oracle) advance(what string, told versionSeen) {
-	before, known := oracle.seen[what]
+func (orderChecker *orderChecker) advance(what string, observed observedVersion) {
+	before, known := orderChecker.seen[what]
 	order := cmp.Or(
-		cmp.Compare(told.incarnation, before.incarnation),
-		cmp.Compare(told.version, before.version),
-		cmp.Compare(told.value, before.value),
+		cmp.Compare(observed.incarnation, before.incarnation),
+		cmp.Compare(observed.version, before.version),
+		cmp.Compare(observed.value, before.value),
 	)
 	if known && order <= 0 {
-		oracle.t.Fatalf("%s went from %v to %v", what, before, told)
+		orderChecker.t.Fatalf("%s went from %v to %v", what, before, observed)
 	}
-	oracle.seen[what] = told
+	orderChecker.seen[what] = observed
 }
 
-// TestNothingRevertsAndAllConverge mixes what fails.
-//
-// Symptom: hosts disagree for ever, an old record comes back, or a living host
-// stays dead for others. Sequence: loss, duplication, reordering, partitions,
-// restarts, replacements, drifting clocks and late ticks in any order. Cause: an
-// order of updates that does not depend on what they say but on when they come.
+// TestNothingRevertsAndAllConverge runs hosts through loss, duplication, reordering, partitions,
+// restarts, replacements, drifting clocks and late ticks in any order. It guards against hosts that
+// disagree permanently, an old record that comes back, and a living host that stays dead for others.
+// These occur when the order of updates depends on their arrival instead of their content.
 func TestNothingRevertsAndAllConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.IntRange(1, 4).Draw(t, "domains")
 		hosts := domains * rapid.IntRange(1, 3).Draw(t, "hosts-a-domain")
 		net := newNetwork(hosts, domains, rapid.Uint64().Draw(t, "seed"))
-		checker := &oracle{t: t, seen: make(map[string]versionSeen)}
-		net.observe = checker.observe
+		orderChecker := &orderChecker{t: t, seen: make(map[string]observedVersion)}
+		net.observe = orderChecker.observe
 		for _, current := range net.nodes {
 			current.rate = rapid.Float64Range(0.95, 1.05).Draw(t, "rate")
 		}
@@ -87,32 +85,31 @@
 			"partition":         run.partition,
 			"heal":              func(*rapid.T) { net.cut = nil },
 			"connection-closes": run.closeConnection,
-			"be-late":           run.beLate,
+			"be-late":           run.delayNode,
 		})
-		run.quieten()
-		// Messages of killed processes may still arrive, up to three seconds late,
-		// and bring up a host that has to be found dead once more.
+		run.clearFaults()
+		// Messages of killed processes may still arrive, up to three seconds late, and bring back
+		// a host that then has to be detected as dead once more.
 		net.run(4 * time.Second)
 		for end := net.now + time.Minute; net.converged() != nil && net.now < end; {
 			net.run(time.Second)
 		}
-		// What has converged must stay so.
+		// The hosts must stay converged.
 		net.run(5 * time.Second)
 		if err := net.converged(); err != nil {
-			t.Fatalf("after a minute without troubles: %v", err)
+			t.Fatalf("after a minute without faults: %v", err)
 		}
 		run.checkRecords(t)
 	})
 }
 
-// fuzzRun holds what the oracle needs to know of a run.
+// fuzzRun holds what the final checks need to know of a run.
 type fuzzRun struct {
 	net       *network
 	published uint64
 	cluster   uint64
-	// newest is the highest cluster-wide version that a running host has when
-	// the troubles end.
-	newest uint64
+	// newestCluster is the highest cluster-wide version that a running host has when the faults end.
+	newestCluster uint64
 }
 
 func (run *fuzzRun) draw(t *rapid.T) *node {
@@ -127,11 +124,11 @@
 
 func (run *fuzzRun) restart(t *rapid.T) {
 	current := run.draw(t)
-	// A clock that went back gives an incarnation below the last one, or the same.
+	// A clock that went back gives an incarnation below the previous one or equal to it.
 	back := rapid.SampledFrom([]int{0, 0, 0, 1000, 5000}).Draw(t, "clock-back")
 	current.member.Incarnation -= identifier.Incarnation(back)
-	// One seed stays at its address: if all of them moved at once, no protocol
-	// could tell hosts that have lost each other where to look.
+	// One seed keeps its address: if all seeds moved at once, no protocol could find hosts that have
+	// lost each other.
 	replaced := rapid.Bool().Draw(t, "replaced") && current.index != 0
 	run.net.restart(current, replaced)
 }
@@ -157,7 +154,7 @@
 	run.net.jitter = rapid.SampledFrom([]time.Duration{0, time.Millisecond, time.Second}).Draw(t, "jitter")
 }
 
-// partition cuts a set of hosts off, in both directions or in one.
+// partition isolates a set of hosts, in both directions or in one.
 func (run *fuzzRun) partition(t *rapid.T) {
 	side := rapid.Uint16().Draw(t, "side")
 	oneWay := rapid.Bool().Draw(t, "one-way")
@@ -177,12 +174,12 @@
 	}
 }
 
-func (run *fuzzRun) beLate(t *rapid.T) {
+func (run *fuzzRun) delayNode(t *rapid.T) {
 	lateness := rapid.SampledFrom([]int{0, 0, 200, 2000}).Draw(t, "milliseconds-late")
 	run.draw(t).lateness = time.Duration(lateness) * time.Millisecond
 }
 
-func (run *fuzzRun) quieten() {
+func (run *fuzzRun) clearFaults() {
 	net := run.net
 	net.cut = nil
 	net.loss, net.duplicate, net.jitter = 0, 0, time.Millisecond
@@ -192,31 +189,31 @@
 			// Without any seed, hosts that never met could not find each other.
 			net.restart(current, false)
 		}
-		held, _ := current.gossiper.ClusterRecord("config")
+		record, _ := current.gossiper.ClusterRecord("config")
 		if current.up {
-			run.newest = max(run.newest, held.Version)
+			run.newestCluster = max(run.newestCluster, record.Version)
 		}
 	}
 }
 
-// checkRecords compares every view with what the owners hold, and the
-// cluster-wide record with the newest that any running host had. It may be newer
-// still, from a message that a host sent before it was killed.
+// checkRecords compares every host's records with those of their owners, and the cluster-wide record
+// with the newest that any running host had. It may be newer still, from a message that a host sent
+// before it was killed.
 func (run *fuzzRun) checkRecords(t *rapid.T) {
 	for _, owner := range run.net.nodes {
-		held, _ := owner.gossiper.ClusterRecord("config")
-		if owner.up && held.Version < run.newest {
-			t.Fatalf("%s holds configuration %d, the newest is %d", owner.member.Host, held.Version, run.newest)
+		record, _ := owner.gossiper.ClusterRecord("config")
+		if owner.up && record.Version < run.newestCluster {
+			t.Fatalf("%s has configuration %d, the newest is %d", owner.member.Host, record.Version, run.newestCluster)
 		}
 		for _, viewer := range run.net.nodes {
 			if !owner.up || !viewer.up {
 				continue
 			}
 			for _, key := range []string{"load", "lead"} {
-				truth, _ := owner.gossiper.Record(owner.member.Host, key)
+				published, _ := owner.gossiper.Record(owner.member.Host, key)
 				view, _ := viewer.gossiper.Record(owner.member.Host, key)
-				if truth.Version != view.Version || string(truth.Value) != string(view.Value) {
-					t.Fatalf("%s holds %v of %s, which has %v", viewer.member.Host, view, owner.member.Host, truth)
+				if published.Version != view.Version || string(published.Value) != string(view.Value) {
+					t.Fatalf("%s has %v of %s, which published %v", viewer.member.Host, view, owner.member.Host, published)
 				}
 			}
 		}
--- a/pkg/gossiper/gossiper.go
+++ b/pkg/gossiper/gossiper.go
@@ -1,13 +1,12 @@
-// Package gossiper keeps the membership of the system's own hosts and spreads
-// small versioned records among them. It follows SWIM (Das, Gupta, Motivala
-// 2002): probes, indirect probes, suspicion that the suspect may refute, and
-// updates that ride on other messages; with late ticks stretching the timeouts
-// as in Lifeguard (Dadgar, Phillips, Currey 2018), and digests that find and
-// mend whatever the updates missed. Probes run densely inside a failure domain
-// and sparsely between them.
+// Package gossiper maintains the membership of the system's own hosts and distributes small
+// versioned records among them. It follows SWIM (Das, Gupta, Motivala 2002): probes, indirect
+// probes, suspicions that the suspect may refute, and updates that are piggybacked on other
+// messages. Late ticks extend the timeouts as in Lifeguard (Dadgar, Phillips, Currey 2018), and
+// digests detect whatever the updates missed, so that it is repaired. Probes are frequent inside a
+// failure domain and infrequent between failure domains.
 //
-// The package only decides: messages and moments go in, messages and changes
-// come out. docs/dev/MEMBERSHIP.md gives its measured times and costs.
+// The package does no I/O and reads no clock: messages and the current time go in, messages and
+// changes come out. docs/dev/MEMBERSHIP.md lists its detection times and costs.
 package gossiper
 
 import (
@@ -17,29 +16,30 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// Gossiper is one host's view of the others. Set the exported fields, then call
-// Tick whenever NextDeadline falls due or an input arrives.
+// Gossiper is one host's view of the others. Set the exported fields, then call Tick whenever
+// NextDeadline is due or an input arrives.
 type Gossiper struct {
-	// Self describes this host.
+	// Self describes this host. Its incarnation is raised when a peer knows a higher or a conflicting
+	// one.
 	Self Member
-	// Seeds are hosts known from the settings; Host and Addresses.Peers are
-	// used. Self among them is ignored.
+	// Seeds are the hosts known from the settings. Only Host and Addresses.Peers are used; an entry
+	// for Self is ignored.
 	Seeds []Member
-	// Seed makes the random choices repeatable; it should differ between hosts.
+	// Seed makes the random choices reproducible. It should differ between hosts.
 	Seed     uint64
 	Settings Settings
 
 	started   bool
 	startedAt identifier.Moment
 	joined    bool
-	// joinAttempts counts the rounds of asking seeds.
-	joinAttempts int
-	joinEnds     identifier.Moment
-	random       *rand.Rand
-	now          identifier.Moment
-	outputs      []Output
-	// introduced is the sender of the message in hand if it described itself.
-	introduced *Member
+	// joinAttempts counts the rounds of sync requests to seeds.
+	joinAttempts  int
+	joinSettlesAt identifier.Moment
+	random        *rand.Rand
+	now           identifier.Moment
+	outputs       []Output
+	// senderMember is the sender's description of itself in the message being handled, if any.
+	senderMember *Member
 
 	members *tabulator.Table[identifier.HostID, memberEntity]
 	cluster *tabulator.Table[string, Record]
@@ -49,13 +49,13 @@
 	digest  uint64
 
 	sequence    uint64
-	localHealth int
-	// healthRecovery is when one late tick less is counted.
-	healthRecovery identifier.Moment
-	localProbes    int
-	localWheel     []identifier.HostID
-	remoteWheel    []identifier.HostID
-	lostCursor     int
+	healthScore int
+	// nextHealthRecovery is when healthScore drops by one.
+	nextHealthRecovery identifier.Moment
+	localProbeCount    int
+	localProbeOrder    []identifier.HostID
+	remoteProbeOrder   []identifier.HostID
+	lostCursor         int
 
 	nextLocalProbe  identifier.Moment
 	nextRemoteProbe identifier.Moment
@@ -75,27 +75,27 @@
 type memberEntity struct {
 	state   State
 	records *tabulator.Table[string, Record]
-	// hash is the member's part of the digest; zero unless it is living.
+	// hash is the member's part of the digest; zero unless the member is living.
 	hash        uint64
 	recordsHash uint64
-	// suspicionStarted and suspicionEnds hold while the status is suspect.
+	// suspicionStarted and suspicionEnds are valid while the status is suspect.
 	suspicionStarted identifier.Moment
 	suspicionEnds    identifier.Moment
-	// raised tells that this host's own probe failed, so that it is this host
-	// which goes on pinging the suspect.
-	raised   bool
-	nextPing identifier.Moment
-	forgetAt identifier.Moment
-	// patience stretches the probes of a member that refuted lately.
-	patience     int
-	patienceEnds identifier.Moment
-	// graced tells that the suspicion was prolonged once after a late tick.
-	graced bool
-	// disputed tells that two descriptions of the same incarnation were seen.
-	disputed bool
+	// ownProbeFailed reports that this host's own probe failed. Only then does this host go on
+	// pinging the suspect.
+	ownProbeFailed bool
+	nextPing       identifier.Moment
+	forgetAt       identifier.Moment
+	// extraTimeouts extends the probes of a member that refuted a suspicion recently.
+	extraTimeouts    int
+	extraTimeoutsEnd identifier.Moment
+	// suspicionExtended reports that the suspicion was extended once after a late tick.
+	suspicionExtended bool
+	// conflicting reports that two different descriptions of the same incarnation were received.
+	conflicting bool
 }
 
-// Tick takes the inputs, then runs every system that is due at now.
+// Tick handles the inputs, then everything that is due at now, and returns the outputs.
 func (gossiper *Gossiper) Tick(now identifier.Moment, inputs []Input) []Output {
 	gossiper.outputs = nil
 	late := gossiper.started && now.Sub(gossiper.NextDeadline()) > gossiper.Settings.LateTolerance
@@ -103,12 +103,12 @@
 	if !gossiper.started {
 		gossiper.start()
 	}
-	// Inputs go first: an answer that waited while this host was busy must not
-	// count as missing.
+	// Inputs are handled first: an answer that was queued while this host was busy must not count as
+	// missing.
 	for _, input := range inputs {
-		gossiper.take(input)
+		gossiper.handleInput(input)
 	}
-	gossiper.noteLateness(late)
+	gossiper.recordLateness(late)
 	gossiper.expireProbes(late)
 	gossiper.expireRelays()
 	gossiper.expireSuspicions(late)
@@ -116,12 +116,13 @@
 	gossiper.probeRemote()
 	gossiper.join()
 	gossiper.probeLost()
-	gossiper.forget()
+	gossiper.forgetExpired()
 	gossiper.flushRumors()
 	return gossiper.outputs
 }
 
-// NextDeadline returns when Tick wants to run next without any input.
+// NextDeadline returns when Tick has to be called next if no input arrives before. It is 0 before
+// the first tick.
 func (gossiper *Gossiper) NextDeadline() identifier.Moment {
 	if !gossiper.started {
 		return 0
@@ -144,19 +145,19 @@
 	gossiper.rumors = tabulator.New[rumorKey, rumor]()
 	gossiper.probes = tabulator.New[uint64, probe]()
 	gossiper.relays = tabulator.New[uint64, relay]()
-	// A new process must not take answers to the one before it for its own.
+	// A random start of the sequence keeps answers to this host's previous process from matching.
 	gossiper.sequence = uint64(gossiper.random.Uint32())
 	self := newMemberEntity(State{Member: gossiper.Self})
 	gossiper.members.Put(gossiper.Self.Host, self)
-	gossiper.rehash(self)
+	gossiper.updateDigest(self)
 	gossiper.nextFlush = identifier.Never
-	gossiper.tell(memberRumor(gossiper.Self.Host), originated)
-	// The first probes are spread, so that hosts which start together do not go
-	// on probing at the same moments.
+	gossiper.enqueueRumor(memberRumor(gossiper.Self.Host), originated)
+	// The first probes are at random times, so that hosts that start together do not go on probing at
+	// the same moments.
 	settings := gossiper.Settings
-	gossiper.nextLocalProbe = gossiper.spread(settings.LocalProbeInterval)
-	gossiper.nextRemoteProbe = gossiper.spread(settings.RemoteProbeInterval)
-	gossiper.nextLostProbe = gossiper.spread(settings.LostProbeInterval)
+	gossiper.nextLocalProbe = gossiper.randomMoment(settings.LocalProbeInterval)
+	gossiper.nextRemoteProbe = gossiper.randomMoment(settings.RemoteProbeInterval)
+	gossiper.nextLostProbe = gossiper.randomMoment(settings.LostProbeInterval)
 	gossiper.nextJoin = gossiper.now
 	gossiper.nextSuspicion = identifier.Never
 	gossiper.nextForget = identifier.Never
--- a/pkg/gossiper/health.go
+++ b/pkg/gossiper/health.go
@@ -6,42 +6,42 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// healthRecovers is how long without late ticks winds the count of them down by
-// one. Answered probes would wind it down too soon: a busy host gets most of its
-// answers, only late.
-const healthRecovers = 5 * time.Second
+// healthRecoveryInterval is the time without late ticks after which healthScore drops by one.
+// Counting answered probes instead would lower it too soon: a busy host gets most of its answers,
+// only late.
+const healthRecoveryInterval = 5 * time.Second
 
-// noteLateness counts late ticks. A host whose processor is busy would take its
-// own delay for the silence of others and report healthy hosts as dead; stretched
-// timeouts let it wait as long as it is itself late.
-func (gossiper *Gossiper) noteLateness(late bool) {
+// recordLateness counts late ticks in healthScore. A host whose processor is busy would mistake its
+// own delay for missing answers and report healthy hosts as dead. Longer timeouts let it wait in
+// proportion to its own lateness.
+func (gossiper *Gossiper) recordLateness(late bool) {
 	switch {
 	case late:
-		gossiper.localHealth = min(gossiper.localHealth+1, gossiper.Settings.MaximumLocalHealth)
-	case gossiper.localHealth > 0 && gossiper.healthRecovery.Due(gossiper.now):
-		gossiper.localHealth--
+		gossiper.healthScore = min(gossiper.healthScore+1, gossiper.Settings.MaximumHealthScore)
+	case gossiper.healthScore > 0 && gossiper.nextHealthRecovery.Due(gossiper.now):
+		gossiper.healthScore--
 	default:
 		return
 	}
-	gossiper.healthRecovery = gossiper.now.Add(healthRecovers)
+	gossiper.nextHealthRecovery = gossiper.now.Add(healthRecoveryInterval)
 }
 
-// stretched returns the moment at which a wait of duration ends on this host.
-func (gossiper *Gossiper) stretched(duration time.Duration) identifier.Moment {
-	return gossiper.now.Add(duration * time.Duration(1+gossiper.localHealth))
+// scaledDeadline returns when a wait of the duration ends, extended by this host's health score.
+func (gossiper *Gossiper) scaledDeadline(duration time.Duration) identifier.Moment {
+	return gossiper.now.Add(duration * time.Duration(1+gossiper.healthScore))
 }
 
-// spread returns a moment within the coming interval.
-func (gossiper *Gossiper) spread(interval time.Duration) identifier.Moment {
+// randomMoment returns a random moment within the next interval.
+func (gossiper *Gossiper) randomMoment(interval time.Duration) identifier.Moment {
 	if interval <= 0 {
 		return gossiper.now
 	}
 	return gossiper.now.Add(time.Duration(gossiper.random.Int64N(int64(interval))))
 }
 
-// jittered returns a moment one interval ahead, an eighth earlier or later, so
-// that the probes of different hosts do not fall into step.
-func (gossiper *Gossiper) jittered(interval time.Duration) identifier.Moment {
+// jitteredMoment returns a moment one interval ahead, up to an eighth earlier or later, so that the
+// probes of different hosts do not synchronize.
+func (gossiper *Gossiper) jitteredMoment(interval time.Duration) identifier.Moment {
 	eighth := interval / 8
 	if eighth <= 0 {
 		return gossiper.now.Add(interval)
@@ -49,29 +49,28 @@
 	return gossiper.now.Add(interval - eighth + time.Duration(gossiper.random.Int64N(int64(2*eighth))))
 }
 
-// maximumPatience bounds how far the probes of a slow member are stretched, and
-// patienceLasts how long after its last refutation.
+// maximumExtraTimeouts bounds the extra timeouts that a slow member gets per probe, and
+// extraTimeoutsDuration how long it gets them after its last refutation.
 const (
-	maximumPatience = 2
-	patienceLasts   = time.Minute
+	maximumExtraTimeouts  = 2
+	extraTimeoutsDuration = time.Minute
 )
 
-// growPatience makes this host wait longer for a member that just refuted a
-// suspicion. A member whose processor is busy answers late each time; without
-// this it would be suspected again with every probe, and every suspicion and
-// refutation goes to all hosts.
-func (gossiper *Gossiper) growPatience(entity *memberEntity) {
-	if entity.patienceEnds.Due(gossiper.now) {
-		entity.patience = 0
+// extendProbeTimeout makes this host wait longer for a member that just refuted a suspicion. A
+// member whose processor is busy answers late each time. Without the extension every probe would
+// raise a new suspicion, and every suspicion and refutation goes to all hosts.
+func (gossiper *Gossiper) extendProbeTimeout(entity *memberEntity) {
+	if entity.extraTimeoutsEnd.Due(gossiper.now) {
+		entity.extraTimeouts = 0
 	}
-	entity.patience = min(entity.patience+1, maximumPatience)
-	entity.patienceEnds = gossiper.now.Add(patienceLasts)
+	entity.extraTimeouts = min(entity.extraTimeouts+1, maximumExtraTimeouts)
+	entity.extraTimeoutsEnd = gossiper.now.Add(extraTimeoutsDuration)
 }
 
-// probeDeadline returns when a probe of the member has waited long enough.
+// probeDeadline returns when a probe of the member times out.
 func (gossiper *Gossiper) probeDeadline(entity *memberEntity, timeout time.Duration) identifier.Moment {
-	if entity != nil && !entity.patienceEnds.Due(gossiper.now) {
-		timeout *= time.Duration(1 + entity.patience)
+	if entity != nil && !entity.extraTimeoutsEnd.Due(gossiper.now) {
+		timeout *= time.Duration(1 + entity.extraTimeouts)
 	}
-	return gossiper.stretched(timeout)
+	return gossiper.scaledDeadline(timeout)
 }
--- a/pkg/gossiper/inputs.go
+++ b/pkg/gossiper/inputs.go
@@ -2,32 +2,33 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// Input is something that happened: a message, a hint or a wish of this host.
+// Input is an event for Tick: a received message, a transport hint or a request of this host.
 type Input interface{ input() }
 
 // MessageReceived is a message from another host.
 type MessageReceived struct{ Message Message }
 
-// PeerConnected is the transport's hint that a connection to Host was made.
+// PeerConnected is the transport's hint that a connection to Host was established. A host that is
+// not alive is then pinged.
 type PeerConnected struct{ Host identifier.HostID }
 
-// PeerConnectionClosed is the transport's hint that Host's process closed or
-// reset its connection. One failed re-check then shows that it is dead.
+// PeerConnectionClosed is the transport's hint that Host's process closed or reset its connection.
+// One failed probe after it shows that the process is dead.
 type PeerConnectionClosed struct{ Host identifier.HostID }
 
-// RecordSet publishes a record of this host; its version is counted here. An
-// empty value withdraws the record. The same value again does nothing.
+// RecordSet publishes a record of this host; the gossiper assigns its version. An empty value
+// withdraws the record. Setting the same value again does nothing.
 type RecordSet struct {
 	Key   string
 	Value []byte
 }
 
-// ClusterRecordSet offers a cluster-wide record, whose version the caller gives.
-// It is ignored unless its version is above the one known.
+// ClusterRecordSet publishes a cluster-wide record with a version that the caller assigns. It is
+// ignored unless its version is above the known one.
 type ClusterRecordSet struct{ Record Record }
 
-// LeaveRequested makes this host say that it leaves. It goes on answering
-// until its process ends.
+// LeaveRequested makes this host announce that it leaves. It goes on answering until its process
+// ends.
 type LeaveRequested struct{}
 
 func (MessageReceived) input()      {}
--- a/pkg/gossiper/measure_test.go
+++ b/pkg/gossiper/measure_test.go
@@ -16,8 +16,8 @@
 
 var long = flag.Bool("long", false, "measure 200 hosts and fuzz longer")
 
-// TestMeasurements writes the table of docs/dev/MEMBERSHIP.md in virtual time
-// with fixed seeds; -rewrite takes new figures, -long adds the larger networks.
+// TestMeasurements computes the table of docs/dev/MEMBERSHIP.md in virtual time with fixed seeds.
+// -rewrite updates the figures, -long adds the larger networks.
 func TestMeasurements(t *testing.T) {
 	measureFile(t, "testdata/measurements")
 	if *long {
@@ -66,8 +66,7 @@
 	})
 }
 
-// measureStart starts all hosts within a second and takes the time until all
-// know all.
+// measureStart starts all hosts within a second and measures the time until all know all.
 func measureStart(net *network) string {
 	net.startAll(0)
 	for net.converged() != nil && net.now < 5*time.Minute {
@@ -76,8 +75,8 @@
 	return fmt.Sprintf("all know all after %s: %t\n", net.now, net.converged() == nil)
 }
 
-// measureDetection kills single hosts and takes the time until each peer of the
-// failure domain, and each host elsewhere, has seen it.
+// measureDetection kills single hosts and measures the time until each peer of the failure domain,
+// and each host elsewhere, has declared them dead.
 func measureDetection(net *network, domains, rounds int) string {
 	var local, remote, hinted samples
 	for round := range rounds {
@@ -137,21 +136,21 @@
 	return fmt.Sprintf("each host's loss at each host: %s\n", seen)
 }
 
-// measureSpread publishes records one after the other and takes the time until
-// each other host has them.
+// measureSpread publishes records one after the other and measures the time until each other host
+// has them.
 func measureSpread(net *network, rounds int) string {
 	var local, remote, cluster samples
 	missed := 0
 	for round := range rounds {
 		source := net.nodes[(round*13)%len(net.nodes)]
 		since := net.now
-		heard := 0
+		received := 0
 		net.observe = func(of *node, output Output) {
 			changed, isChange := output.(RecordChanged)
 			if !isChange || of == source {
 				return
 			}
-			heard++
+			received++
 			switch {
 			case changed.Host == "":
 				cluster = append(cluster, net.now-since)
@@ -164,7 +163,7 @@
 		net.tick(source, RecordSet{Key: "load", Value: []byte(fmt.Sprintf("%032d", round))})
 		net.tick(source, ClusterRecordSet{Record: configurationRecord(uint64(round + 1))})
 		net.run(20 * time.Second)
-		missed += 2*(len(net.nodes)-1) - heard
+		missed += 2*(len(net.nodes)-1) - received
 	}
 	return fmt.Sprintf("record, own domain:  %s\nrecord, elsewhere:   %s\ncluster-wide record: %s\nnot heard in 20 s:   %d\n",
 		local, remote, cluster, missed)
@@ -174,10 +173,9 @@
 	return Record{Key: "config", Version: version, Value: []byte("0123456789abcdef0123456789abcdef")}
 }
 
-// measureCost counts the bytes of messages sent, first at rest, then with the
-// load of an ordinary day at full size: 60 failures and 1,700 restarts, 4,400
-// configurations that each host confirms with a record of its own, and each
-// failure domain's load every three seconds.
+// measureCost counts the bytes of the messages sent, first without changes, then with the load of an
+// ordinary day at full size: 60 failures and 1,700 restarts, 4,400 configurations that each host
+// confirms with a record of its own, and a load record of each failure domain every three seconds.
 func measureCost(net *network, minutes int) string {
 	quiet := net.measureBytes(time.Minute)
 	events := make([]time.Duration, 3)
@@ -241,7 +239,7 @@
 	return line
 }
 
-// measureFalseAlarms counts living hosts that are suspected or held for dead.
+// measureFalseAlarms counts living hosts that are suspected or declared dead.
 func measureFalseAlarms(net *network, duration time.Duration) string {
 	suspicions, deaths := 0, 0
 	dead := make(map[identifier.HostID]bool)
@@ -268,21 +266,21 @@
 
 type samples []time.Duration
 
-// String gives the percentiles in milliseconds.
+// String returns the percentiles in milliseconds.
 func (times samples) String() string {
 	if len(times) == 0 {
 		return "none"
 	}
 	slices.Sort(times)
-	at := func(share float64) int64 {
-		return times[min(int(share*float64(len(times))), len(times)-1)].Milliseconds()
+	at := func(fraction float64) int64 {
+		return times[min(int(fraction*float64(len(times))), len(times)-1)].Milliseconds()
 	}
 	return fmt.Sprintf("p50 %d ms, p99 %d ms, max %d ms, of %d", at(0.5), at(0.99), at(1), len(times))
 }
 
-// BenchmarkHostSecond gives the processor time and memory of one host for one
-// second at rest, by running whole networks; codec and virtual network are
-// included. Memory is the live heap of the whole network over its hosts.
+// BenchmarkHostSecond measures the processor time and memory of one host for one second at rest by
+// running whole networks, codec and virtual network included. Memory is the live heap of the whole
+// network divided by its hosts.
 func BenchmarkHostSecond(b *testing.B) {
 	for _, size := range []struct{ hosts, domains int }{{9, 3}, {50, 7}, {200, 21}} {
 		b.Run(fmt.Sprintf("hosts=%d", size.hosts), func(b *testing.B) {
--- a/pkg/gossiper/merge.go
+++ b/pkg/gossiper/merge.go
@@ -8,64 +8,63 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// mergeState takes another host's word about a member if it is newer.
+// mergeState applies a state from another host if it is newer than the known one.
 func (gossiper *Gossiper) mergeState(state State, source origin) {
 	host := state.Member.Host
 	if host == gossiper.Self.Host {
-		gossiper.defend(state, source)
+		gossiper.refute(state, source)
 		return
 	}
 	entity := gossiper.members.Get(host)
 	if entity == nil {
-		gossiper.adopt(state, source)
+		gossiper.addMember(state, source)
 		return
 	}
 	if !state.newerThan(entity.state) {
-		gossiper.compareKnown(entity, state, source)
+		gossiper.mergeNotNewer(entity, state, source)
 		return
 	}
-	state = gossiper.weighDeath(entity, state)
+	state = gossiper.downgradeDeath(entity, state)
 	if !state.newerThan(entity.state) {
 		return
 	}
 	if state.Member.Incarnation > entity.state.Member.Incarnation {
 		entity.records = tabulator.New[string, Record]()
 	}
-	gossiper.change(entity, state)
-	gossiper.tell(memberRumor(host), source)
+	gossiper.applyState(entity, state)
+	gossiper.enqueueRumor(memberRumor(host), source)
 }
 
-// adopt takes up a host that was not known. A lost one is not worth knowing,
-// and taking it up would bring back what others have just forgotten.
-func (gossiper *Gossiper) adopt(state State, source origin) {
+// addMember adds a host that was unknown. A lost one is ignored: adding it would bring back what
+// other hosts have just forgotten.
+func (gossiper *Gossiper) addMember(state State, source origin) {
 	if !state.Living() {
 		return
 	}
 	entity := newMemberEntity(state)
 	gossiper.members.Put(state.Member.Host, entity)
 	gossiper.startSuspicion(entity)
-	gossiper.rehash(entity)
+	gossiper.updateDigest(entity)
 	gossiper.emit(MemberChanged{New: state})
-	gossiper.tell(memberRumor(state.Member.Host), source)
+	gossiper.enqueueRumor(memberRumor(state.Member.Host), source)
 }
 
-// compareKnown handles a state that is no newer than the one known.
-func (gossiper *Gossiper) compareKnown(entity *memberEntity, state State, source origin) {
+// mergeNotNewer handles a state that is no newer than the known one.
+func (gossiper *Gossiper) mergeNotNewer(entity *memberEntity, state State, source origin) {
 	if entity.state.newerThan(state) {
 		return
 	}
 	if !sameMember(entity.state.Member, state.Member) {
-		entity.disputed = true
+		entity.conflicting = true
 		return
 	}
-	gossiper.hearAgain(memberRumor(state.Member.Host), source)
+	gossiper.recordDuplicate(memberRumor(state.Member.Host), source)
 }
 
-// weighDeath turns another host's word that a member died into a suspicion when
-// it comes as a surprise. After a partition each side holds the other's hosts
-// for dead; taking that at its word would show every host lost for a moment and
-// move every lead, although each of them refutes within a round trip.
-func (gossiper *Gossiper) weighDeath(entity *memberEntity, state State) State {
+// downgradeDeath turns an unexpected report of a member's death into a suspicion. After a partition
+// each side considers the other's hosts dead. Accepting that would mark every host dead for a moment
+// and move every lead, although each host refutes within a round trip.
+func (gossiper *Gossiper) downgradeDeath(entity *memberEntity, state State) State {
 	if state.Status != StatusDead || !entity.state.Living() {
 		return state
 	}
@@ -81,20 +80,20 @@
 	return state
 }
 
-// change puts a newer state in force.
-func (gossiper *Gossiper) change(entity *memberEntity, state State) {
+// applyState replaces the state of a member by a newer one.
+func (gossiper *Gossiper) applyState(entity *memberEntity, state State) {
 	old := entity.state
 	entity.state = state
-	entity.disputed = false
+	entity.conflicting = false
 	entity.suspicionEnds = identifier.Never
-	entity.raised = false
+	entity.ownProbeFailed = false
 	entity.forgetAt = identifier.Never
 	gossiper.startSuspicion(entity)
 	if !state.Living() {
 		entity.forgetAt = gossiper.now.Add(gossiper.Settings.ForgetAfter)
 		gossiper.nextForget = min(gossiper.nextForget, entity.forgetAt)
 	}
-	gossiper.rehash(entity)
+	gossiper.updateDigest(entity)
 	visible := old.Status != state.Status || old.Member.Incarnation != state.Member.Incarnation
 	if visible {
 		gossiper.emit(MemberChanged{Old: &old, New: state})
@@ -103,90 +102,90 @@
 		gossiper.dropProbes(state.Member.Host)
 	}
 	if old.Status == StatusSuspect && state.Status == StatusAlive {
-		gossiper.growPatience(entity)
+		gossiper.extendProbeTimeout(entity)
 	}
 	if !old.Living() && state.Living() {
 		gossiper.syncWithReturned(state.Member)
 	}
 }
 
-// defend answers another host's word about this host. Whatever is newer than or
-// contradicts the truth is overruled by a higher refutation, or by a higher
-// incarnation if it stems from an earlier process of the same name.
-func (gossiper *Gossiper) defend(state State, source origin) {
+// refute handles another host's state of this host. Whatever is newer than this host's own state or
+// contradicts it is overridden by a higher refutation, or by a higher incarnation if it stems from
+// an earlier process of the same name.
+func (gossiper *Gossiper) refute(state State, source origin) {
 	self := gossiper.self()
-	mine := self.state
-	older := mine.newerThan(state)
-	same := !older && !state.newerThan(mine)
+	own := self.state
+	older := own.newerThan(state)
+	same := !older && !state.newerThan(own)
 	switch {
 	case older:
 		return
-	case same && sameMember(mine.Member, state.Member):
-		gossiper.hearAgain(memberRumor(gossiper.Self.Host), source)
+	case same && sameMember(own.Member, state.Member):
+		gossiper.recordDuplicate(memberRumor(gossiper.Self.Host), source)
 		return
-	case same || state.Member.Incarnation > mine.Member.Incarnation:
+	case same || state.Member.Incarnation > own.Member.Incarnation:
 		gossiper.Self.Incarnation = state.Member.Incarnation + 1
 		self.state.Member = gossiper.Self
 		self.state.Refutation = 0
-		gossiper.tellOwnRecords()
+		gossiper.enqueueOwnRecords()
 	default:
 		self.state.Refutation = state.Refutation + 1
 	}
-	gossiper.rehash(self)
-	gossiper.tell(memberRumor(gossiper.Self.Host), originated)
+	gossiper.updateDigest(self)
+	gossiper.enqueueRumor(memberRumor(gossiper.Self.Host), originated)
 }
 
-func (gossiper *Gossiper) tellOwnRecords() {
+func (gossiper *Gossiper) enqueueOwnRecords() {
 	gossiper.self().records.Each(func(key string, _ *Record) bool {
-		gossiper.tell(recordRumor(gossiper.Self.Host, key), originated)
+		gossiper.enqueueRumor(recordRumor(gossiper.Self.Host, key), originated)
 		return true
 	})
 }
 
-// mergeRecord takes another host's word about a member's record if it is newer
-// and belongs to the incarnation known here.
-func (gossiper *Gossiper) mergeRecord(told MemberRecord, source origin) {
-	entity := gossiper.members.Get(told.Host)
-	if entity == nil || entity.state.Member.Incarnation != told.Incarnation {
+// mergeRecord applies a member's record from another host if it is newer and belongs to the
+// incarnation that is known here.
+func (gossiper *Gossiper) mergeRecord(received MemberRecord, source origin) {
+	entity := gossiper.members.Get(received.Host)
+	if entity == nil || entity.state.Member.Incarnation != received.Incarnation {
 		return
 	}
-	old := entity.records.Get(told.Record.Key)
-	if told.Host == gossiper.Self.Host {
-		gossiper.defendRecord(old, told.Record)
+	old := entity.records.Get(received.Record.Key)
+	if received.Host == gossiper.Self.Host {
+		gossiper.refuteRecord(old, received.Record)
 		return
 	}
-	key := recordRumor(told.Host, told.Record.Key)
-	switch compareRecords(told.Record, old) {
+	key := recordRumor(received.Host, received.Record.Key)
+	switch compareRecords(received.Record, old) {
 	case 0:
-		gossiper.hearAgain(key, source)
+		gossiper.recordDuplicate(key, source)
 	case 1:
-		gossiper.putRecord(entity, told.Record)
-		gossiper.emit(RecordChanged{Host: told.Host, Record: told.Record})
-		gossiper.tell(key, source)
+		gossiper.putRecord(entity, received.Record)
+		gossiper.emit(RecordChanged{Host: received.Host, Record: received.Record})
+		gossiper.enqueueRumor(key, source)
 	}
 }
 
-// defendRecord overrules a record of this host that is newer than its own: one
-// that an earlier process of the same incarnation published.
-func (gossiper *Gossiper) defendRecord(mine *Record, told Record) {
-	if compareRecords(told, mine) <= 0 {
+// refuteRecord overrides a record of this host that is newer than its own: one that an earlier
+// process with the same incarnation published.
+func (gossiper *Gossiper) refuteRecord(own *Record, received Record) {
+	if compareRecords(received, own) <= 0 {
 		return
 	}
-	truth := Record{Key: told.Key, Version: told.Version + 1}
-	if mine != nil {
-		truth.Value = mine.Value
+	correction := Record{Key: received.Key, Version: received.Version + 1}
+	if own != nil {
+		correction.Value = own.Value
 	}
-	gossiper.putRecord(gossiper.self(), truth)
-	gossiper.tell(recordRumor(gossiper.Self.Host, told.Key), originated)
+	gossiper.putRecord(gossiper.self(), correction)
+	gossiper.enqueueRumor(recordRumor(gossiper.Self.Host, received.Key), originated)
 }
 
-// mergeCluster takes a cluster-wide record if it is newer.
+// mergeCluster applies a cluster-wide record if it is newer.
 func (gossiper *Gossiper) mergeCluster(record Record, source origin) {
 	old := gossiper.cluster.Get(record.Key)
 	key := rumorKey{kind: rumorCluster, key: record.Key}
 	switch compareRecords(record, old) {
 	case 0:
-		gossiper.hearAgain(key, source)
+		gossiper.recordDuplicate(key, source)
 	case 1:
 		if old != nil {
 			gossiper.digest ^= hashRecord(*old)
@@ -194,21 +193,20 @@
 		gossiper.digest ^= hashRecord(record)
 		gossiper.cluster.Put(record.Key, &record)
 		gossiper.emit(RecordChanged{Record: record})
-		gossiper.tell(key, source)
+		gossiper.enqueueRumor(key, source)
 	}
 }
 
-// compareRecords orders two records of one key. Equal versions with different
-// values come only from a caller's mistake; the order of bytes then makes all
-// hosts agree.
-func compareRecords(told Record, known *Record) int {
+// compareRecords orders two records of one key. Equal versions with different values are an error of
+// the publisher; comparing the bytes then makes all hosts agree.
+func compareRecords(received Record, known *Record) int {
 	switch {
-	case known == nil || told.Version > known.Version:
+	case known == nil || received.Version > known.Version:
 		return 1
-	case told.Version < known.Version:
+	case received.Version < known.Version:
 		return -1
 	default:
-		return bytes.Compare(told.Value, known.Value)
+		return bytes.Compare(received.Value, known.Value)
 	}
 }
 
--- a/pkg/gossiper/message.go
+++ b/pkg/gossiper/message.go
@@ -6,28 +6,26 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// MessageKind tells what a message asks for or answers.
+// MessageKind is the purpose of a message.
 type MessageKind uint8
 
 const (
-	// MessagePing asks for a MessageAck with the same sequence.
+	// MessagePing requests a MessageAck with the same sequence.
 	MessagePing MessageKind = iota
-	// MessageAck answers a ping, or reports that a ping on behalf of the
-	// receiver was answered.
+	// MessageAck answers a ping, or reports that a ping on behalf of the receiver was answered.
 	MessageAck
-	// MessagePingRequest asks the receiver to ping Target on the sender's behalf.
+	// MessagePingRequest requests that the receiver pings Target on the sender's behalf.
 	MessagePingRequest
 	// MessageUpdates carries updates only.
 	MessageUpdates
 	// MessageSyncRequest carries summaries of all that the sender knows.
 	MessageSyncRequest
-	// MessageSyncReply carries what the requester lacks and names what the
-	// replier lacks.
+	// MessageSyncReply carries what the requester lacks and names what the replier lacks.
 	MessageSyncReply
 )
 
-// Message is what hosts send each other. States, Records and ClusterRecords may
-// ride on every kind; the other fields belong to the kinds named beside them.
+// Message is what hosts send each other. Every kind may carry States, Records and ClusterRecords;
+// the other fields belong to the kinds named beside them.
 type Message struct {
 	Kind     MessageKind       `cbor:"1,keyasint,omitempty"`
 	From     identifier.HostID `cbor:"2,keyasint"`
@@ -45,7 +43,7 @@
 	WantedKeys     []string            `cbor:"12,keyasint,omitempty"` // sync-reply
 }
 
-// Summary stands for all that is known of one member.
+// Summary identifies the version of all that is known about one member.
 type Summary struct {
 	Host        identifier.HostID      `cbor:"1,keyasint"`
 	Incarnation identifier.Incarnation `cbor:"2,keyasint,omitempty"`
@@ -54,7 +52,7 @@
 	RecordsHash uint64                 `cbor:"5,keyasint,omitempty"`
 }
 
-// RecordSummary stands for one cluster-wide record.
+// RecordSummary identifies the version of one cluster-wide record.
 type RecordSummary struct {
 	Key     string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint,omitempty"`
@@ -69,8 +67,8 @@
 	return encoded, nil
 }
 
-// Decode reads a message that Encode wrote. A message without a sender is
-// refused as malformed.
+// Decode decodes a message from Encode. It returns an Error of kind ErrorMalformedMessage for
+// invalid CBOR and ErrorNoSender for a message without a sender.
 func Decode(encoded []byte) (Message, error) {
 	var message Message
 	if err := cbor.Unmarshal(encoded, &message); err != nil {
--- a/pkg/gossiper/network_test.go
+++ b/pkg/gossiper/network_test.go
@@ -9,7 +9,7 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// network runs many gossipers in virtual time over an unreliable network.
+// network simulates many gossipers in virtual time over an unreliable network.
 type network struct {
 	random    *rand.Rand
 	now       time.Duration
@@ -22,13 +22,13 @@
 	jitter    time.Duration
 	loss      float64
 	duplicate float64
-	// cut tells whether messages between two nodes are lost.
+	// cut reports whether messages between two nodes are lost.
 	cut func(from, to *node) bool
-	// observe sees every output that is not a Send.
+	// observe receives every output that is not a Send.
 	observe func(of *node, output Output)
 }
 
-// node is one host; its clock starts elsewhere and runs at its own rate.
+// node is one host. Its clock starts at its own offset and runs at its own rate.
 type node struct {
 	gossiper   *Gossiper
 	member     Member
@@ -42,7 +42,7 @@
 	sent       int
 	bytes      int
 	received   int
-	lives      int
+	processes  int
 	sentByKind [MessageSyncReply + 1]int
 }
 
@@ -71,8 +71,8 @@
 	return last
 }
 
-// newNetwork makes hosts spread evenly over failure domains; the first hosts
-// of up to five failure domains, two hosts at least, are seeds. Nothing is started yet.
+// newNetwork creates hosts spread evenly over failure domains. The first hosts of up to five failure
+// domains, two hosts at least, are seeds. No host is started yet.
 func newNetwork(hosts, domains int, seed uint64) *network {
 	net := &network{
 		random:    rand.New(rand.NewPCG(seed, 1)),
@@ -99,34 +99,34 @@
 	return net
 }
 
-func addressesOf(index, life int) Addresses {
-	ip := fmt.Sprintf("10.%d.%d.%d", life, index/200, index%200+1)
+func addressesOf(index, process int) Addresses {
+	ip := fmt.Sprintf("10.%d.%d.%d", process, index/200, index%200+1)
 	return Addresses{Callers: ip + ":7000", BackendServers: ip + ":7001", Peers: ip + ":7002"}
 }
 
-// start starts a node's next process, with nothing remembered.
+// start starts a node's next process without any state from the previous one.
 func (net *network) start(current *node) {
-	current.lives++
+	current.processes++
 	current.generation++
 	current.up = true
-	current.offset = -net.now + time.Duration(current.lives)*time.Microsecond
+	current.offset = -net.now + time.Duration(current.processes)*time.Microsecond
 	current.gossiper = &Gossiper{
 		Self:     current.member,
 		Seeds:    current.seeds,
-		Seed:     uint64(current.index)<<16 + uint64(current.lives),
+		Seed:     uint64(current.index)<<16 + uint64(current.processes),
 		Settings: DefaultSettings(),
 	}
 	net.byAddress[current.member.Addresses.Peers] = current
 	net.schedule(event{at: net.now, node: current, generation: current.generation})
 }
 
-// restart ends the process of a node and starts another.
+// restart ends the process of a node and starts another, at another address if replaced is set.
 func (net *network) restart(current *node, replaced bool) {
 	net.kill(current)
 	current.member.Incarnation += 1000
 	if replaced {
 		delete(net.byAddress, current.member.Addresses.Peers)
-		current.member.Addresses = addressesOf(current.index, current.lives)
+		current.member.Addresses = addressesOf(current.index, current.processes)
 	}
 	net.start(current)
 }
@@ -142,7 +142,7 @@
 	heap.Push(&net.events, scheduled)
 }
 
-// local turns the network's time into the moment on a node's own clock.
+// local converts the network's time to the moment on the node's own clock.
 func (current *node) local(now time.Duration) identifier.Moment {
 	return identifier.Moment(float64(now+current.offset) * current.rate)
 }
@@ -151,7 +151,7 @@
 	return time.Duration(float64(moment)/current.rate) + time.Microsecond - current.offset
 }
 
-// run runs all that happens within duration.
+// run processes all events within duration.
 func (net *network) run(duration time.Duration) {
 	end := net.now + duration
 	for len(net.events) > 0 && net.events[0].at <= end {
@@ -174,8 +174,8 @@
 	net.now = end
 }
 
-// tick hands inputs over; a node that is late gets timers and messages late
-// because both are scheduled with its lateness.
+// tick passes inputs to a node. A late node gets timers and messages late, because both are scheduled
+// with its lateness.
 func (net *network) tick(current *node, inputs ...Input) {
 	outputs := current.gossiper.Tick(current.local(net.now), inputs)
 	for _, output := range outputs {
@@ -217,7 +217,7 @@
 	}
 }
 
-// startAll starts every node within a second and lets them find each other.
+// startAll starts every node within a second and lets them find each other for the settle time.
 func (net *network) startAll(settle time.Duration) {
 	for _, current := range net.nodes {
 		net.start(current)
@@ -226,8 +226,8 @@
 	net.run(settle)
 }
 
-// believes returns what a node holds about another; unknown hosts count as left.
-func (current *node) believes(other *node) Status {
+// statusOf returns the status that a node has of another; unknown hosts count as left.
+func (current *node) statusOf(other *node) Status {
 	state, known := current.gossiper.State(other.member.Host)
 	if !known {
 		return StatusLeft
@@ -235,7 +235,7 @@
 	return state.Status
 }
 
-// converged tells whether all running nodes agree with what is true.
+// converged returns an error unless all running nodes agree with the actual state.
 func (net *network) converged() error {
 	var digest uint64
 	for _, current := range net.nodes {
@@ -243,14 +243,14 @@
 			continue
 		}
 		for _, other := range net.nodes {
-			status := current.believes(other)
+			status := current.statusOf(other)
 			if other.up != (status <= StatusSuspect) {
-				return fmt.Errorf("%s holds %s for %s, running is %t",
+				return fmt.Errorf("%s lists %s as %s, running is %t",
 					current.member.Host, other.member.Host, status, other.up)
 			}
 		}
 		if digest != 0 && digest != current.gossiper.digest {
-			return fmt.Errorf("%s knows other records", current.member.Host)
+			return fmt.Errorf("%s has other records", current.member.Host)
 		}
 		digest = current.gossiper.digest
 	}
--- a/pkg/gossiper/outputs.go
+++ b/pkg/gossiper/outputs.go
@@ -2,34 +2,34 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// Output is something to do or to know.
+// Output is a message to send or a change to report to the caller of Tick.
 type Output interface{ output() }
 
-// Send asks the transport to send a message; it may be lost.
+// Send requests that the transport sends a message. The message may be lost.
 type Send struct {
 	To      identifier.HostID
 	Address string
 	Message Message
 }
 
-// MemberChanged tells a new state of another host. Old is nil for a host that
-// was not known.
+// MemberChanged reports a new status or incarnation of another host. Old is nil for a host that was
+// unknown.
 type MemberChanged struct {
 	Old *State
 	New State
 }
 
-// MemberForgotten tells that a host which was dead or had left for long is no
-// longer kept.
+// MemberForgotten reports that a host was removed after it had been dead or had left for
+// Settings.ForgetAfter.
 type MemberForgotten struct{ Host identifier.HostID }
 
-// RecordChanged tells a newer record. Host is empty for a cluster-wide record.
+// RecordChanged reports a newer record. Host is empty for a cluster-wide record.
 type RecordChanged struct {
 	Host   identifier.HostID
 	Record Record
 }
 
-// Joined tells, once, that another host has answered with all that it knows.
+// Joined reports, once, that another host has answered a sync request with all that it knows.
 type Joined struct{}
 
 func (Send) output()            {}
--- a/pkg/gossiper/probe.go
+++ b/pkg/gossiper/probe.go
@@ -11,63 +11,63 @@
 const (
 	phaseDirect probePhase = iota
 	phaseIndirect
-	// phaseHinted is the one re-check after a closed connection.
+	// phaseHinted is the single probe after a closed connection.
 	phaseHinted
 )
 
-// probe is a ping that is not answered yet; its key is the sequence.
+// probe is an unanswered ping; the table's key is its sequence.
 type probe struct {
 	target   identifier.HostID
 	phase    probePhase
 	deadline identifier.Moment
-	graced   bool
+	extended bool
 }
 
 // relay is a ping that was sent on another host's behalf.
 type relay struct {
-	asker    identifier.HostID
-	sequence uint64
-	target   identifier.HostID
-	deadline identifier.Moment
+	requester identifier.HostID
+	sequence  uint64
+	target    identifier.HostID
+	deadline  identifier.Moment
 }
 
-// probeLocal probes the own failure domain: the successor in the ring every
-// second time, so that each host is surely probed by its predecessor, and the
-// others in turn, so that two neighbours lost together are seen too.
+// probeLocal probes the own failure domain. Every second probe goes to the successor in the ring, so
+// that each host is certain to be probed by its predecessor. The others go to all hosts in turn, so
+// that two neighbours that fail together are detected too.
 func (gossiper *Gossiper) probeLocal() {
 	if !gossiper.nextLocalProbe.Due(gossiper.now) {
 		return
 	}
-	gossiper.nextLocalProbe = gossiper.jittered(gossiper.Settings.LocalProbeInterval)
-	gossiper.localProbes++
-	if gossiper.localProbes%2 == 0 {
+	gossiper.nextLocalProbe = gossiper.jitteredMoment(gossiper.Settings.LocalProbeInterval)
+	gossiper.localProbeCount++
+	if gossiper.localProbeCount%2 == 0 {
 		gossiper.startProbe(gossiper.successor(), phaseDirect)
 		return
 	}
-	gossiper.startProbe(gossiper.turn(&gossiper.localWheel, true), phaseDirect)
+	gossiper.startProbe(gossiper.nextProbeTarget(&gossiper.localProbeOrder, true), phaseDirect)
 }
 
 func (gossiper *Gossiper) probeRemote() {
 	if !gossiper.nextRemoteProbe.Due(gossiper.now) {
 		return
 	}
-	gossiper.nextRemoteProbe = gossiper.jittered(gossiper.Settings.RemoteProbeInterval)
-	gossiper.startProbe(gossiper.turn(&gossiper.remoteWheel, false), phaseDirect)
+	gossiper.nextRemoteProbe = gossiper.jitteredMoment(gossiper.Settings.RemoteProbeInterval)
+	gossiper.startProbe(gossiper.nextProbeTarget(&gossiper.remoteProbeOrder, false), phaseDirect)
 }
 
-// turn returns the next alive host of a shuffled round, or "" if there is none.
-func (gossiper *Gossiper) turn(wheel *[]identifier.HostID, local bool) identifier.HostID {
+// nextProbeTarget returns the next alive host of a shuffled round, or "" if there is none.
+func (gossiper *Gossiper) nextProbeTarget(order *[]identifier.HostID, local bool) identifier.HostID {
 	for range 2 {
-		for len(*wheel) > 0 {
-			host := (*wheel)[0]
-			*wheel = (*wheel)[1:]
+		for len(*order) > 0 {
+			host := (*order)[0]
+			*order = (*order)[1:]
 			entity := gossiper.members.Get(host)
 			if entity != nil && entity.state.Status == StatusAlive {
 				return host
 			}
 		}
-		*wheel = gossiper.candidates(local)
-		gossiper.shuffle(*wheel)
+		*order = gossiper.aliveHosts(local)
+		gossiper.shuffle(*order)
 	}
 	return ""
 }
@@ -88,45 +88,45 @@
 	gossiper.ping(target, gossiper.sequence, false)
 }
 
-// ping may introduce this host: one that has restarted drops the ping of a host
-// that it does not know, because it has no address to answer to.
-func (gossiper *Gossiper) ping(target identifier.HostID, sequence uint64, introduce bool) {
+// ping sends a ping, with this host's own state if includeSelf is set: a restarted host drops the
+// ping of a host that it does not know, because it has no address to answer to.
+func (gossiper *Gossiper) ping(target identifier.HostID, sequence uint64, includeSelf bool) {
 	message := Message{Kind: MessagePing, Sequence: sequence, Digest: gossiper.digest}
-	if introduce {
+	if includeSelf {
 		message.States = append(message.States, gossiper.self().state)
 	}
 	gossiper.piggyback(&message, gossiper.isLocal(gossiper.members.Get(target)))
 	gossiper.send(target, message)
 }
 
-// answerPing acknowledges. A sender that is not held for alive is told so, for
-// it to refute; one that introduced itself or spoke of this host gets this
-// host's own state.
+// answerPing acknowledges a ping. A sender that is suspect or dead here, or has a conflicting
+// description, gets its state, so that it can refute. A sender that included its own state or this
+// host's gets this host's state.
 func (gossiper *Gossiper) answerPing(message Message) {
 	sender := gossiper.members.Get(message.From)
 	if sender == nil {
 		return
 	}
 	answer := Message{Kind: MessageAck, Sequence: message.Sequence, Digest: gossiper.digest}
-	introduced := slices.ContainsFunc(message.States, func(state State) bool {
+	includeSelf := slices.ContainsFunc(message.States, func(state State) bool {
 		return state.Member.Host == gossiper.Self.Host || state.Member.Host == message.From
 	})
-	if introduced {
+	if includeSelf {
 		answer.States = append(answer.States, gossiper.self().state)
 	}
-	doubted := sender.state.Status == StatusSuspect || sender.state.Status == StatusDead
-	if doubted || sender.disputed {
+	suspectedOrDead := sender.state.Status == StatusSuspect || sender.state.Status == StatusDead
+	if suspectedOrDead || sender.conflicting {
 		answer.States = append(answer.States, sender.state)
 	}
 	gossiper.piggyback(&answer, gossiper.isLocal(sender))
 	gossiper.send(message.From, answer)
 }
 
-func (gossiper *Gossiper) takeAck(message Message) {
-	if passed := gossiper.relays.Get(message.Sequence); passed != nil && passed.target == message.From {
+func (gossiper *Gossiper) handleAck(message Message) {
+	if relayed := gossiper.relays.Get(message.Sequence); relayed != nil && relayed.target == message.From {
 		gossiper.relays.Remove(message.Sequence)
-		gossiper.send(passed.asker, Message{
-			Kind: MessageAck, Sequence: passed.sequence, Target: message.From,
+		gossiper.send(relayed.requester, Message{
+			Kind: MessageAck, Sequence: relayed.sequence, Target: message.From,
 		})
 		return
 	}
@@ -146,25 +146,25 @@
 	}
 	gossiper.sequence++
 	gossiper.relays.Put(gossiper.sequence, &relay{
-		asker:    message.From,
-		sequence: message.Sequence,
-		target:   message.Target,
-		deadline: gossiper.now.Add(2 * gossiper.Settings.ProbeTimeout),
+		requester: message.From,
+		sequence:  message.Sequence,
+		target:    message.Target,
+		deadline:  gossiper.now.Add(2 * gossiper.Settings.ProbeTimeout),
 	})
 	gossiper.ping(message.Target, gossiper.sequence, false)
 }
 
-// expireProbes moves unanswered probes on. After a late tick each gets its wait
-// once more, because the answer may still stand in this host's own queue.
+// expireProbes advances unanswered probes to their next phase. After a late tick each probe waits
+// one more time, because the answer may still be in this host's own queue.
 func (gossiper *Gossiper) expireProbes(late bool) {
 	gossiper.probes.Each(func(sequence uint64, pending *probe) bool {
 		if !pending.deadline.Due(gossiper.now) {
 			return true
 		}
 		switch {
-		case late && !pending.graced:
-			pending.graced = true
-			pending.deadline = gossiper.stretched(gossiper.Settings.ProbeTimeout)
+		case late && !pending.extended:
+			pending.extended = true
+			pending.deadline = gossiper.scaledDeadline(gossiper.Settings.ProbeTimeout)
 		case pending.phase == phaseDirect:
 			pending.phase = phaseIndirect
 			pending.deadline = gossiper.probeDeadline(
@@ -181,17 +181,17 @@
 	})
 }
 
-// probeIndirectly asks peers to ping, in case only the own path is broken, and
-// pings once more itself, in case one message was lost.
+// probeIndirectly requests pings from peers, in case only the path from this host is broken, and
+// pings once more itself, in case a message was lost.
 func (gossiper *Gossiper) probeIndirectly(target identifier.HostID, sequence uint64) {
 	entity := gossiper.members.Get(target)
 	if entity == nil || !entity.state.Living() {
 		return
 	}
-	helpers := gossiper.candidates(gossiper.isLocal(entity))
+	helpers := gossiper.aliveHosts(gossiper.isLocal(entity))
 	helpers = slices.DeleteFunc(helpers, func(host identifier.HostID) bool { return host == target })
 	if len(helpers) < gossiper.Settings.IndirectProbes {
-		helpers = append(helpers, gossiper.candidates(!gossiper.isLocal(entity))...)
+		helpers = append(helpers, gossiper.aliveHosts(!gossiper.isLocal(entity))...)
 	}
 	for _, helper := range gossiper.sample(helpers, gossiper.Settings.IndirectProbes) {
 		gossiper.send(helper, Message{Kind: MessagePingRequest, Sequence: sequence, Target: target})
@@ -200,8 +200,8 @@
 }
 
 func (gossiper *Gossiper) expireRelays() {
-	gossiper.relays.Each(func(sequence uint64, passed *relay) bool {
-		if passed.deadline.Due(gossiper.now) {
+	gossiper.relays.Each(func(sequence uint64, relayed *relay) bool {
+		if relayed.deadline.Due(gossiper.now) {
 			gossiper.relays.Remove(sequence)
 		}
 		return true
@@ -217,8 +217,8 @@
 	return found
 }
 
-// dropProbes ends the probes of a host that has just shown itself alive; those
-// of an earlier process would else count against the new one.
+// dropProbes removes the probes of a host that has just proved alive. Those of an earlier process
+// would otherwise count against the new one.
 func (gossiper *Gossiper) dropProbes(target identifier.HostID) {
 	gossiper.probes.Each(func(sequence uint64, pending *probe) bool {
 		if pending.target == target {
--- a/pkg/gossiper/receive.go
+++ b/pkg/gossiper/receive.go
@@ -2,14 +2,14 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-func (gossiper *Gossiper) take(input Input) {
+func (gossiper *Gossiper) handleInput(input Input) {
 	switch input := input.(type) {
 	case MessageReceived:
-		gossiper.receive(input.Message)
+		gossiper.handleMessage(input.Message)
 	case PeerConnected:
-		gossiper.takeConnected(input.Host)
+		gossiper.handleConnected(input.Host)
 	case PeerConnectionClosed:
-		gossiper.takeConnectionClosed(input.Host)
+		gossiper.handleConnectionClosed(input.Host)
 	case RecordSet:
 		gossiper.setOwnRecord(input.Key, input.Value)
 	case ClusterRecordSet:
@@ -19,12 +19,12 @@
 	}
 }
 
-func (gossiper *Gossiper) receive(message Message) {
+func (gossiper *Gossiper) handleMessage(message Message) {
 	if message.From == gossiper.Self.Host || message.From == "" {
 		return
 	}
-	gossiper.introduced = introductionIn(message)
-	defer func() { gossiper.introduced = nil }()
+	gossiper.senderMember = selfDescription(message)
+	defer func() { gossiper.senderMember = nil }()
 	source := gossiper.sourceOf(message)
 	for _, state := range message.States {
 		gossiper.mergeState(state, source)
@@ -39,18 +39,18 @@
 	case MessagePing:
 		gossiper.answerPing(message)
 	case MessageAck:
-		gossiper.takeAck(message)
+		gossiper.handleAck(message)
 	case MessagePingRequest:
 		gossiper.relayPing(message)
 	case MessageSyncRequest:
 		gossiper.answerSync(message)
 	case MessageSyncReply:
-		gossiper.takeSyncReply(message)
+		gossiper.handleSyncReply(message)
 	}
 }
 
-// introductionIn returns the sender's description of itself, if there is one.
-func introductionIn(message Message) *Member {
+// selfDescription returns the sender's description of itself, or nil if the message has none.
+func selfDescription(message Message) *Member {
 	for _, state := range message.States {
 		if state.Member.Host == message.From {
 			return &state.Member
@@ -59,10 +59,9 @@
 	return nil
 }
 
-// sourceOf tells from how far a message came, which decides who passes its
-// updates on.
+// sourceOf returns how far away a message comes from, which decides who forwards its updates.
 func (gossiper *Gossiper) sourceOf(message Message) origin {
-	joining := !gossiper.joined || gossiper.now.Before(gossiper.joinEnds)
+	joining := !gossiper.joined || gossiper.now.Before(gossiper.joinSettlesAt)
 	if message.Kind == MessageSyncReply && joining {
 		return learnedByJoining
 	}
@@ -73,14 +72,14 @@
 	return learnedRemotely
 }
 
-func (gossiper *Gossiper) takeConnected(host identifier.HostID) {
+func (gossiper *Gossiper) handleConnected(host identifier.HostID) {
 	entity := gossiper.members.Get(host)
 	if entity != nil && entity.state.Status != StatusAlive {
 		gossiper.pingLost(host, entity.state.Member.Addresses.Peers)
 	}
 }
 
-func (gossiper *Gossiper) takeConnectionClosed(host identifier.HostID) {
+func (gossiper *Gossiper) handleConnectionClosed(host identifier.HostID) {
 	entity := gossiper.members.Get(host)
 	if entity == nil || host == gossiper.Self.Host || !entity.state.Living() {
 		return
@@ -99,7 +98,7 @@
 		version = old.Version
 	}
 	gossiper.putRecord(self, Record{Key: key, Version: version + 1, Value: value})
-	gossiper.tell(recordRumor(gossiper.Self.Host, key), originated)
+	gossiper.enqueueRumor(recordRumor(gossiper.Self.Host, key), originated)
 }
 
 func (gossiper *Gossiper) leave() {
@@ -108,8 +107,8 @@
 		return
 	}
 	self.state.Status = StatusLeft
-	gossiper.rehash(self)
-	gossiper.tell(memberRumor(gossiper.Self.Host), originated)
-	// The process may end right after this tick, so nothing is gathered.
+	gossiper.updateDigest(self)
+	gossiper.enqueueRumor(memberRumor(gossiper.Self.Host), originated)
+	// The process may end right after this tick, so the update is sent without delay.
 	gossiper.nextFlush = gossiper.now
 }
--- a/pkg/gossiper/rejoin.go
+++ b/pkg/gossiper/rejoin.go
@@ -6,61 +6,61 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// eagerJoinAttempts is how often a starting host asks seeds at JoinInterval
-// before it falls back to LostProbeInterval.
+// eagerJoinAttempts is how often a starting host sends sync requests to seeds at JoinInterval before
+// it falls back to LostProbeInterval.
 const eagerJoinAttempts = 20
 
-// joinSettles is how long after the first answer the answers of seeds count as
-// known to everybody else.
-const joinSettles = time.Second
+// joinSettlingTime is how long after the first answer what the seeds answer counts as known to all
+// other hosts.
+const joinSettlingTime = time.Second
 
-// seedsPerJoin is how many seeds are asked at a time.
+// seedsPerJoin is the number of seeds that get a sync request at a time.
 const seedsPerJoin = 3
 
-// join asks seeds for all that they know until one answers.
+// join requests all known state from seeds until one answers.
 func (gossiper *Gossiper) join() {
 	if !gossiper.nextJoin.Due(gossiper.now) {
 		return
 	}
-	gossiper.nextJoin = gossiper.jittered(gossiper.Settings.JoinInterval)
+	gossiper.nextJoin = gossiper.jitteredMoment(gossiper.Settings.JoinInterval)
 	if gossiper.joinAttempts >= eagerJoinAttempts {
-		gossiper.nextJoin = gossiper.jittered(gossiper.Settings.LostProbeInterval)
+		gossiper.nextJoin = gossiper.jitteredMoment(gossiper.Settings.LostProbeInterval)
 	}
 	gossiper.joinAttempts++
 	order := gossiper.random.Perm(len(gossiper.Seeds))
-	asked := 0
+	requested := 0
 	for _, position := range order {
 		seed := gossiper.Seeds[position]
-		if seed.Host == gossiper.Self.Host || asked == seedsPerJoin {
+		if seed.Host == gossiper.Self.Host || requested == seedsPerJoin {
 			continue
 		}
-		asked++
+		requested++
 		gossiper.requestSync(seed.Host, seed.Addresses.Peers)
 	}
-	// Seeds may all have moved, while other hosts have found this one.
-	others := append(gossiper.candidates(true), gossiper.candidates(false)...)
+	// All seeds may have moved, while other hosts have found this one.
+	others := append(gossiper.aliveHosts(true), gossiper.aliveHosts(false)...)
 	for _, other := range gossiper.sample(others, 1) {
-		asked++
+		requested++
 		gossiper.requestSync(other, gossiper.members.Get(other).state.Member.Addresses.Peers)
 	}
-	if asked == 0 {
-		gossiper.nextJoin = gossiper.jittered(gossiper.Settings.LostProbeInterval)
+	if requested == 0 {
+		gossiper.nextJoin = gossiper.jitteredMoment(gossiper.Settings.LostProbeInterval)
 	}
 }
 
-// lostHost is a host to look for, and where.
+// lostHost is a host to search for, and the address to try.
 type lostHost struct {
 	host    identifier.HostID
 	address string
 }
 
-// probeLost pings one lost member or seed in turn. Without it two sides of a
-// partition, each holding the other for dead, would never speak again.
+// probeLost pings one lost member or seed in turn. Without it the two sides of a partition, each of
+// which considers the other dead, would never reconnect.
 func (gossiper *Gossiper) probeLost() {
 	if !gossiper.nextLostProbe.Due(gossiper.now) {
 		return
 	}
-	gossiper.nextLostProbe = gossiper.jittered(gossiper.Settings.LostProbeInterval)
+	gossiper.nextLostProbe = gossiper.jitteredMoment(gossiper.Settings.LostProbeInterval)
 	lost := gossiper.lostHosts()
 	if len(lost) == 0 {
 		return
@@ -70,9 +70,9 @@
 	gossiper.pingLost(chosen.host, chosen.address)
 }
 
-// lostHosts lists the dead members and the seeds that are not living members. A
-// seed stands at its address from the settings as well as at the last one known,
-// because a replacement may have either.
+// lostHosts lists the dead members and the seeds that are not living members. A seed is listed with
+// its address from the settings as well as with its last known one, because a replacement may have
+// either.
 func (gossiper *Gossiper) lostHosts() []lostHost {
 	var lost []lostHost
 	gossiper.members.Each(func(host identifier.HostID, entity *memberEntity) bool {
@@ -90,7 +90,8 @@
 	return lost
 }
 
-// pingLost introduces this host and tells the lost one that it is held for dead.
+// pingLost sends a ping with this host's own state and the lost host's state, so that the lost host
+// can refute it.
 func (gossiper *Gossiper) pingLost(host identifier.HostID, address string) {
 	gossiper.sequence++
 	message := Message{
@@ -103,8 +104,8 @@
 	gossiper.sendTo(host, address, message)
 }
 
-// forget drops members that have been lost for long.
-func (gossiper *Gossiper) forget() {
+// forgetExpired removes members that have been lost for Settings.ForgetAfter.
+func (gossiper *Gossiper) forgetExpired() {
 	if !gossiper.nextForget.Due(gossiper.now) {
 		return
 	}
--- a/pkg/gossiper/rumor.go
+++ b/pkg/gossiper/rumor.go
@@ -6,14 +6,14 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// origin tells how this host came to know an update.
+// origin is how this host learned of an update.
 type origin uint8
 
 const (
 	originated origin = iota
 	learnedRemotely
 	learnedLocally
-	// learnedByJoining is what a host hears when it starts; all others know it.
+	// learnedByJoining is for updates received at the start of this host; all others know them.
 	learnedByJoining
 )
 
@@ -25,27 +25,27 @@
 	rumorCluster
 )
 
-// rumorKey names what changed; what is sent is its newest value at that time.
+// rumorKey identifies what changed. The value sent is the newest one at the time of sending.
 type rumorKey struct {
 	kind rumorKind
 	host identifier.HostID
 	key  string
 }
 
-// rumor is an update that this host still passes on.
+// rumor is an update that this host still forwards.
 type rumor struct {
-	// fresh updates go to the whole failure domain and to a few hosts outside
-	// with the next flush.
+	// fresh updates are sent to the whole failure domain and to a few hosts outside with the next
+	// flush.
 	fresh bool
-	// localCopies and remoteCopies are how often it still rides on probes and
+	// localCopies and remoteCopies are how often the update is still piggybacked on probes and
 	// answers inside and outside of the failure domain.
 	localCopies  int
 	remoteCopies int
-	// expires ends an update that found nobody to ride to.
+	// expires is when an update is dropped that found no message to be piggybacked on.
 	expires identifier.Moment
 }
 
-// rumorLifetime bounds how long an update waits for probes to ride on.
+// rumorLifetime bounds how long an update waits for probes to be piggybacked on.
 const rumorLifetime = 10 * time.Second
 
 func memberRumor(host identifier.HostID) rumorKey {
@@ -56,9 +56,9 @@
 	return rumorKey{kind: rumorRecord, host: host, key: key}
 }
 
-// tell starts passing an update on. Only the first host of a failure domain that
-// knows it passes it on at once; its peers would only repeat each other.
-func (gossiper *Gossiper) tell(key rumorKey, source origin) {
+// enqueueRumor queues an update for forwarding. Only the first host of a failure domain that knows
+// it sends it at once; its peers would only repeat each other.
+func (gossiper *Gossiper) enqueueRumor(key rumorKey, source origin) {
 	if source == learnedByJoining {
 		return
 	}
@@ -74,21 +74,20 @@
 	}
 }
 
-// flushMoment is when an update goes out. Hosts of one failure domain that heard
-// it from outside wait for different times, so that mostly one of them passes it
-// on and the others hear it from that one.
+// flushMoment returns when an update is sent. Hosts of one failure domain that receive it from
+// outside wait for different times, so that usually one of them sends it and the others receive it
+// from that one.
 func (gossiper *Gossiper) flushMoment(source origin) identifier.Moment {
 	half := gossiper.Settings.UpdateInterval / 2
 	if source == originated {
 		return gossiper.now.Add(half)
 	}
-	return gossiper.now.Add(half).Add(gossiper.spread(2 * half).Sub(gossiper.now))
+	return gossiper.now.Add(half).Add(gossiper.randomMoment(2 * half).Sub(gossiper.now))
 }
 
-// hearAgain counts an update that comes back as one copy less to send: the more
-// hosts know it, the sooner they stop. A peer of the own failure domain has told
-// all the others.
-func (gossiper *Gossiper) hearAgain(key rumorKey, source origin) {
+// recordDuplicate counts an update that is received again as one copy less to send: the more hosts
+// know it, the sooner they stop. A peer of the own failure domain has sent it to all the others.
+func (gossiper *Gossiper) recordDuplicate(key rumorKey, source origin) {
 	current := gossiper.rumors.Get(key)
 	if current == nil {
 		return
@@ -98,16 +97,16 @@
 	if source == learnedLocally {
 		current.fresh = false
 	}
-	gossiper.dropSpent(key, current)
+	gossiper.removeExhausted(key, current)
 }
 
-func (gossiper *Gossiper) dropSpent(key rumorKey, current *rumor) {
+func (gossiper *Gossiper) removeExhausted(key rumorKey, current *rumor) {
 	if !current.fresh && current.localCopies <= 0 && current.remoteCopies <= 0 {
 		gossiper.rumors.Remove(key)
 	}
 }
 
-// flushRumors sends the fresh updates, gathered into few messages.
+// flushRumors sends the fresh updates, batched into few messages.
 func (gossiper *Gossiper) flushRumors() {
 	if !gossiper.nextFlush.Due(gossiper.now) {
 		return
@@ -121,15 +120,15 @@
 		}
 		return true
 	})
-	targets := append(gossiper.localAudience(), gossiper.remoteAudience()...)
+	targets := append(gossiper.localTargets(), gossiper.remoteTargets()...)
 	for _, target := range targets {
 		gossiper.sendUpdates(target, MessageUpdates, fresh)
 	}
 }
 
-// localAudience is every living host of the own failure domain, suspects
-// included: a suspect must hear of the suspicion to refute it.
-func (gossiper *Gossiper) localAudience() []identifier.HostID {
+// localTargets returns every other living host of the own failure domain, suspects included: a
+// suspect must receive the suspicion to refute it.
+func (gossiper *Gossiper) localTargets() []identifier.HostID {
 	var hosts []identifier.HostID
 	gossiper.members.Each(func(host identifier.HostID, entity *memberEntity) bool {
 		if entity.state.Living() && gossiper.isLocal(entity) && host != gossiper.Self.Host {
@@ -140,24 +139,25 @@
 	return hosts
 }
 
-// remoteAudience picks a few hosts outside, of different failure domains.
-func (gossiper *Gossiper) remoteAudience() []identifier.HostID {
-	var audience []identifier.HostID
-	taken := make(map[identifier.FailureDomain]bool)
-	candidates := gossiper.candidates(false)
+// remoteTargets picks up to Settings.RemoteFanout random hosts outside, each of another failure
+// domain.
+func (gossiper *Gossiper) remoteTargets() []identifier.HostID {
+	var targets []identifier.HostID
+	chosen := make(map[identifier.FailureDomain]bool)
+	candidates := gossiper.aliveHosts(false)
 	gossiper.shuffle(candidates)
 	for _, host := range candidates {
 		domain := gossiper.members.Get(host).state.Member.FailureDomain
-		if taken[domain] {
+		if chosen[domain] {
 			continue
 		}
-		taken[domain] = true
-		audience = append(audience, host)
-		if len(audience) == gossiper.Settings.RemoteFanout {
+		chosen[domain] = true
+		targets = append(targets, host)
+		if len(targets) == gossiper.Settings.RemoteFanout {
 			break
 		}
 	}
-	return audience
+	return targets
 }
 
 // piggyback adds updates to a probe or an answer.
@@ -177,13 +177,13 @@
 		}
 		*copies--
 		gossiper.addUpdate(message, key)
-		gossiper.dropSpent(key, current)
+		gossiper.removeExhausted(key, current)
 		added++
 		return added < gossiper.Settings.PiggybackUpdates
 	})
 }
 
-// addUpdate adds the newest value of what key names.
+// addUpdate adds the newest value of what key identifies.
 func (gossiper *Gossiper) addUpdate(message *Message, key rumorKey) {
 	if key.kind == rumorCluster {
 		message.ClusterRecords = append(message.ClusterRecords, *gossiper.cluster.Get(key.key))
@@ -198,12 +198,12 @@
 		return
 	}
 	if record := entity.records.Get(key.key); record != nil {
-		told := MemberRecord{Host: key.host, Incarnation: entity.state.Member.Incarnation, Record: *record}
-		message.Records = append(message.Records, told)
+		memberRecord := MemberRecord{Host: key.host, Incarnation: entity.state.Member.Incarnation, Record: *record}
+		message.Records = append(message.Records, memberRecord)
 	}
 }
 
-// sendUpdates sends the named updates in messages of bounded size.
+// sendUpdates sends the newest values of keys in messages of bounded size.
 func (gossiper *Gossiper) sendUpdates(to identifier.HostID, kind MessageKind, keys []rumorKey) {
 	for len(keys) > 0 {
 		count := min(len(keys), gossiper.Settings.MessageUpdates)
@@ -216,17 +216,17 @@
 	}
 }
 
-// send sends to a known member. One that introduced itself is answered where it
-// says that it is: a replacement whose clock went back has a lower incarnation
-// than the host it replaces, and learns so only from an answer that reaches it.
+// send sends a message to a known member. A sender that described itself is answered at the address
+// in that description: a replacement whose clock went back has a lower incarnation than the host it
+// replaces, and learns of it only from an answer that reaches it.
 func (gossiper *Gossiper) send(to identifier.HostID, message Message) {
 	entity := gossiper.members.Get(to)
 	if entity == nil {
 		return
 	}
 	address := entity.state.Member.Addresses.Peers
-	if introduced := gossiper.introduced; introduced != nil && introduced.Host == to {
-		address = introduced.Addresses.Peers
+	if sender := gossiper.senderMember; sender != nil && sender.Host == to {
+		address = sender.Addresses.Peers
 	}
 	gossiper.sendTo(to, address, message)
 }
--- a/pkg/gossiper/scenario_test.go
+++ b/pkg/gossiper/scenario_test.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestScenarios runs testdata/scenarios: each line is a step, the output is what
-// the watched host was told and when, in milliseconds since the step began.
+// TestScenarios runs testdata/scenarios. Each command is a step; the output is what the watched host
+// reported and when, in milliseconds since the step began.
 func TestScenarios(t *testing.T) {
 	var net *network
 	datadriven.RunTest(t, "testdata/scenarios", func(t *testing.T, data *datadriven.TestData) string {
@@ -27,17 +27,17 @@
 		data.ScanArgs(t, "watch", &watch)
 		data.MaybeScanArgs(t, "at", &at)
 		data.MaybeScanArgs(t, "milliseconds", &duration)
-		var told strings.Builder
+		var observed strings.Builder
 		since := net.now
 		net.observe = func(of *node, output Output) {
 			if of == net.nodes[watch] {
-				fmt.Fprintf(&told, "%5d %s\n", (net.now - since).Milliseconds(), describe(output))
+				fmt.Fprintf(&observed, "%5d %s\n", (net.now - since).Milliseconds(), describe(output))
 			}
 		}
 		scenarioStep(net, data.Cmd, net.nodes[at])
 		net.run(time.Duration(duration) * time.Millisecond)
-		fmt.Fprintf(&told, "converged: %t\n", net.converged() == nil)
-		return told.String()
+		fmt.Fprintf(&observed, "converged: %t\n", net.converged() == nil)
+		return observed.String()
 	})
 }
 
--- a/pkg/gossiper/seed_test.go
+++ b/pkg/gossiper/seed_test.go
@@ -1,4 +1,4 @@
 package gossiper
 
-// The random tests draw from a fixed seed, so that CI has one verdict.
+// The random tests draw from a fixed seed, so that CI is deterministic.
 import _ "github.com/stoathitch/stoathitch/pkg/seeder"
--- a/pkg/gossiper/settings.go
+++ b/pkg/gossiper/settings.go
@@ -2,53 +2,53 @@
 
 import "time"
 
-// Settings are the intervals and bounds of the gossiper. DefaultSettings holds
-// the values that docs/dev/MEMBERSHIP.md measures.
+// Settings are the intervals and bounds of the gossiper. docs/dev/MEMBERSHIP.md lists the detection
+// times and costs of the defaults.
 type Settings struct {
 	// LocalProbeInterval is the time between probes of the own failure domain.
 	LocalProbeInterval time.Duration
 	// RemoteProbeInterval is the time between probes of other failure domains.
 	RemoteProbeInterval time.Duration
-	// ProbeTimeout is the wait for an answer, once for the direct probe and once
-	// more for the indirect ones.
+	// ProbeTimeout is the wait for an answer, once for the direct probe and once more for the
+	// indirect ones.
 	ProbeTimeout time.Duration
-	// HintedProbeTimeout is the wait for the re-check after a closed connection.
+	// HintedProbeTimeout is the wait for an answer to the probe after a closed connection.
 	HintedProbeTimeout time.Duration
-	// IndirectProbes is how many peers are asked to probe on our behalf.
+	// IndirectProbes is how many peers are requested to probe on this host's behalf.
 	IndirectProbes int
-	// LocalSuspicionTimeout and RemoteSuspicionTimeout are how long a suspect of
-	// the own or of another failure domain has to refute.
+	// LocalSuspicionTimeout and RemoteSuspicionTimeout are how long a suspect of the own failure
+	// domain or of another one has to refute.
 	LocalSuspicionTimeout  time.Duration
 	RemoteSuspicionTimeout time.Duration
-	// SuspectProbeInterval is the time between pings that tell a suspect of the
-	// suspicion.
+	// SuspectProbeInterval is the time between pings that notify a suspect of the suspicion.
 	SuspectProbeInterval time.Duration
-	// UpdateInterval is how long fresh updates are gathered into one message.
+	// UpdateInterval is how long fresh updates are collected into one message.
 	UpdateInterval time.Duration
-	// RemoteFanout is how many hosts of other failure domains the first host of
-	// a failure domain that knows an update tells at once.
+	// RemoteFanout is the number of hosts of other failure domains to which the first host of a
+	// failure domain that knows an update sends it at once.
 	RemoteFanout int
-	// PiggybackCopies is how often a host adds an update to probes and answers.
+	// PiggybackCopies is how often a host adds an update to probes and answers that go to other
+	// failure domains.
 	PiggybackCopies int
-	// PiggybackUpdates bounds the updates on one probe or answer, and
-	// MessageUpdates those in any one message.
+	// PiggybackUpdates bounds the updates in one probe or answer, and MessageUpdates those in any
+	// other message.
 	PiggybackUpdates int
 	MessageUpdates   int
-	// SyncInterval is the least time between comparisons of the whole state, for
-	// SyncMembers hosts or fewer; above that it grows with the number of hosts,
-	// so that the bytes a second do not.
+	// SyncInterval is the minimum time between comparisons of the whole state for up to SyncMembers
+	// hosts. Above that it grows with the number of hosts, so that the bytes per second do not.
 	SyncInterval time.Duration
 	SyncMembers  int
 	// JoinInterval is the time between attempts to reach seeds at the start.
 	JoinInterval time.Duration
 	// LostProbeInterval is the time between pings of lost members and seeds.
 	LostProbeInterval time.Duration
-	// ForgetAfter is how long a dead member is remembered.
+	// ForgetAfter is how long a member is kept after it died or left.
 	ForgetAfter time.Duration
-	// LateTolerance is how late a tick may be before this host counts itself as
-	// busy; MaximumLocalHealth bounds how far that stretches its timeouts.
+	// LateTolerance is how late a tick may be before it raises this host's health score, by which
+	// the timeouts of probes and suspicions are extended. MaximumHealthScore bounds the score; 0
+	// is healthy.
 	LateTolerance      time.Duration
-	MaximumLocalHealth int
+	MaximumHealthScore int
 }
 
 // DefaultSettings returns the defaults.
@@ -73,6 +73,6 @@
 		LostProbeInterval:      2 * time.Second,
 		ForgetAfter:            6 * time.Hour,
 		LateTolerance:          50 * time.Millisecond,
-		MaximumLocalHealth:     4,
+		MaximumHealthScore:     4,
 	}
 }
--- a/pkg/gossiper/suspicion.go
+++ b/pkg/gossiper/suspicion.go
@@ -18,9 +18,9 @@
 	if entity.state.Status != StatusSuspect {
 		return
 	}
-	entity.graced = false
+	entity.suspicionExtended = false
 	entity.suspicionStarted = gossiper.now
-	entity.suspicionEnds = gossiper.stretched(gossiper.suspicionTimeout(entity))
+	entity.suspicionEnds = gossiper.scaledDeadline(gossiper.suspicionTimeout(entity))
 	gossiper.nextSuspicion = min(gossiper.nextSuspicion, entity.suspicionEnds)
 }
 
@@ -33,23 +33,23 @@
 	if entity.state.Status == StatusAlive {
 		state := entity.state
 		state.Status = StatusSuspect
-		gossiper.change(entity, state)
-		gossiper.tell(memberRumor(host), originated)
-		gossiper.probeNeighbours(entity)
+		gossiper.applyState(entity, state)
+		gossiper.enqueueRumor(memberRumor(host), originated)
+		gossiper.probeSuspectDomain(entity)
 	}
-	entity.raised = true
+	entity.ownProbeFailed = true
 	entity.nextPing = gossiper.now
 	gossiper.nextSuspicion = gossiper.now
 }
 
-// probeNeighbours probes the other hosts of a suspect's failure domain at once.
-// A failure domain that is lost or cut off as a whole would else be seen host by
-// host, as the sparse probes from outside come to each.
-func (gossiper *Gossiper) probeNeighbours(suspect *memberEntity) {
+// probeSuspectDomain probes the other hosts of a suspect's failure domain at once. The infrequent
+// probes from outside would otherwise detect the loss or isolation of a whole failure domain only
+// host by host.
+func (gossiper *Gossiper) probeSuspectDomain(suspect *memberEntity) {
 	if gossiper.isLocal(suspect) {
 		return
 	}
-	for _, host := range gossiper.candidates(false) {
+	for _, host := range gossiper.aliveHosts(false) {
 		domain := gossiper.members.Get(host).state.Member.FailureDomain
 		if domain == suspect.state.Member.FailureDomain && !gossiper.isProbing(host) {
 			gossiper.startProbe(host, phaseDirect)
@@ -64,12 +64,12 @@
 	}
 	state := entity.state
 	state.Status = StatusDead
-	gossiper.change(entity, state)
-	gossiper.tell(memberRumor(host), originated)
+	gossiper.applyState(entity, state)
+	gossiper.enqueueRumor(memberRumor(host), originated)
 }
 
-// expireSuspicions declares suspects dead that did not refute, and goes on
-// telling the others that they are suspected.
+// expireSuspicions declares suspects dead that did not refute in time, and goes on pinging the
+// others to notify them of the suspicion.
 func (gossiper *Gossiper) expireSuspicions(late bool) {
 	if !gossiper.nextSuspicion.Due(gossiper.now) {
 		return
@@ -79,16 +79,16 @@
 		if entity.state.Status != StatusSuspect {
 			return true
 		}
-		if entity.suspicionEnds.Due(gossiper.now) && late && !entity.graced {
-			entity.graced = true
-			entity.suspicionEnds = gossiper.stretched(gossiper.suspicionTimeout(entity))
+		if entity.suspicionEnds.Due(gossiper.now) && late && !entity.suspicionExtended {
+			entity.suspicionExtended = true
+			entity.suspicionEnds = gossiper.scaledDeadline(gossiper.suspicionTimeout(entity))
 		}
 		if entity.suspicionEnds.Due(gossiper.now) {
 			gossiper.declareDead(host)
 			return true
 		}
 		gossiper.nextSuspicion = min(gossiper.nextSuspicion, entity.suspicionEnds)
-		if entity.raised {
+		if entity.ownProbeFailed {
 			gossiper.pingSuspect(host, entity)
 			gossiper.nextSuspicion = min(gossiper.nextSuspicion, entity.nextPing)
 		}
--- a/pkg/gossiper/sync.go
+++ b/pkg/gossiper/sync.go
@@ -6,22 +6,21 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// A digest that differs adds mismatchWeight, one that agrees takes one away, and
-// the whole state is compared at mismatchLimit: a single difference is mostly an
-// update still on its way. Where hosts go on disagreeing, those of the smaller
-// part meet a difference at least every second time, so that their count grows
-// even though they agree among themselves.
+// A digest that differs adds mismatchWeight, one that agrees subtracts one, and the whole state is
+// compared at mismatchLimit: a single difference is usually an update that is still on its way. Where
+// hosts persistently disagree, those of the smaller part meet a difference at least every second
+// time, so that their count grows even though they agree among themselves.
 const (
 	mismatchWeight = 2
 	mismatchLimit  = 6
 )
 
-// returnSyncInterval bounds how often the return of lost members starts a
-// comparison; without it, each of a failure domain's hosts would start one.
+// returnSyncInterval bounds how often the return of lost members starts a comparison. Without it,
+// each host of a returning failure domain would start one.
 const returnSyncInterval = time.Second
 
-// compareDigest starts a comparison with a host that goes on knowing something
-// else. This mends whatever the updates missed: lost messages, partitions.
+// compareDigest starts a comparison of the whole state with a host whose digest keeps differing. This
+// repairs whatever the updates missed because of lost messages or partitions.
 func (gossiper *Gossiper) compareDigest(host identifier.HostID, digest uint64) {
 	entity := gossiper.members.Get(host)
 	if entity == nil {
@@ -40,29 +39,29 @@
 		return
 	}
 	*mismatches = 0
-	gossiper.nextSync = gossiper.jittered(gossiper.syncInterval())
+	gossiper.nextSync = gossiper.jitteredMoment(gossiper.syncInterval())
 	gossiper.requestSync(host, entity.state.Member.Addresses.Peers)
 }
 
-// startingTime is how long after its start a host compares at SyncInterval
-// whatever the number of hosts: where all start together, each misses some of
-// what the others tell before they know each other.
-const startingTime = time.Minute
+// startupPeriod is how long after its start a host compares at SyncInterval whatever the number of
+// hosts. Where all hosts start together, each misses some of the updates that are sent before they
+// know each other.
+const startupPeriod = time.Minute
 
-// syncInterval grows with the number of members beyond SyncMembers as the
-// summaries do, so that the bytes a second stay the same.
+// syncInterval grows in proportion to the number of members beyond SyncMembers, as the summaries do,
+// so that the bytes per second stay the same.
 func (gossiper *Gossiper) syncInterval() time.Duration {
 	interval := gossiper.Settings.SyncInterval
 	members := gossiper.members.Len()
-	starting := gossiper.now.Before(gossiper.startedAt.Add(startingTime))
+	starting := gossiper.now.Before(gossiper.startedAt.Add(startupPeriod))
 	if starting || members <= gossiper.Settings.SyncMembers {
 		return interval
 	}
 	return interval * time.Duration(members) / time.Duration(gossiper.Settings.SyncMembers)
 }
 
-// syncWithReturned compares at once with a member that was held for lost: most
-// likely a partition healed and it knows much that is new here.
+// syncWithReturned starts a comparison at once with a member that was considered lost. Most likely a
+// partition healed, and the member knows much that is new here.
 func (gossiper *Gossiper) syncWithReturned(member Member) {
 	if !gossiper.nextReturnSync.Due(gossiper.now) {
 		return
@@ -108,25 +107,25 @@
 
 func (gossiper *Gossiper) compareMembers(message Message, reply *Message) []rumorKey {
 	var keys []rumorKey
-	theirs := make(map[identifier.HostID]Summary, len(message.Summaries))
+	summaries := make(map[identifier.HostID]Summary, len(message.Summaries))
 	for _, summary := range message.Summaries {
-		theirs[summary.Host] = summary
+		summaries[summary.Host] = summary
 		if gossiper.lacks(summary) {
 			reply.Wanted = append(reply.Wanted, summary.Host)
 		}
 	}
 	gossiper.members.Each(func(host identifier.HostID, entity *memberEntity) bool {
-		summary, known := theirs[host]
+		summary, known := summaries[host]
 		if !known && !entity.state.Living() {
 			return true
 		}
 		newer := !known || entity.state.newerThan(summary.state())
-		newLife := !known || entity.state.Member.Incarnation > summary.Incarnation
-		sameLife := known && entity.state.Member.Incarnation == summary.Incarnation
-		if newer || (entity.disputed && host == message.From) {
+		newIncarnation := !known || entity.state.Member.Incarnation > summary.Incarnation
+		sameIncarnation := known && entity.state.Member.Incarnation == summary.Incarnation
+		if newer || (entity.conflicting && host == message.From) {
 			keys = append(keys, memberRumor(host))
 		}
-		if newLife || (sameLife && entity.recordsHash != summary.RecordsHash) {
+		if newIncarnation || (sameIncarnation && entity.recordsHash != summary.RecordsHash) {
 			keys = append(keys, recordRumors(host, entity)...)
 		}
 		return true
@@ -134,18 +133,18 @@
 	return keys
 }
 
-// lacks tells whether the sender of a summary knows something newer.
+// lacks reports whether the sender of a summary knows something newer.
 func (gossiper *Gossiper) lacks(summary Summary) bool {
 	state := summary.state()
 	entity := gossiper.members.Get(summary.Host)
 	if entity == nil {
 		return state.Living()
 	}
-	sameLife := entity.state.Member.Incarnation == summary.Incarnation
-	return state.newerThan(entity.state) || (sameLife && entity.recordsHash != summary.RecordsHash)
+	sameIncarnation := entity.state.Member.Incarnation == summary.Incarnation
+	return state.newerThan(entity.state) || (sameIncarnation && entity.recordsHash != summary.RecordsHash)
 }
 
-// state returns as much of a state as orders it against another.
+// state returns the parts of a State that order it against another.
 func (summary Summary) state() State {
 	return State{
 		Member:     Member{Host: summary.Host, Incarnation: summary.Incarnation},
@@ -164,16 +163,16 @@
 
 func (gossiper *Gossiper) compareCluster(message Message, reply *Message) []rumorKey {
 	var keys []rumorKey
-	theirs := make(map[string]uint64, len(message.ClusterSummary))
+	versions := make(map[string]uint64, len(message.ClusterSummary))
 	for _, summary := range message.ClusterSummary {
-		theirs[summary.Key] = summary.Version
-		mine := gossiper.cluster.Get(summary.Key)
-		if mine == nil || mine.Version < summary.Version {
+		versions[summary.Key] = summary.Version
+		own := gossiper.cluster.Get(summary.Key)
+		if own == nil || own.Version < summary.Version {
 			reply.WantedKeys = append(reply.WantedKeys, summary.Key)
 		}
 	}
 	gossiper.cluster.Each(func(key string, record *Record) bool {
-		version, known := theirs[key]
+		version, known := versions[key]
 		if !known || version < record.Version {
 			keys = append(keys, rumorKey{kind: rumorCluster, key: key})
 		}
@@ -182,16 +181,16 @@
 	return keys
 }
 
-// takeSyncReply sends what the replier asked for.
-func (gossiper *Gossiper) takeSyncReply(message Message) {
+// handleSyncReply sends what the replier requested. The first reply completes the join.
+func (gossiper *Gossiper) handleSyncReply(message Message) {
 	if !gossiper.joined {
 		gossiper.joined = true
-		gossiper.joinEnds = gossiper.now.Add(joinSettles)
+		gossiper.joinSettlesAt = gossiper.now.Add(joinSettlingTime)
 		gossiper.nextJoin = identifier.Never
 		gossiper.outputs = append(gossiper.outputs, Joined{})
-		// What was told before was told to nobody.
-		gossiper.tell(memberRumor(gossiper.Self.Host), originated)
-		gossiper.tellOwnRecords()
+		// Updates from before the join were sent to nobody.
+		gossiper.enqueueRumor(memberRumor(gossiper.Self.Host), originated)
+		gossiper.enqueueOwnRecords()
 	}
 	var keys []rumorKey
 	for _, host := range message.Wanted {
--- a/pkg/gossiper/view.go
+++ b/pkg/gossiper/view.go
@@ -7,7 +7,7 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Members returns every state that is known, this host's own first.
+// Members returns every known state, this host's own first. It is nil before the first tick.
 func (gossiper *Gossiper) Members() []State {
 	if !gossiper.started {
 		return nil
@@ -20,7 +20,7 @@
 	return states
 }
 
-// State returns what is known of host.
+// State returns the known state of host, and whether the host is known.
 func (gossiper *Gossiper) State(host identifier.HostID) (State, bool) {
 	if !gossiper.started {
 		return State{}, false
@@ -32,8 +32,7 @@
 	return entity.state, true
 }
 
-// Record returns the record of a member, unless there is none or it was
-// withdrawn.
+// Record returns the record of a member. It returns false if there is none or it was withdrawn.
 func (gossiper *Gossiper) Record(host identifier.HostID, key string) (Record, bool) {
 	if !gossiper.started {
 		return Record{}, false
@@ -49,7 +48,7 @@
 	return *record, true
 }
 
-// ClusterRecord returns the newest cluster-wide record under key.
+// ClusterRecord returns the newest cluster-wide record under key. It returns false if there is none.
 func (gossiper *Gossiper) ClusterRecord(key string) (Record, bool) {
 	if !gossiper.started {
 		return Record{}, false
@@ -61,9 +60,9 @@
 	return *record, true
 }
 
-// candidates returns the other hosts that are alive, in the own failure domain
-// or outside of it.
-func (gossiper *Gossiper) candidates(local bool) []identifier.HostID {
+// aliveHosts returns the other hosts with status alive, either in the own failure domain or outside
+// of it.
+func (gossiper *Gossiper) aliveHosts(local bool) []identifier.HostID {
 	var hosts []identifier.HostID
 	gossiper.members.Each(func(host identifier.HostID, entity *memberEntity) bool {
 		alive := entity.state.Status == StatusAlive && host != gossiper.Self.Host
@@ -75,10 +74,10 @@
 	return hosts
 }
 
-// successor returns the next living host after this one in the ring of the own
-// failure domain, in the order of host ids.
+// successor returns the next alive host after this one in the ring of the own failure domain, in the
+// order of host ids, or "" if there is none.
 func (gossiper *Gossiper) successor() identifier.HostID {
-	peers := gossiper.candidates(true)
+	peers := gossiper.aliveHosts(true)
 	if len(peers) == 0 {
 		return ""
 	}
