--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -180,7 +180,7 @@
 	Cell CellNumber       `cbor:"2,keyasint,omitempty"`
 }
 
-//go:generate enumer -type=RoomAnswerKind,StartOutcome -trimprefix=RoomAnswer,Start -transform=kebab -text -output=room_enumer.go
+//go:generate enumer -type=CapacityAnswerKind,StartOutcome -trimprefix=CapacityAnswer,Start -transform=kebab -text -output=room_enumer.go
 
 // CapacityAnswerKind is the kind of an answer to a request for capacity.
 type CapacityAnswerKind int
