--- a/pkg/dispatcher/lookups.go
+++ b/pkg/dispatcher/lookups.go
@@ -19,7 +19,7 @@
 // waitingLookup is a host that waits for the end of a submission that it looked up.
 type waitingLookup struct {
 	host     identifier.HostID
-	question messenger.QuestionNumber
+	question messenger.LookupNumber
 }
 
 // lookUp answers a host that asks for a submission, on behalf of the submission's own caller only.
--- a/pkg/forwarder/entities.go
+++ b/pkg/forwarder/entities.go
@@ -91,5 +91,5 @@
 type timerKey struct {
 	kind       timerKind
 	submission identifier.SubmissionID
-	lookup     messenger.QuestionNumber
+	lookup     messenger.LookupNumber
 }
--- a/pkg/forwarder/forwarder.go
+++ b/pkg/forwarder/forwarder.go
@@ -84,8 +84,8 @@
 	living           []identifier.HostID
 	// lostDomains holds the failure domains of which no host lives.
 	lostDomains map[identifier.FailureDomain]bool
-	lookups     *tabulator.Table[messenger.QuestionNumber, lookup]
-	lastLookup  messenger.QuestionNumber
+	lookups     *tabulator.Table[messenger.LookupNumber, lookup]
+	lastLookup  messenger.LookupNumber
 	// leaving reports whether this host is handing over its records before it leaves.
 	leaving      bool
 	replications *tabulator.Table[identifier.SubmissionID, replication]
@@ -133,7 +133,7 @@
 // answer of a lookup.
 func (forwarder *Forwarder) Questions() int {
 	count := 0
-	forwarder.lookups.Each(func(_ messenger.QuestionNumber, lookup *lookup) bool {
+	forwarder.lookups.Each(func(_ messenger.LookupNumber, lookup *lookup) bool {
 		if len(lookup.waiters) > 0 {
 			count++
 		}
@@ -150,7 +150,7 @@
 	forwarder.localSubmissions = tabulator.New[identifier.SubmissionID, localSubmission]()
 	forwarder.copies = tabulator.New[identifier.SubmissionID, heldCopy]()
 	forwarder.relays = tabulator.New[identifier.SubmissionID, relay]()
-	forwarder.lookups = tabulator.New[messenger.QuestionNumber, lookup]()
+	forwarder.lookups = tabulator.New[messenger.LookupNumber, lookup]()
 	forwarder.lostDomains = make(map[identifier.FailureDomain]bool)
 	forwarder.replications = tabulator.New[identifier.SubmissionID, replication]()
 	forwarder.leads = tabulator.New[cellKey, lead]()
--- a/pkg/forwarder/lookups.go
+++ b/pkg/forwarder/lookups.go
@@ -13,7 +13,7 @@
 // likely knows it, then the others at once. Every lead checks that the submission belongs to
 // the caller.
 type lookup struct {
-	number     messenger.QuestionNumber
+	number     messenger.LookupNumber
 	submission identifier.SubmissionID
 	caller     identifier.CallerID
 	// waiters are requests of the caller; claimant is a submission that waits for the answer
@@ -192,7 +192,7 @@
 
 // retryLookup queries again, because a message may be lost, or refuses the lookup when its
 // time is up.
-func (forwarder *Forwarder) retryLookup(number messenger.QuestionNumber) {
+func (forwarder *Forwarder) retryLookup(number messenger.LookupNumber) {
 	lookup := forwarder.lookups.Get(number)
 	if lookup == nil {
 		return
--- a/pkg/messenger/peer.go
+++ b/pkg/messenger/peer.go
@@ -78,7 +78,7 @@
 	ReplyTo    identifier.HostID       `cbor:"2,keyasint"`
 	// Question is the number of the lookup that the answer is for; zero for a resent
 	// submission.
-	Question QuestionNumber `cbor:"3,keyasint,omitempty"`
+	Question LookupNumber `cbor:"3,keyasint,omitempty"`
 }
 
 // TakeoverQuery asks a host of the failure domain which submissions of the cell it knows.
