--- a/pkg/dispatcher/lookups.go
+++ b/pkg/dispatcher/lookups.go
@@ -45,7 +45,7 @@
 		dispatcher.replyLookup(input, false, nil)
 	case recovered.record.Answered:
 		dispatcher.outputs.add(&AnswerWanted{Holder: recovered.holder, Request: messenger.AnswerRequest{
-			Submission: lookup.Submission, ReplyTo: input.From, Question: lookup.Question,
+			Submission: lookup.Submission, ReplyTo: input.From, Question: lookup.Number,
 		}})
 	default:
 		// The job is known and continues once its caller's host forwards it again.
@@ -59,14 +59,14 @@
 		return
 	}
 	dispatcher.replyLookup(input, true, job.answer)
-	waiting := waitingLookup{host: input.From, question: input.Lookup.Question}
+	waiting := waitingLookup{host: input.From, question: input.Lookup.Number}
 	if job.answer == nil && !slices.Contains(job.waitingLookups, waiting) {
 		job.waitingLookups = append(job.waitingLookups, waiting)
 	}
 }
 
 func (dispatcher *Dispatcher) replyLookup(input *LookupArrived, found bool, answer *messenger.JobAnswer) {
-	reply := messenger.LookupReply{Question: input.Lookup.Question, Found: found, Answer: answer}
+	reply := messenger.LookupReply{Question: input.Lookup.Number, Found: found, Answer: answer}
 	dispatcher.outputs.add(&LookupAnswered{To: input.From, Reply: reply})
 }
 
--- a/pkg/forwarder/lookups.go
+++ b/pkg/forwarder/lookups.go
@@ -118,7 +118,7 @@
 		forwarder.emit(&ForwardCancel{To: lead.host, Cancel: cancel})
 	}
 	forwarder.emit(&ForwardLookup{To: lead.host, Lookup: messenger.Lookup{
-		Submission: lookup.submission, Caller: lookup.caller, Question: lookup.number,
+		Submission: lookup.submission, Caller: lookup.caller, Number: lookup.number,
 	}})
 }
 
--- a/pkg/messenger/question.go
+++ b/pkg/messenger/question.go
@@ -9,7 +9,7 @@
 type Lookup struct {
 	Submission identifier.SubmissionID `cbor:"1,keyasint"`
 	Caller     identifier.CallerID     `cbor:"2,keyasint"`
-	Question   LookupNumber            `cbor:"3,keyasint"`
+	Number     LookupNumber            `cbor:"3,keyasint"`
 }
 
 // LookupReply is the reply to a Lookup. A submission that is found without an answer is
