--- a/pkg/dispatcher/lookups.go
+++ b/pkg/dispatcher/lookups.go
@@ -66,14 +66,14 @@
 }
 
 func (dispatcher *Dispatcher) replyLookup(input *LookupArrived, found bool, answer *messenger.JobAnswer) {
-	reply := messenger.LookupReply{Question: input.Lookup.Number, Found: found, Answer: answer}
+	reply := messenger.LookupReply{Number: input.Lookup.Number, Found: found, Answer: answer}
 	dispatcher.outputs.add(&LookupAnswered{To: input.From, Reply: reply})
 }
 
 // answerLookups sends the answer of a finished job to the hosts that looked it up.
 func (dispatcher *Dispatcher) answerLookups(job *job) {
 	for _, waiting := range job.waitingLookups {
-		reply := messenger.LookupReply{Question: waiting.question, Found: true, Answer: job.answer}
+		reply := messenger.LookupReply{Number: waiting.question, Found: true, Answer: job.answer}
 		dispatcher.outputs.add(&LookupAnswered{To: waiting.host, Reply: reply})
 	}
 	job.waitingLookups = nil
--- a/pkg/forwarder/copies.go
+++ b/pkg/forwarder/copies.go
@@ -240,7 +240,7 @@
 func (forwarder *Forwarder) sendKeptAnswer(input *AnswerRequested) {
 	answer := forwarder.keptAnswer(input.Request.Submission)
 	if input.Request.Question > 0 {
-		reply := messenger.LookupReply{Question: input.Request.Question, Found: answer != nil, Answer: answer}
+		reply := messenger.LookupReply{Number: input.Request.Question, Found: answer != nil, Answer: answer}
 		forwarder.emit(&AnswerQuestion{To: input.Request.ReplyTo, Reply: reply})
 		return
 	}
--- a/pkg/forwarder/lookups.go
+++ b/pkg/forwarder/lookups.go
@@ -140,7 +140,7 @@
 
 // handleLookupReply handles the reply of a lead, or of the host that keeps an answer.
 func (forwarder *Forwarder) handleLookupReply(input *QuestionAnswered) {
-	lookup := forwarder.lookups.Get(input.Reply.Question)
+	lookup := forwarder.lookups.Get(input.Reply.Number)
 	switch {
 	case lookup == nil:
 	case input.Reply.Answer != nil:
--- a/pkg/messenger/question.go
+++ b/pkg/messenger/question.go
@@ -15,7 +15,7 @@
 // LookupReply is the reply to a Lookup. A submission that is found without an answer is
 // still running; another reply follows when it ends.
 type LookupReply struct {
-	Question LookupNumber `cbor:"1,keyasint"`
-	Found    bool         `cbor:"2,keyasint,omitempty"`
-	Answer   *JobAnswer   `cbor:"3,keyasint,omitempty"`
+	Number LookupNumber `cbor:"1,keyasint"`
+	Found  bool         `cbor:"2,keyasint,omitempty"`
+	Answer *JobAnswer   `cbor:"3,keyasint,omitempty"`
 }
