--- a/pkg/dispatcher/lookups.go
+++ b/pkg/dispatcher/lookups.go
@@ -45,7 +45,7 @@
 		dispatcher.replyLookup(input, false, nil)
 	case recovered.record.Answered:
 		dispatcher.outputs.add(&AnswerWanted{Holder: recovered.holder, Request: messenger.AnswerRequest{
-			Submission: lookup.Submission, ReplyTo: input.From, Question: lookup.Number,
+			Submission: lookup.Submission, ReplyTo: input.From, LookupNumber: lookup.Number,
 		}})
 	default:
 		// The job is known and continues once its caller's host forwards it again.
--- a/pkg/forwarder/copies.go
+++ b/pkg/forwarder/copies.go
@@ -239,8 +239,8 @@
 // sendKeptAnswer sends an answer that this host keeps, or reports that it is lost.
 func (forwarder *Forwarder) sendKeptAnswer(input *AnswerRequested) {
 	answer := forwarder.keptAnswer(input.Request.Submission)
-	if input.Request.Question > 0 {
-		reply := messenger.LookupReply{Number: input.Request.Question, Found: answer != nil, Answer: answer}
+	if input.Request.LookupNumber > 0 {
+		reply := messenger.LookupReply{Number: input.Request.LookupNumber, Found: answer != nil, Answer: answer}
 		forwarder.emit(&AnswerQuestion{To: input.Request.ReplyTo, Reply: reply})
 		return
 	}
--- a/pkg/messenger/peer.go
+++ b/pkg/messenger/peer.go
@@ -76,9 +76,9 @@
 type AnswerRequest struct {
 	Submission identifier.SubmissionID `cbor:"1,keyasint"`
 	ReplyTo    identifier.HostID       `cbor:"2,keyasint"`
-	// Question is the number of the lookup that the answer is for; zero for a resent
+	// LookupNumber is the number of the lookup that the answer is for; zero for a resent
 	// submission.
-	Question LookupNumber `cbor:"3,keyasint,omitempty"`
+	LookupNumber LookupNumber `cbor:"3,keyasint,omitempty"`
 }
 
 // TakeoverQuery asks a host of the failure domain which submissions of the cell it knows.
