--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -124,7 +124,7 @@
 // handleLeadKnown announces who leads a cell of a failure domain.
 func (coordinator *Coordinator) handleLeadKnown(notice messenger.LeadNotice) {
 	cell := messenger.CellRef{FailureDomain: notice.FailureDomain, Cell: notice.Cell}
-	coordinator.notifySupervisor(&supervisor.LeadKnown{Cell: cell, Host: notice.Host, Epoch: notice.Epoch})
+	coordinator.notifySupervisor(&supervisor.LeadChanged{Cell: cell, Host: notice.Host, Epoch: notice.Epoch})
 	coordinator.notifyAllocators(&allocator.RemoteLeadChanged{Cell: cell, Host: notice.Host})
 	coordinator.followerTracker.handleLeadKnown(notice)
 	coordinator.outputs.add(&LeadKnown{Notice: notice})
--- a/pkg/supervisor/groups.go
+++ b/pkg/supervisor/groups.go
@@ -309,7 +309,7 @@
 // handleLeadKnown records the lead of a cell. Groups whose request the former lead had are
 // requested again from the new one. The requests list their runs, so that the new lead knows
 // which jobs these belong to.
-func (supervisor *Supervisor) handleLeadKnown(input *LeadKnown) {
+func (supervisor *Supervisor) handleLeadKnown(input *LeadChanged) {
 	changed := lead{host: input.Host, epoch: input.Epoch}
 	if known := supervisor.leads.Get(input.Cell); known != nil && *known == changed {
 		return
--- a/pkg/supervisor/messages.go
+++ b/pkg/supervisor/messages.go
@@ -47,8 +47,8 @@
 	Job    identifier.JobID
 }
 
-// LeadKnown reports the lead of a cell; Host is empty if the cell has none.
-type LeadKnown struct {
+// LeadChanged reports the lead of a cell; Host is empty if the cell has none.
+type LeadChanged struct {
 	Cell messenger.CellRef
 	Host identifier.HostID
 	// Epoch is the lead's epoch. A host that becomes lead again has a higher one and doesn't know
@@ -92,7 +92,7 @@
 func (*HostEnds) isSupervisorInput()           {}
 func (*JobArrived) isSupervisorInput()         {}
 func (*CallerLeft) isSupervisorInput()         {}
-func (*LeadKnown) isSupervisorInput()          {}
+func (*LeadChanged) isSupervisorInput()        {}
 func (*GrantArrived) isSupervisorInput()       {}
 func (*AnswerArrived) isSupervisorInput()      {}
 func (*TaskDoneArrived) isSupervisorInput()    {}
--- a/pkg/supervisor/supervisor.go
+++ b/pkg/supervisor/supervisor.go
@@ -156,7 +156,7 @@
 		supervisor.evacuations = input.Evacuated
 	case *HostEnds:
 		supervisor.endAll()
-	case *LeadKnown:
+	case *LeadChanged:
 		supervisor.handleLeadKnown(input)
 	case *GrantArrived:
 		supervisor.lastResponseAt[input.From] = supervisor.now
--- a/pkg/supervisor/supervisor_test.go
+++ b/pkg/supervisor/supervisor_test.go
@@ -63,7 +63,7 @@
 	var inputs []supervisor.Input
 	switch data.Cmd {
 	case "lead":
-		inputs = append(inputs, &supervisor.LeadKnown{
+		inputs = append(inputs, &supervisor.LeadChanged{
 			Cell: messenger.CellRef{FailureDomain: identifier.FailureDomain(scanString(t, data, "domain"))}, Host: identifier.HostID(scanString(t, data, "host")),
 			Epoch: identifier.Epoch(epoch),
 		})
