--- a/pkg/coordinator/harshworld_test.go
+++ b/pkg/coordinator/harshworld_test.go
@@ -262,7 +262,7 @@
 		if host.generation != generation {
 			return
 		}
-		network.tick(host, &coordinator.SupervisorEvent{Event: &supervisor.HostEnds{}})
+		network.tick(host, &coordinator.SupervisorEvent{Event: &supervisor.ShutdownStarted{}})
 		network.at(time.Millisecond, func() {
 			if host.generation == generation {
 				harsh.crash(host)
--- a/pkg/supervisor/messages.go
+++ b/pkg/supervisor/messages.go
@@ -85,11 +85,11 @@
 // EvacuationsChanged reports the failure domains in which no run may be started from now on.
 type EvacuationsChanged struct{ Evacuated messenger.Evacuated }
 
-// HostEnds reports that this host is about to shut down, whether or not jobs are still running.
-type HostEnds struct{}
+// ShutdownStarted reports that this host is about to shut down, whether or not jobs are still running.
+type ShutdownStarted struct{}
 
 func (*EvacuationsChanged) isSupervisorInput() {}
-func (*HostEnds) isSupervisorInput()           {}
+func (*ShutdownStarted) isSupervisorInput()    {}
 func (*JobArrived) isSupervisorInput()         {}
 func (*CallerLeft) isSupervisorInput()         {}
 func (*LeadChanged) isSupervisorInput()        {}
--- a/pkg/supervisor/supervisor.go
+++ b/pkg/supervisor/supervisor.go
@@ -154,7 +154,7 @@
 		supervisor.handleCallerLeft(input)
 	case *EvacuationsChanged:
 		supervisor.evacuations = input.Evacuated
-	case *HostEnds:
+	case *ShutdownStarted:
 		supervisor.endAll()
 	case *LeadChanged:
 		supervisor.handleLeadKnown(input)
--- a/pkg/supervisor/supervisor_test.go
+++ b/pkg/supervisor/supervisor_test.go
@@ -97,7 +97,7 @@
 	case "evacuate":
 		inputs = append(inputs, &supervisor.EvacuationsChanged{Evacuated: messenger.Evacuated{identifier.FailureDomain(scanString(t, data, "domain"))}})
 	case "host-ends":
-		inputs = append(inputs, &supervisor.HostEnds{})
+		inputs = append(inputs, &supervisor.ShutdownStarted{})
 	case "wait":
 	default:
 		t.Fatalf("unknown command %q", data.Cmd)
