--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -197,11 +197,11 @@
 func (coordinator *Coordinator) acceptForward(from identifier.HostID, forward *messenger.Forward) {
 	coordinator.keepRecord(from, from, forward)
 	coordinator.notifyDispatcher(&dispatcher.JobForwarded{
-		From:     from,
-		Job:      forward.Job,
-		Deadline: identifier.DeadlineFrom(coordinator.now, forward.Remaining),
-		Again:    forward.Again,
-		Age:      forward.Age,
+		From:                 from,
+		Job:                  forward.Job,
+		Deadline:             identifier.DeadlineFrom(coordinator.now, forward.Remaining),
+		MayHaveEarlierStarts: forward.Again,
+		Age:                  forward.Age,
 	})
 }
 
@@ -291,7 +291,7 @@
 		coordinator.keepRecord(output.From, output.Partner, &output.Forward)
 		coordinator.notifyDispatcher(&dispatcher.JobForwarded{
 			From: output.From, Job: output.Forward.Job, Deadline: output.Deadline,
-			Again: output.Forward.Again, Age: output.Forward.Age,
+			MayHaveEarlierStarts: output.Forward.Again, Age: output.Forward.Age,
 		})
 	case *forwarder.AnswerQuestion:
 		coordinator.send(output.To, PeerMessage{LookupReply: &output.Reply})
--- a/pkg/dispatcher/admission.go
+++ b/pkg/dispatcher/admission.go
@@ -37,7 +37,7 @@
 		state:                jobRecovering,
 		deadline:             input.Deadline,
 		firstForwarded:       dispatcher.now.Add(-input.Age),
-		mayHaveEarlierStarts: input.Again,
+		mayHaveEarlierStarts: input.MayHaveEarlierStarts,
 		recipients:           []identifier.HostID{input.From},
 		tasks:                make([]task, len(input.Job.Tasks)),
 		byID:                 make(map[identifier.TaskID]*task, len(input.Job.Tasks)),
--- a/pkg/dispatcher/fake/cell.go
+++ b/pkg/dispatcher/fake/cell.go
@@ -129,7 +129,7 @@
 // Resend submits the same submission again.
 func (cell *Cell) Resend(record *Record, deadline identifier.Moment) {
 	record.resends++
-	cell.post(&dispatcher.JobForwarded{From: host, Job: record.Job, Deadline: deadline, Again: true})
+	cell.post(&dispatcher.JobForwarded{From: host, Job: record.Job, Deadline: deadline, MayHaveEarlierStarts: true})
 }
 
 // Leave has a backend server announce that it accepts no new starts.
--- a/pkg/dispatcher/guestqueries_test.go
+++ b/pkg/dispatcher/guestqueries_test.go
@@ -30,7 +30,7 @@
 			&dispatcher.LeadTaken{Epoch: 2, Hosts: []identifier.HostID{"entry-0"}, Missing: []identifier.HostID{"entry-1", "entry-2"}},
 			&dispatcher.TakeoverReplied{From: "entry-0", Reply: messenger.TakeoverReply{Epoch: 2}},
 			&dispatcher.GuestsListed{From: "away-0", Reply: reply},
-			&dispatcher.JobForwarded{From: "entry-0", Job: job, Deadline: identifier.Never, Again: true},
+			&dispatcher.JobForwarded{From: "entry-0", Job: job, Deadline: identifier.Never, MayHaveEarlierStarts: true},
 		})
 		queries := 0
 		for _, output := range outputs {
--- a/pkg/dispatcher/input.go
+++ b/pkg/dispatcher/input.go
@@ -111,8 +111,8 @@
 	From     identifier.HostID
 	Job      *messenger.Job
 	Deadline identifier.Moment
-	// Again reports that an earlier lead may have started tasks of the job.
-	Again bool
+	// MayHaveEarlierStarts reports that an earlier lead may have started tasks of the job.
+	MayHaveEarlierStarts bool
 	// Age is how long ago the job was forwarded for the first time.
 	Age time.Duration
 }
--- a/pkg/dispatcher/retake_test.go
+++ b/pkg/dispatcher/retake_test.go
@@ -16,7 +16,7 @@
 func TestRetakeOwnCell(t *testing.T) {
 	job := newJob("s-1", "a", "counter", equalRuns(1, 0), nil)
 	forward := &dispatcher.JobForwarded{From: "entry-0", Job: job, Deadline: identifier.Never}
-	again := &dispatcher.JobForwarded{From: "entry-0", Job: job, Deadline: identifier.Never, Again: true}
+	again := &dispatcher.JobForwarded{From: "entry-0", Job: job, Deadline: identifier.Never, MayHaveEarlierStarts: true}
 	lead := &dispatcher.Dispatcher{Self: "entry-0", FailureDomain: fake.Domain, Settings: dispatcher.DefaultSettings()}
 	take := func(epoch identifier.Epoch, forwarded *dispatcher.JobForwarded) {
 		lead.Tick(0, []dispatcher.Input{
--- a/pkg/dispatcher/takeover_cancel_test.go
+++ b/pkg/dispatcher/takeover_cancel_test.go
@@ -18,7 +18,7 @@
 	job := newJob("s-1", "a", "counter", equalRuns(1, 0), nil)
 	key := dispatcher.TaskKey{Submission: "s-1", Task: "t-0"}
 	report := &dispatcher.ServerReported{Server: "server-0", Epoch: 2, Tasks: []dispatcher.TaskKey{key}}
-	forward := &dispatcher.JobForwarded{From: "entry-1", Job: job, Deadline: identifier.Never, Again: true}
+	forward := &dispatcher.JobForwarded{From: "entry-1", Job: job, Deadline: identifier.Never, MayHaveEarlierStarts: true}
 	cancel := &dispatcher.CancelArrived{From: "entry-1", Cancel: messenger.Cancel{Submission: "s-1", Caller: job.Caller}}
 	for name, inputs := range map[string][]dispatcher.Input{
 		"report first": {report, forward, cancel},
