--- a/pkg/dispatcher/confirming.go
+++ b/pkg/dispatcher/confirming.go
@@ -37,7 +37,7 @@
 	if job == nil || job.state != jobFinished || job.answerReplicated {
 		return
 	}
-	if job.finishedAt.Add(dispatcher.Settings.LoneAnswerWait).Due(dispatcher.now) {
+	if job.finishedAt.Add(dispatcher.Settings.UnreplicatedAnswerWait).Due(dispatcher.now) {
 		dispatcher.releaseAnswers(&AnswerReplicated{Submission: submission})
 		return
 	}
--- a/pkg/dispatcher/dispatcher.go
+++ b/pkg/dispatcher/dispatcher.go
@@ -49,9 +49,9 @@
 	// AnswerResend is how long a lead waits for another host to hold an answer before it sends the
 	// answer again.
 	AnswerResend time.Duration
-	// LoneAnswerWait is how long backend servers must keep the task answers of a job for which no
+	// UnreplicatedAnswerWait is how long backend servers must keep the task answers of a job for which no
 	// second host can be found.
-	LoneAnswerWait time.Duration
+	UnreplicatedAnswerWait time.Duration
 	// ServerDiscovery is how long after its start a host may still lack streams from some backend
 	// servers.
 	ServerDiscovery time.Duration
@@ -74,20 +74,20 @@
 // DefaultSettings returns the settings that the daemon starts from.
 func DefaultSettings() Settings {
 	return Settings{
-		Cells:            1,
-		QueuedTasks:      20_000,
-		UnknownTaskWait:  5 * time.Second,
-		AnswerRetention:  10 * time.Minute,
-		TakeoverTimeout:  500 * time.Millisecond,
-		HeartbeatTimeout: 3 * time.Second,
-		AnswerResend:     time.Second,
-		LoneAnswerWait:   30 * time.Second,
-		ServerDiscovery:  3 * time.Second,
-		ExplainedSteps:   20_000,
-		Selection:        selector.DefaultSettings(),
-		Health:           assessor.DefaultSettings(),
-		Spill:            DefaultSpillSettings(),
-		Limits:           DefaultLimitSettings(),
+		Cells:                  1,
+		QueuedTasks:            20_000,
+		UnknownTaskWait:        5 * time.Second,
+		AnswerRetention:        10 * time.Minute,
+		TakeoverTimeout:        500 * time.Millisecond,
+		HeartbeatTimeout:       3 * time.Second,
+		AnswerResend:           time.Second,
+		UnreplicatedAnswerWait: 30 * time.Second,
+		ServerDiscovery:        3 * time.Second,
+		ExplainedSteps:         20_000,
+		Selection:              selector.DefaultSettings(),
+		Health:                 assessor.DefaultSettings(),
+		Spill:                  DefaultSpillSettings(),
+		Limits:                 DefaultLimitSettings(),
 	}
 }
 
