--- a/pkg/dispatcher/remotes.go
+++ b/pkg/dispatcher/remotes.go
@@ -20,8 +20,8 @@
 	// RecordWait is how long a second host may take to record that a job is handed over before the job
 	// stays at home.
 	RecordWait time.Duration
-	// AskAgain is the interval at which the home asks for a job that was handed over.
-	AskAgain time.Duration
+	// QueryInterval is the interval at which the home asks for a job that was handed over.
+	QueryInterval time.Duration
 }
 
 // DefaultSpillSettings returns the settings that the daemon starts from.
@@ -32,7 +32,7 @@
 		SpareShare:     1.0 / 32,
 		NoticeInterval: 20 * time.Millisecond,
 		RecordWait:     200 * time.Millisecond,
-		AskAgain:       5 * time.Second,
+		QueryInterval:  5 * time.Second,
 	}
 }
 
--- a/pkg/dispatcher/spilling.go
+++ b/pkg/dispatcher/spilling.go
@@ -95,7 +95,7 @@
 
 func (dispatcher *Dispatcher) sendSpill(job *job, mode messenger.SpillMode) {
 	job.spillMode = mode
-	dispatcher.timers.Set(job.timer(timerSpill), dispatcher.now.Add(dispatcher.Settings.Spill.AskAgain))
+	dispatcher.timers.Set(job.timer(timerSpill), dispatcher.now.Add(dispatcher.Settings.Spill.QueryInterval))
 	target := dispatcher.remoteOf(job)
 	if target == nil || target.unreachable {
 		dispatcher.markSpillUnknown(job)
