--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -296,7 +296,7 @@
 	case *forwarder.AnswerQuestion:
 		coordinator.send(output.To, PeerMessage{LookupReply: &output.Reply})
 	case *forwarder.HolderAnswered:
-		coordinator.notifyDispatcher(&dispatcher.HolderAnswered{Claimant: output.Claimant, Answer: output.Answer})
+		coordinator.notifyDispatcher(&dispatcher.ClaimHolderAnswered{Claimant: output.Claimant, Answer: output.Answer})
 	case *forwarder.ReplyTakeover:
 		output.Reply.HostsWithoutState = coordinator.dispatcher.HostsWithoutState(coordinator.now)
 		coordinator.dispatcher.AddSeenServers(&output.Reply)
--- a/pkg/dispatcher/claims.go
+++ b/pkg/dispatcher/claims.go
@@ -22,8 +22,8 @@
 	Job        identifier.JobID
 }
 
-// HolderAnswered delivers the answer to a HolderWanted.
-type HolderAnswered struct {
+// ClaimHolderAnswered delivers the answer to a HolderWanted.
+type ClaimHolderAnswered struct {
 	Claimant identifier.SubmissionID
 	Answer   *messenger.JobAnswer
 }
@@ -35,7 +35,7 @@
 
 func (*ClaimHolderAnswerWanted) isDispatcherOutput() {}
 func (*ClaimReleased) isDispatcherOutput()           {}
-func (*HolderAnswered) isDispatcherInput()           {}
+func (*ClaimHolderAnswered) isDispatcherInput()      {}
 func (*ClaimsGrantedLate) isDispatcherInput()        {}
 
 // awaitClaimHolder has a submission wait for the answer of the one that holds its claim.
@@ -53,7 +53,7 @@
 }
 
 // handleHolderAnswer answers a submission with the answer of the one that holds its claim.
-func (dispatcher *Dispatcher) handleHolderAnswer(input *HolderAnswered) {
+func (dispatcher *Dispatcher) handleHolderAnswer(input *ClaimHolderAnswered) {
 	job := dispatcher.jobs.Get(input.Claimant)
 	if job == nil || job.state != jobAwaitingClaim || job.claimHolder != input.Answer.Submission {
 		return
--- a/pkg/dispatcher/dispatcher.go
+++ b/pkg/dispatcher/dispatcher.go
@@ -190,7 +190,7 @@
 		dispatcher.recordGuests(input)
 	case *SpillAnswered:
 		dispatcher.recordSpillAnswer(input)
-	case *HolderAnswered:
+	case *ClaimHolderAnswered:
 		dispatcher.handleHolderAnswer(input)
 	case *RecordsReplicated:
 		dispatcher.recordReplicas(input)
