--- a/pkg/coordinator/coordinator.go
+++ b/pkg/coordinator/coordinator.go
@@ -277,8 +277,8 @@
 	return coordinator.forwarder.Unanswered()
 }
 
-// Unhanded returns how many records still have to reach another host.
-func (coordinator *Coordinator) Unhanded() int {
+// UnreplicatedRecords returns how many records still have to reach another host.
+func (coordinator *Coordinator) UnreplicatedRecords() int {
 	if coordinator.forwarder == nil {
 		return 0
 	}
--- a/pkg/coordinator/records_test.go
+++ b/pkg/coordinator/records_test.go
@@ -154,7 +154,7 @@
 		network.leave(host)
 		network.advance(time.Second)
 		if host.coordinator != nil {
-			t.Fatalf("%s is not drained: %d unanswered, %d unhanded", host.id, host.coordinator.Unanswered(), host.coordinator.Unhanded())
+			t.Fatalf("%s is not drained: %d unanswered, %d unhanded", host.id, host.coordinator.Unanswered(), host.coordinator.UnreplicatedRecords())
 		}
 		network.startHost(host)
 		// A host that becomes lead sooner after its start than ServerDiscovery does not know
