--- a/pkg/coordinator/leaving_test.go
+++ b/pkg/coordinator/leaving_test.go
@@ -33,7 +33,7 @@
 // queryAnswer requests the answer of a job from a host, as the caller does.
 func (network *network) queryAnswer(host *fakeHost, job *messenger.Job) {
 	waiter := network.oracle.addWaiter(job)
-	event := &forwarder.CallerAsked{Waiter: waiter, Caller: job.Caller, Submission: job.Submission}
+	event := &forwarder.CallerQueried{Waiter: waiter, Caller: job.Caller, Submission: job.Submission}
 	network.tick(host, &coordinator.CallerEvent{Event: event})
 }
 
--- a/pkg/forwarder/forwarder.go
+++ b/pkg/forwarder/forwarder.go
@@ -161,7 +161,7 @@
 	switch input := input.(type) {
 	case *CallerSubmitted:
 		forwarder.submit(input)
-	case *CallerAsked:
+	case *CallerQueried:
 		forwarder.lookUp(input)
 	case *CallerCancelled:
 		forwarder.cancel(input)
--- a/pkg/forwarder/input.go
+++ b/pkg/forwarder/input.go
@@ -18,8 +18,8 @@
 	Deadline identifier.Moment
 }
 
-// CallerAsked requests the answer of an earlier submission.
-type CallerAsked struct {
+// CallerQueried requests the answer of an earlier submission.
+type CallerQueried struct {
 	Waiter     WaiterID
 	Caller     identifier.CallerID
 	Submission identifier.SubmissionID
@@ -188,7 +188,7 @@
 func (*JobHandedOver) isForwarderInput()     {}
 func (*RecordsLearned) isForwarderInput()    {}
 func (*CallerSubmitted) isForwarderInput()   {}
-func (*CallerAsked) isForwarderInput()       {}
+func (*CallerQueried) isForwarderInput()     {}
 func (*CallerCancelled) isForwarderInput()   {}
 func (*AnswerArrived) isForwarderInput()     {}
 func (*AnswerRequested) isForwarderInput()   {}
--- a/pkg/forwarder/lookups.go
+++ b/pkg/forwarder/lookups.go
@@ -38,7 +38,7 @@
 }
 
 // lookUp searches for the answer of a submission.
-func (forwarder *Forwarder) lookUp(input *CallerAsked) {
+func (forwarder *Forwarder) lookUp(input *CallerQueried) {
 	if forwarder.addWaiterIfKnown(input.Waiter, input.Caller, input.Submission) {
 		return
 	}
--- a/pkg/receiver/handlers.go
+++ b/pkg/receiver/handlers.go
@@ -84,7 +84,7 @@
 		return
 	}
 	answer := receiver.await(request.Context(), func(waiter forwarder.WaiterID) forwarder.Input {
-		return &forwarder.CallerAsked{Waiter: waiter, Caller: caller, Submission: submission}
+		return &forwarder.CallerQueried{Waiter: waiter, Caller: caller, Submission: submission}
 	})
 	receiver.writeAnswer(writer, answer)
 }
--- a/pkg/receiver/handlers_test.go
+++ b/pkg/receiver/handlers_test.go
@@ -53,7 +53,7 @@
 	case *forwarder.CallerSubmitted:
 		waiter = event.Waiter
 		fixture.posted = fmt.Sprintf("submitted %s, may run in %v, %d tasks", event.Job.Submission, event.Job.MayRun, len(event.Job.Tasks))
-	case *forwarder.CallerAsked:
+	case *forwarder.CallerQueried:
 		waiter = event.Waiter
 		fixture.posted = fmt.Sprintf("asked for %s by %q", event.Submission, event.Caller)
 	case *forwarder.CallerCancelled:
