--- a/pkg/assembler/daemon.go
+++ b/pkg/assembler/daemon.go
@@ -251,7 +251,7 @@
 		return
 	}
 	daemon.Log.Warn("the time to shut down is over, jobs go on elsewhere", "waiting", waiting)
-	daemon.runner.Post(ctx, &coordinator.CallerEvent{Event: &forwarder.HostEnds{}})
+	daemon.runner.Post(ctx, &coordinator.CallerEvent{Event: &forwarder.ShutdownStarted{}})
 	reserve, cancel := context.WithTimeout(hurry, endingReserve)
 	defer cancel()
 	for daemon.receiver.Waiting() > 0 && reserve.Err() == nil {
--- a/pkg/forwarder/ending_test.go
+++ b/pkg/forwarder/ending_test.go
@@ -22,7 +22,7 @@
 	complete := &messenger.JobAnswer{Submission: "s-short", Outcome: messenger.OutcomeComplete}
 	tested.Tick(1, []forwarder.Input{&forwarder.AnswerArrived{From: "entry-1", Answer: complete}})
 	var answers []*forwarder.AnswerCaller
-	for _, output := range tested.Tick(2, []forwarder.Input{&forwarder.HostEnds{}}) {
+	for _, output := range tested.Tick(2, []forwarder.Input{&forwarder.ShutdownStarted{}}) {
 		if answer, isAnswer := output.(*forwarder.AnswerCaller); isAnswer {
 			answers = append(answers, answer)
 		}
@@ -52,7 +52,7 @@
 		t.Errorf("%d requests are without an answer, want the cancellation", tested.Questions())
 	}
 	answered := 0
-	for _, output := range tested.Tick(1, []forwarder.Input{&forwarder.HostEnds{}}) {
+	for _, output := range tested.Tick(1, []forwarder.Input{&forwarder.ShutdownStarted{}}) {
 		if answer, isAnswer := output.(*forwarder.AnswerCaller); isAnswer && answer.Waiter == 1 && answer.Answer.ClaimsNothing() {
 			answered++
 		}
--- a/pkg/forwarder/forwarder.go
+++ b/pkg/forwarder/forwarder.go
@@ -165,7 +165,7 @@
 		forwarder.lookUp(input)
 	case *CallerCancelled:
 		forwarder.cancel(input)
-	case *HostEnds:
+	case *ShutdownStarted:
 		forwarder.answerAllOnShutdown()
 	case *AnswerArrived:
 		forwarder.recordAnswer(input)
--- a/pkg/forwarder/input.go
+++ b/pkg/forwarder/input.go
@@ -33,8 +33,8 @@
 	Submission identifier.SubmissionID
 }
 
-// HostEnds reports that this host stops in a moment, whatever its callers still wait for.
-type HostEnds struct{}
+// ShutdownStarted reports that this host stops in a moment, whatever its callers still wait for.
+type ShutdownStarted struct{}
 
 // AnswerArrived is the answer of a submission from its lead, or from the host that kept it.
 type AnswerArrived struct {
@@ -85,7 +85,7 @@
 }
 
 func (*DomainChanged) isForwarderInput()    {}
-func (*HostEnds) isForwarderInput()         {}
+func (*ShutdownStarted) isForwarderInput()  {}
 func (*HolderAsked) isForwarderInput()      {}
 func (*QuestionAnswered) isForwarderInput() {}
 
--- a/pkg/replayer/entryhost.go
+++ b/pkg/replayer/entryhost.go
@@ -259,7 +259,7 @@
 	if !process.lives() {
 		return
 	}
-	process.post(&coordinator.CallerEvent{Event: &forwarder.HostEnds{}})
+	process.post(&coordinator.CallerEvent{Event: &forwarder.ShutdownStarted{}})
 	clock := process.replay.clock
 	clock.At(clock.Now(), process.end)
 }
