--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -378,7 +378,7 @@
 	case *dispatcher.LookupAnswered:
 		coordinator.send(output.To, PeerMessage{LookupReply: &output.Reply})
 	case *dispatcher.ClaimHolderAnswerWanted:
-		coordinator.notifyForwarder(&forwarder.HolderAsked{
+		coordinator.notifyForwarder(&forwarder.ClaimHolderQueried{
 			Claimant: output.Claimant, Caller: output.Caller, Holder: output.Holder, Home: output.Home,
 		})
 	case *dispatcher.ClaimReleased:
--- a/pkg/forwarder/forwarder.go
+++ b/pkg/forwarder/forwarder.go
@@ -179,7 +179,7 @@
 		forwarder.handleDomainChanged(input)
 	case *QuestionAnswered:
 		forwarder.handleLookupReply(input)
-	case *HolderAsked:
+	case *ClaimHolderQueried:
 		forwarder.lookUpHolder(input)
 	case *HostRestarted:
 		forwarder.handleHostRestarted(input.Host)
--- a/pkg/forwarder/input.go
+++ b/pkg/forwarder/input.go
@@ -69,9 +69,9 @@
 	Living        bool
 }
 
-// HolderAsked requests the answer of the submission, with a known home, that holds the claim
+// ClaimHolderQueried requests the answer of the submission, with a known home, that holds the claim
 // of another one.
-type HolderAsked struct {
+type ClaimHolderQueried struct {
 	Claimant identifier.SubmissionID
 	Caller   identifier.CallerID
 	Holder   identifier.SubmissionID
@@ -84,10 +84,10 @@
 	Reply messenger.LookupReply
 }
 
-func (*DomainChanged) isForwarderInput()    {}
-func (*ShutdownStarted) isForwarderInput()  {}
-func (*HolderAsked) isForwarderInput()      {}
-func (*QuestionAnswered) isForwarderInput() {}
+func (*DomainChanged) isForwarderInput()      {}
+func (*ShutdownStarted) isForwarderInput()    {}
+func (*ClaimHolderQueried) isForwarderInput() {}
+func (*QuestionAnswered) isForwarderInput()   {}
 
 // HostRestarted reports that another host of the failure domain runs a new process, which has
 // none of the state of the old one.
--- a/pkg/forwarder/lookups.go
+++ b/pkg/forwarder/lookups.go
@@ -72,7 +72,7 @@
 }
 
 // lookUpHolder searches for the answer of the submission that holds a claim.
-func (forwarder *Forwarder) lookUpHolder(input *HolderAsked) {
+func (forwarder *Forwarder) lookUpHolder(input *ClaimHolderQueried) {
 	lookup := forwarder.newLookup(input.Holder, input.Caller)
 	lookup.claimant = input.Claimant
 	forwarder.startLookup(lookup, input.Home)
