--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -147,7 +147,7 @@
 		coordinator.notifyDispatcher(&dispatcher.TakeoverReplied{From: from, Reply: *message.TakeoverReply})
 		coordinator.notifyForwarder(&forwarder.RecordsLearned{From: from, Partner: from, Records: message.TakeoverReply.Records})
 	case message.LookupReply != nil:
-		coordinator.notifyForwarder(&forwarder.QuestionAnswered{From: from, Reply: *message.LookupReply})
+		coordinator.notifyForwarder(&forwarder.LookupReplied{From: from, Reply: *message.LookupReply})
 	case message.Replicas != nil:
 		coordinator.notifyForwarder(&forwarder.ReplicasArrived{From: from, Replicas: message.Replicas})
 		coordinator.notifyDispatcher(&dispatcher.RecordsReplicated{Replicas: message.Replicas})
--- a/pkg/forwarder/forwarder.go
+++ b/pkg/forwarder/forwarder.go
@@ -177,7 +177,7 @@
 		forwarder.handleHostsChanged(input.Living)
 	case *DomainChanged:
 		forwarder.handleDomainChanged(input)
-	case *QuestionAnswered:
+	case *LookupReplied:
 		forwarder.handleLookupReply(input)
 	case *ClaimHolderQueried:
 		forwarder.lookUpHolder(input)
--- a/pkg/forwarder/input.go
+++ b/pkg/forwarder/input.go
@@ -78,8 +78,8 @@
 	Home     identifier.FailureDomain
 }
 
-// QuestionAnswered is another host's reply to a lookup of a submission.
-type QuestionAnswered struct {
+// LookupReplied is another host's reply to a lookup of a submission.
+type LookupReplied struct {
 	From  identifier.HostID
 	Reply messenger.LookupReply
 }
@@ -87,7 +87,7 @@
 func (*DomainChanged) isForwarderInput()      {}
 func (*ShutdownStarted) isForwarderInput()    {}
 func (*ClaimHolderQueried) isForwarderInput() {}
-func (*QuestionAnswered) isForwarderInput()   {}
+func (*LookupReplied) isForwarderInput()      {}
 
 // HostRestarted reports that another host of the failure domain runs a new process, which has
 // none of the state of the old one.
--- a/pkg/forwarder/lookups.go
+++ b/pkg/forwarder/lookups.go
@@ -139,7 +139,7 @@
 }
 
 // handleLookupReply handles the reply of a lead, or of the host that keeps an answer.
-func (forwarder *Forwarder) handleLookupReply(input *QuestionAnswered) {
+func (forwarder *Forwarder) handleLookupReply(input *LookupReplied) {
 	lookup := forwarder.lookups.Get(input.Reply.Number)
 	switch {
 	case lookup == nil:
