--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -293,7 +293,7 @@
 			From: output.From, Job: output.Forward.Job, Deadline: output.Deadline,
 			MayHaveEarlierStarts: output.Forward.Again, Age: output.Forward.Age,
 		})
-	case *forwarder.AnswerQuestion:
+	case *forwarder.ReplyLookup:
 		coordinator.send(output.To, PeerMessage{LookupReply: &output.Reply})
 	case *forwarder.HolderAnswered:
 		coordinator.notifyDispatcher(&dispatcher.ClaimHolderAnswered{Claimant: output.Claimant, Answer: output.Answer})
--- a/pkg/forwarder/copies.go
+++ b/pkg/forwarder/copies.go
@@ -241,7 +241,7 @@
 	answer := forwarder.keptAnswer(input.Request.Submission)
 	if input.Request.LookupNumber > 0 {
 		reply := messenger.LookupReply{Number: input.Request.LookupNumber, Found: answer != nil, Answer: answer}
-		forwarder.emit(&AnswerQuestion{To: input.Request.ReplyTo, Reply: reply})
+		forwarder.emit(&ReplyLookup{To: input.Request.ReplyTo, Reply: reply})
 		return
 	}
 	if answer == nil {
--- a/pkg/forwarder/output.go
+++ b/pkg/forwarder/output.go
@@ -80,8 +80,8 @@
 
 func (*PassJob) isForwarderOutput() {}
 
-// AnswerQuestion replies to another host's lookup with a kept answer, or without one.
-type AnswerQuestion struct {
+// ReplyLookup replies to another host's lookup with a kept answer, or without one.
+type ReplyLookup struct {
 	To    identifier.HostID
 	Reply messenger.LookupReply
 }
@@ -92,7 +92,7 @@
 	Answer   *messenger.JobAnswer
 }
 
-func (*AnswerQuestion) isForwarderOutput() {}
+func (*ReplyLookup) isForwarderOutput()    {}
 func (*HolderAnswered) isForwarderOutput() {}
 
 // SendReplicas sends records for another host to hold.
