--- a/pkg/coordinator/coordinator.go
+++ b/pkg/coordinator/coordinator.go
@@ -263,7 +263,7 @@
 // reportDrained emits Drained during a graceful shutdown once every caller's submission is answered
 // and other hosts have all records of this one.
 func (coordinator *Coordinator) reportDrained() {
-	answered := coordinator.supervisor.Jobs() == 0 && coordinator.forwarder.Unanswered() == 0 && coordinator.forwarder.Questions() == 0
+	answered := coordinator.supervisor.Jobs() == 0 && coordinator.forwarder.Unanswered() == 0 && coordinator.forwarder.WaitingLookups() == 0
 	if coordinator.draining && answered && coordinator.forwarder.Unhanded() == 0 {
 		coordinator.outputs.add(&Drained{})
 	}
--- a/pkg/forwarder/ending_test.go
+++ b/pkg/forwarder/ending_test.go
@@ -48,8 +48,8 @@
 		&forwarder.LeadKnown{Notice: messenger.LeadNotice{FailureDomain: "thu-duc", Host: "entry-1", Epoch: 1}},
 		&forwarder.CallerCancelled{Waiter: 1, Caller: "garage-7", Submission: "s-elsewhere"},
 	})
-	if tested.Questions() != 1 {
-		t.Errorf("%d requests are without an answer, want the cancellation", tested.Questions())
+	if tested.WaitingLookups() != 1 {
+		t.Errorf("%d requests are without an answer, want the cancellation", tested.WaitingLookups())
 	}
 	answered := 0
 	for _, output := range tested.Tick(1, []forwarder.Input{&forwarder.ShutdownStarted{}}) {
@@ -57,8 +57,8 @@
 			answered++
 		}
 	}
-	if answered != 1 || tested.Questions() != 0 {
-		t.Errorf("answered %d times, %d left without an answer", answered, tested.Questions())
+	if answered != 1 || tested.WaitingLookups() != 0 {
+		t.Errorf("answered %d times, %d left without an answer", answered, tested.WaitingLookups())
 	}
 }
 
--- a/pkg/forwarder/forwarder.go
+++ b/pkg/forwarder/forwarder.go
@@ -129,9 +129,9 @@
 	return count
 }
 
-// Questions returns how many queries and cancellations of this host's callers wait for the
+// WaitingLookups returns how many queries and cancellations of this host's callers wait for the
 // answer of a lookup.
-func (forwarder *Forwarder) Questions() int {
+func (forwarder *Forwarder) WaitingLookups() int {
 	count := 0
 	forwarder.lookups.Each(func(_ messenger.LookupNumber, lookup *lookup) bool {
 		if len(lookup.waiters) > 0 {
