--- a/pkg/assembler/parts.go
+++ b/pkg/assembler/parts.go
@@ -65,7 +65,7 @@
 	result.Forwarder.Cells = settings.Dispatch.Cells
 	result.Forwarder.AnswerRetention = settings.Timeouts.AnswerRetention.Std()
 	result.Intents.Quotas = quotasOf(settings)
-	result.Forwarder.Records = settings.Limits.JobsInMemory
+	result.Forwarder.MaxRecords = settings.Limits.JobsInMemory
 	result.Keeper.ClaimRetention = settings.Timeouts.ClaimRetention.Std()
 	return result
 }
--- a/pkg/coordinator/lookups_test.go
+++ b/pkg/coordinator/lookups_test.go
@@ -128,7 +128,7 @@
 // Cause: retention is by time, which does not bound a burst.
 func TestRecordsAreBoundedAndNeverDropped(t *testing.T) {
 	network := newDomain(t, 4, 2)
-	network.settings.Forwarder.Records = 20
+	network.settings.Forwarder.MaxRecords = 20
 	for _, host := range network.hosts {
 		network.crashHost(host)
 		network.startHost(host)
--- a/pkg/forwarder/forwarder.go
+++ b/pkg/forwarder/forwarder.go
@@ -42,9 +42,9 @@
 	// LookupWait is how long leads have to answer a lookup of a submission before further
 	// leads are queried and the same ones again.
 	LookupWait time.Duration
-	// Records is the maximum number of submissions that this host holds. Beyond it new ones
+	// MaxRecords is the maximum number of submissions that this host holds. Beyond it new ones
 	// are refused.
-	Records int
+	MaxRecords int
 	// MaxJobDuration is how long the copy of an unanswered job without a deadline is kept.
 	MaxJobDuration time.Duration
 	// Replicas limits the rate at which records are copied when hosts come and go.
@@ -62,7 +62,7 @@
 		ResendInterval:         5 * time.Second,
 		DeadHomeWait:           200 * time.Millisecond,
 		LookupWait:             500 * time.Millisecond,
-		Records:                2_000_000,
+		MaxRecords:             2_000_000,
 		MaxJobDuration:         time.Hour,
 		Replicas:               DefaultReplicaSettings(),
 	}
--- a/pkg/forwarder/homes.go
+++ b/pkg/forwarder/homes.go
@@ -67,7 +67,7 @@
 // isFull reports whether this host holds the maximum number of submissions. Held ones are
 // never evicted early for new ones.
 func (forwarder *Forwarder) isFull() bool {
-	return forwarder.localSubmissions.Len()+forwarder.copies.Len() >= forwarder.Settings.Records
+	return forwarder.localSubmissions.Len()+forwarder.copies.Len() >= forwarder.Settings.MaxRecords
 }
 
 // refuseFull refuses a new submission. Another host may have received it earlier, so the
