--- a/pkg/coordinator/records_test.go
+++ b/pkg/coordinator/records_test.go
@@ -174,7 +174,7 @@
 func TestNewLeadAsksLeavingHosts(t *testing.T) {
 	network := newDomain(t, 4, 2)
 	// The hand-over of records is too slow, as it may be with many records.
-	network.settings.Forwarder.Replicas.Pace = time.Minute
+	network.settings.Forwarder.Replicas.BatchInterval = time.Minute
 	for _, host := range network.hosts {
 		network.crashHost(host)
 		network.startHost(host)
--- a/pkg/forwarder/copies.go
+++ b/pkg/forwarder/copies.go
@@ -118,7 +118,7 @@
 	forwarder.replicateLoneAnswers()
 	forwarder.replicateAfterLoss(func(partner identifier.HostID) bool { return !slices.Contains(living, partner) })
 	if forwarder.replications.Len() > 0 {
-		forwarder.scheduleReplicas(forwarder.now.Add(forwarder.Settings.Replicas.Pace))
+		forwarder.scheduleReplicas(forwarder.now.Add(forwarder.Settings.Replicas.BatchInterval))
 	}
 }
 
--- a/pkg/forwarder/replicas.go
+++ b/pkg/forwarder/replicas.go
@@ -19,8 +19,8 @@
 // ReplicaSettings limits the rate at which records are copied, so that the loss of a host with
 // many records does not delay current jobs.
 type ReplicaSettings struct {
-	// Pace is the time between two batches.
-	Pace time.Duration
+	// BatchInterval is the time between two batches.
+	BatchInterval time.Duration
 	// BatchRecords and BatchBytes bound one batch in records and bytes; the first replica
 	// always fits.
 	BatchRecords int
@@ -32,10 +32,10 @@
 // DefaultReplicaSettings returns the defaults that the daemon starts from.
 func DefaultReplicaSettings() ReplicaSettings {
 	return ReplicaSettings{
-		Pace:         10 * time.Millisecond,
-		BatchRecords: 500,
-		BatchBytes:   256 << 10,
-		Resend:       500 * time.Millisecond,
+		BatchInterval: 10 * time.Millisecond,
+		BatchRecords:  500,
+		BatchBytes:    256 << 10,
+		Resend:        500 * time.Millisecond,
 	}
 }
 
@@ -57,7 +57,7 @@
 	} else {
 		forwarder.replications.Put(submission, &replication{})
 	}
-	forwarder.scheduleReplicas(forwarder.now.Add(forwarder.Settings.Replicas.Pace))
+	forwarder.scheduleReplicas(forwarder.now.Add(forwarder.Settings.Replicas.BatchInterval))
 }
 
 // scheduleReplicas schedules the next batch, unless one is already scheduled no later.
@@ -139,7 +139,7 @@
 			return true
 		}
 		if count >= forwarder.Settings.Replicas.BatchRecords || size >= forwarder.Settings.Replicas.BatchBytes {
-			next = forwarder.now.Add(forwarder.Settings.Replicas.Pace)
+			next = forwarder.now.Add(forwarder.Settings.Replicas.BatchInterval)
 			return false
 		}
 		sent := forwarder.sendReplica(submission, replication, batches)
