--- a/pkg/coordinator/coordinator.go
+++ b/pkg/coordinator/coordinator.go
@@ -264,7 +264,7 @@
 // and other hosts have all records of this one.
 func (coordinator *Coordinator) reportDrained() {
 	answered := coordinator.supervisor.Jobs() == 0 && coordinator.forwarder.Unanswered() == 0 && coordinator.forwarder.WaitingLookups() == 0
-	if coordinator.draining && answered && coordinator.forwarder.Unhanded() == 0 {
+	if coordinator.draining && answered && coordinator.forwarder.UnreplicatedRecords() == 0 {
 		coordinator.outputs.add(&Drained{})
 	}
 }
@@ -282,5 +282,5 @@
 	if coordinator.forwarder == nil {
 		return 0
 	}
-	return coordinator.forwarder.Unhanded()
+	return coordinator.forwarder.UnreplicatedRecords()
 }
--- a/pkg/forwarder/replicas.go
+++ b/pkg/forwarder/replicas.go
@@ -69,9 +69,9 @@
 	forwarder.timers.Set(timerKey{kind: timerReplicas}, due)
 }
 
-// Unhanded returns how many records have still to be copied to another host; zero if no other
+// UnreplicatedRecords returns how many records have still to be copied to another host; zero if no other
 // host of the failure domain lives.
-func (forwarder *Forwarder) Unhanded() int {
+func (forwarder *Forwarder) UnreplicatedRecords() int {
 	if forwarder.replications == nil || forwarder.secondHost("") == "" {
 		return 0
 	}
