--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -118,7 +118,7 @@
 	case message.SpillReceipt != "":
 		coordinator.notifyDispatcher(&dispatcher.AnswerReplicated{Submission: message.SpillReceipt})
 	case message.CopyRequest != nil:
-		coordinator.notifyForwarder(&forwarder.CopiesWanted{From: from, Records: message.CopyRequest})
+		coordinator.notifyForwarder(&forwarder.CopiesRequested{From: from, Records: message.CopyRequest})
 	case message.CopyReceipt != nil:
 		coordinator.notifyForwarder(&forwarder.CopiesHeld{From: from, Submissions: message.CopyReceipt})
 		coordinator.notifyDispatcher(&dispatcher.SpillRecorded{Submissions: message.CopyReceipt})
--- a/pkg/forwarder/bench_test.go
+++ b/pkg/forwarder/bench_test.go
@@ -43,7 +43,7 @@
 			submission := identifier.SubmissionID(fmt.Sprintf("submission-%d", number))
 			record := messenger.CopyRecord{Submission: submission, Job: identifier.JobID(submission), Caller: "desk"}
 			return []forwarder.Input{
-				&forwarder.CopiesWanted{From: "lead", Records: []messenger.CopyRecord{record}},
+				&forwarder.CopiesRequested{From: "lead", Records: []messenger.CopyRecord{record}},
 				&forwarder.AnswerCopyArrived{From: "lead", Copy: messenger.AnswerCopy{Answer: answerOf(submission)}},
 			}
 		})
--- a/pkg/forwarder/copies.go
+++ b/pkg/forwarder/copies.go
@@ -8,7 +8,7 @@
 )
 
 // holdCopies stores copies of submissions for a lead and confirms them in one message.
-func (forwarder *Forwarder) holdCopies(input *CopiesWanted) {
+func (forwarder *Forwarder) holdCopies(input *CopiesRequested) {
 	held := make([]identifier.SubmissionID, 0, len(input.Records))
 	for _, record := range input.Records {
 		if forwarder.refuseStaleLead(input.From, record.Cell, record.Epoch) {
--- a/pkg/forwarder/forwarder.go
+++ b/pkg/forwarder/forwarder.go
@@ -193,7 +193,7 @@
 		forwarder.recordReplicasHeld(input)
 	case *SecondHolderWanted:
 		forwarder.replicate(input.Submission)
-	case *CopiesWanted:
+	case *CopiesRequested:
 		forwarder.holdCopies(input)
 	case *CopiesHeld:
 		forwarder.recordCopiesHeld(input)
--- a/pkg/forwarder/input.go
+++ b/pkg/forwarder/input.go
@@ -124,8 +124,8 @@
 
 func (*LeadReconnected) isForwarderInput() {}
 
-// CopiesWanted requests that this host hold the second copy of submissions.
-type CopiesWanted struct {
+// CopiesRequested requests that this host hold the second copy of submissions.
+type CopiesRequested struct {
 	From    identifier.HostID
 	Records []messenger.CopyRecord
 }
@@ -194,7 +194,7 @@
 func (*AnswerRequested) isForwarderInput()   {}
 func (*LeadKnown) isForwarderInput()         {}
 func (*HostsChanged) isForwarderInput()      {}
-func (*CopiesWanted) isForwarderInput()      {}
+func (*CopiesRequested) isForwarderInput()   {}
 func (*CopiesHeld) isForwarderInput()        {}
 func (*AnswerCopyArrived) isForwarderInput() {}
 func (*AnswerCopyHeld) isForwarderInput()    {}
