--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -384,7 +384,7 @@
 	case *dispatcher.ClaimReleased:
 		coordinator.releaseClaim(output)
 	case *dispatcher.SecondHolderWanted:
-		coordinator.notifyForwarder(&forwarder.SecondHolderWanted{Submission: output.Submission})
+		coordinator.notifyForwarder(&forwarder.AnswerReplicationRequested{Submission: output.Submission})
 	case *dispatcher.AnswerWanted:
 		if output.Holder == self || !coordinator.reachable(output.Holder) {
 			// What a lost host held has been copied, and the lead gets the copies first.
--- a/pkg/forwarder/forwarder.go
+++ b/pkg/forwarder/forwarder.go
@@ -191,7 +191,7 @@
 		forwarder.holdReplicas(input)
 	case *ReplicasHeld:
 		forwarder.recordReplicasHeld(input)
-	case *SecondHolderWanted:
+	case *AnswerReplicationRequested:
 		forwarder.replicate(input.Submission)
 	case *CopiesRequested:
 		forwarder.holdCopies(input)
--- a/pkg/forwarder/input.go
+++ b/pkg/forwarder/input.go
@@ -110,17 +110,17 @@
 	Receipt messenger.ReplicaReceipt
 }
 
-// SecondHolderWanted requests that another host of the failure domain hold the answer of a
+// AnswerReplicationRequested requests that another host of the failure domain hold the answer of a
 // submission that this host leads. ConfirmAnswer follows.
-type SecondHolderWanted struct {
+type AnswerReplicationRequested struct {
 	Submission identifier.SubmissionID
 }
 
-func (*HostRestarted) isForwarderInput()      {}
-func (*LeaveRequested) isForwarderInput()     {}
-func (*ReplicasArrived) isForwarderInput()    {}
-func (*ReplicasHeld) isForwarderInput()       {}
-func (*SecondHolderWanted) isForwarderInput() {}
+func (*HostRestarted) isForwarderInput()              {}
+func (*LeaveRequested) isForwarderInput()             {}
+func (*ReplicasArrived) isForwarderInput()            {}
+func (*ReplicasHeld) isForwarderInput()               {}
+func (*AnswerReplicationRequested) isForwarderInput() {}
 
 func (*LeadReconnected) isForwarderInput() {}
 
