--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -334,7 +334,7 @@
 // caller's host, which knows the job already, or else another. A host that is alone proceeds
 // without the second.
 func (coordinator *Coordinator) recordSpill(output *dispatcher.RecordSpill) {
-	coordinator.notifyForwarder(&forwarder.JobHandedOver{
+	coordinator.notifyForwarder(&forwarder.JobSpilled{
 		Submission: output.Record.Submission, To: output.Record.SpilledTo,
 	})
 	living := coordinator.livingIn(coordinator.Self.FailureDomain)
--- a/pkg/forwarder/forwarder.go
+++ b/pkg/forwarder/forwarder.go
@@ -197,7 +197,7 @@
 		forwarder.holdCopies(input)
 	case *CopiesHeld:
 		forwarder.recordCopiesHeld(input)
-	case *JobHandedOver:
+	case *JobSpilled:
 		forwarder.recordSpill(input)
 	case *RecordsLearned:
 		forwarder.addTakeoverRecords(input)
--- a/pkg/forwarder/input.go
+++ b/pkg/forwarder/input.go
@@ -179,13 +179,13 @@
 	Records []messenger.CopyRecord
 }
 
-// JobHandedOver reports that this host, as the lead, spills a job to another failure domain.
-type JobHandedOver struct {
+// JobSpilled reports that this host, as the lead, spills a job to another failure domain.
+type JobSpilled struct {
 	Submission identifier.SubmissionID
 	To         identifier.FailureDomain
 }
 
-func (*JobHandedOver) isForwarderInput()     {}
+func (*JobSpilled) isForwarderInput()        {}
 func (*RecordsLearned) isForwarderInput()    {}
 func (*CallerSubmitted) isForwarderInput()   {}
 func (*CallerQueried) isForwarderInput()     {}
--- a/pkg/forwarder/spills.go
+++ b/pkg/forwarder/spills.go
@@ -6,7 +6,7 @@
 // has no second host that could remember the spill. If nothing else on this host kept it, the
 // next lead, which may be this host again, would treat the job as new and start it at home.
 // The symptom is tasks of one submission that run in two failure domains.
-func (forwarder *Forwarder) recordSpill(input *JobHandedOver) {
+func (forwarder *Forwarder) recordSpill(input *JobSpilled) {
 	if localSubmission := forwarder.localSubmissions.Get(input.Submission); localSubmission != nil {
 		localSubmission.spilledTo = input.To
 	}
