--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -373,7 +373,7 @@
 	case *dispatcher.ToServer:
 		coordinator.outputs.add(&ToServer{Batch: output})
 	case *dispatcher.JobAnswered:
-		coordinator.notifyForwarder(&forwarder.AnswerGiven{Answer: output.Answer})
+		coordinator.notifyForwarder(&forwarder.AnswerSent{Answer: output.Answer})
 		coordinator.send(output.To, PeerMessage{Answer: output.Answer})
 	case *dispatcher.LookupAnswered:
 		coordinator.send(output.To, PeerMessage{LookupReply: &output.Reply})
--- a/pkg/forwarder/forwarder.go
+++ b/pkg/forwarder/forwarder.go
@@ -203,7 +203,7 @@
 		forwarder.addTakeoverRecords(input)
 	case *JobRelayed:
 		forwarder.relayJob(input)
-	case *AnswerGiven:
+	case *AnswerSent:
 		forwarder.keepOwnAnswer(input.Answer)
 	case *AnswerCopyArrived:
 		forwarder.holdAnswer(input)
--- a/pkg/forwarder/input.go
+++ b/pkg/forwarder/input.go
@@ -164,12 +164,12 @@
 
 func (*JobRelayed) isForwarderInput() {}
 
-// AnswerGiven is an answer that this host sent as a lead.
-type AnswerGiven struct {
+// AnswerSent is an answer that this host sent as a lead.
+type AnswerSent struct {
 	Answer *messenger.JobAnswer
 }
 
-func (*AnswerGiven) isForwarderInput() {}
+func (*AnswerSent) isForwarderInput() {}
 
 // RecordsLearned holds another host's records of a cell that this host has acquired.
 type RecordsLearned struct {
