--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -145,7 +145,7 @@
 		coordinator.notifyForwarder(&forwarder.TakeoverQueried{From: from, Query: *message.TakeoverQuery})
 	case message.TakeoverReply != nil:
 		coordinator.notifyDispatcher(&dispatcher.TakeoverReplied{From: from, Reply: *message.TakeoverReply})
-		coordinator.notifyForwarder(&forwarder.RecordsLearned{From: from, Partner: from, Records: message.TakeoverReply.Records})
+		coordinator.notifyForwarder(&forwarder.TakeoverRecordsArrived{From: from, Partner: from, Records: message.TakeoverReply.Records})
 	case message.LookupReply != nil:
 		coordinator.notifyForwarder(&forwarder.LookupReplied{From: from, Reply: *message.LookupReply})
 	case message.Replicas != nil:
@@ -210,7 +210,7 @@
 // has none of its own.
 func (coordinator *Coordinator) receiveGuests(from identifier.HostID, reply *messenger.GuestReply) {
 	coordinator.notifyDispatcher(&dispatcher.GuestsListed{From: from, Reply: *reply})
-	coordinator.notifyForwarder(&forwarder.RecordsLearned{From: from, Partner: from, Records: reply.Records})
+	coordinator.notifyForwarder(&forwarder.TakeoverRecordsArrived{From: from, Partner: from, Records: reply.Records})
 }
 
 // receiveForward has a job from another failure domain recorded by a second host of this one before
@@ -251,7 +251,7 @@
 		Age:        forward.Age,
 		Remaining:  forward.Remaining,
 	}
-	coordinator.notifyForwarder(&forwarder.RecordsLearned{
+	coordinator.notifyForwarder(&forwarder.TakeoverRecordsArrived{
 		From: coordinator.Self.Host, Partner: partner, Records: []messenger.CopyRecord{record},
 	})
 }
--- a/pkg/forwarder/copies.go
+++ b/pkg/forwarder/copies.go
@@ -171,7 +171,7 @@
 // old lead, one of the two hosts that knew each submission is gone. If the new lead stored
 // nothing, the loss of the other one would make a resend look new, and its tasks would run
 // twice.
-func (forwarder *Forwarder) addTakeoverRecords(input *RecordsLearned) {
+func (forwarder *Forwarder) addTakeoverRecords(input *TakeoverRecordsArrived) {
 	for _, record := range input.Records {
 		known := forwarder.copies.Get(record.Submission)
 		if record.Answered && record.AnswerAt == "" {
--- a/pkg/forwarder/forwarder.go
+++ b/pkg/forwarder/forwarder.go
@@ -199,7 +199,7 @@
 		forwarder.recordCopiesHeld(input)
 	case *JobSpilled:
 		forwarder.recordSpill(input)
-	case *RecordsLearned:
+	case *TakeoverRecordsArrived:
 		forwarder.addTakeoverRecords(input)
 	case *JobRelayed:
 		forwarder.relayJob(input)
--- a/pkg/forwarder/input.go
+++ b/pkg/forwarder/input.go
@@ -171,8 +171,8 @@
 
 func (*AnswerSent) isForwarderInput() {}
 
-// RecordsLearned holds another host's records of a cell that this host has acquired.
-type RecordsLearned struct {
+// TakeoverRecordsArrived holds another host's records of a cell that this host has acquired.
+type TakeoverRecordsArrived struct {
 	From identifier.HostID
 	// Partner is the other host that holds the records.
 	Partner identifier.HostID
@@ -185,17 +185,17 @@
 	To         identifier.FailureDomain
 }
 
-func (*JobSpilled) isForwarderInput()        {}
-func (*RecordsLearned) isForwarderInput()    {}
-func (*CallerSubmitted) isForwarderInput()   {}
-func (*CallerQueried) isForwarderInput()     {}
-func (*CallerCancelled) isForwarderInput()   {}
-func (*AnswerArrived) isForwarderInput()     {}
-func (*AnswerRequested) isForwarderInput()   {}
-func (*LeadKnown) isForwarderInput()         {}
-func (*HostsChanged) isForwarderInput()      {}
-func (*CopiesRequested) isForwarderInput()   {}
-func (*CopiesHeld) isForwarderInput()        {}
-func (*AnswerCopyArrived) isForwarderInput() {}
-func (*AnswerCopyHeld) isForwarderInput()    {}
-func (*TakeoverQueried) isForwarderInput()   {}
+func (*JobSpilled) isForwarderInput()             {}
+func (*TakeoverRecordsArrived) isForwarderInput() {}
+func (*CallerSubmitted) isForwarderInput()        {}
+func (*CallerQueried) isForwarderInput()          {}
+func (*CallerCancelled) isForwarderInput()        {}
+func (*AnswerArrived) isForwarderInput()          {}
+func (*AnswerRequested) isForwarderInput()        {}
+func (*LeadKnown) isForwarderInput()              {}
+func (*HostsChanged) isForwarderInput()           {}
+func (*CopiesRequested) isForwarderInput()        {}
+func (*CopiesHeld) isForwarderInput()             {}
+func (*AnswerCopyArrived) isForwarderInput()      {}
+func (*AnswerCopyHeld) isForwarderInput()         {}
+func (*TakeoverQueried) isForwarderInput()        {}
