--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -325,7 +325,7 @@
 		coordinator.outputs.toPeer(output.To, PeerMessage{Replicas: output.Replicas})
 	case *forwarder.ConfirmReplicas:
 		coordinator.outputs.toPeer(output.To, PeerMessage{ReplicaReceipt: &output.Receipt})
-	case *forwarder.TellLead:
+	case *forwarder.SendLeadNotice:
 		coordinator.outputs.toPeer(output.To, PeerMessage{LeadNotice: &output.Notice})
 	}
 }
--- a/pkg/forwarder/copies.go
+++ b/pkg/forwarder/copies.go
@@ -53,7 +53,7 @@
 	}
 	if known.epoch > epoch {
 		notice := messenger.LeadNotice{FailureDomain: key.failureDomain, Cell: key.cell, Host: known.host, Epoch: known.epoch}
-		forwarder.emit(&TellLead{To: from, Notice: notice})
+		forwarder.emit(&SendLeadNotice{To: from, Notice: notice})
 	}
 	return true
 }
--- a/pkg/forwarder/output.go
+++ b/pkg/forwarder/output.go
@@ -110,13 +110,13 @@
 func (*SendReplicas) isForwarderOutput()    {}
 func (*ConfirmReplicas) isForwarderOutput() {}
 
-// TellLead notifies a host that another one leads its cell.
-type TellLead struct {
+// SendLeadNotice notifies a host that another one leads its cell.
+type SendLeadNotice struct {
 	To     identifier.HostID
 	Notice messenger.LeadNotice
 }
 
-func (*TellLead) isForwarderOutput() {}
+func (*SendLeadNotice) isForwarderOutput() {}
 
 // ReplyTakeover lists the submissions of its cell that this host knows for a new lead.
 type ReplyTakeover struct {
