--- a/pkg/coordinator/membership.go
+++ b/pkg/coordinator/membership.go
@@ -313,7 +313,7 @@
 		notice := messenger.LeadNotice{
 			FailureDomain: output.FailureDomain, Cell: output.Cell, Host: output.Host, Epoch: output.Epoch,
 		}
-		coordinator.notifyForwarder(&forwarder.LeadKnown{Notice: notice})
+		coordinator.notifyForwarder(&forwarder.LeadChanged{Notice: notice})
 		coordinator.handleLeadKnown(notice)
 		if output.FailureDomain != coordinator.Self.FailureDomain {
 			coordinator.notifyDispatcher(&dispatcher.RemoteLeadChanged{Notice: notice})
--- a/pkg/forwarder/bench_test.go
+++ b/pkg/forwarder/bench_test.go
@@ -54,7 +54,7 @@
 // per submission.
 func measureHeap(b *testing.B, inputsOf func(number int) []forwarder.Input) {
 	tested := &forwarder.Forwarder{Self: "entry", FailureDomain: "leuven", Settings: forwarder.DefaultSettings()}
-	tested.Tick(0, []forwarder.Input{&forwarder.LeadKnown{Notice: messenger.LeadNotice{FailureDomain: "leuven", Host: "lead", Epoch: 1}}})
+	tested.Tick(0, []forwarder.Input{&forwarder.LeadChanged{Notice: messenger.LeadNotice{FailureDomain: "leuven", Host: "lead", Epoch: 1}}})
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/pkg/forwarder/cancel_test.go
+++ b/pkg/forwarder/cancel_test.go
@@ -15,7 +15,7 @@
 func TestCancellationFollowsTheLead(t *testing.T) {
 	tested := &forwarder.Forwarder{Self: "entry-0", FailureDomain: "thu-duc", Settings: forwarder.DefaultSettings()}
 	lead := func(host identifier.HostID, epoch identifier.Epoch) forwarder.Input {
-		return &forwarder.LeadKnown{Notice: messenger.LeadNotice{FailureDomain: "thu-duc", Host: host, Epoch: epoch}}
+		return &forwarder.LeadChanged{Notice: messenger.LeadNotice{FailureDomain: "thu-duc", Host: host, Epoch: epoch}}
 	}
 	job := &messenger.Job{
 		Submission: "s-1", Job: "j-1", Caller: "garage-7",
--- a/pkg/forwarder/differing_test.go
+++ b/pkg/forwarder/differing_test.go
@@ -31,7 +31,7 @@
 		neighbour := &forwarder.Forwarder{Self: "entry-1", FailureDomain: "thu-duc", Settings: forwarder.DefaultSettings()}
 		neighbour.Tick(0, []forwarder.Input{
 			&forwarder.HostsChanged{Living: []identifier.HostID{"entry-0", "entry-1", "entry-2"}},
-			&forwarder.LeadKnown{Notice: messenger.LeadNotice{FailureDomain: "thu-duc", Host: "entry-0", Epoch: 2}},
+			&forwarder.LeadChanged{Notice: messenger.LeadNotice{FailureDomain: "thu-duc", Host: "entry-0", Epoch: 2}},
 			&forwarder.CallerSubmitted{Waiter: 1, Job: job, Deadline: identifier.Never},
 			&forwarder.AnswerArrived{From: "entry-0", Answer: complete},
 		})
--- a/pkg/forwarder/ending_test.go
+++ b/pkg/forwarder/ending_test.go
@@ -16,7 +16,7 @@
 	tested := &forwarder.Forwarder{Self: "entry-0", FailureDomain: "thu-duc", Settings: forwarder.DefaultSettings()}
 	tested.Tick(0, []forwarder.Input{
 		&forwarder.HostsChanged{Living: []identifier.HostID{"entry-0", "entry-1"}},
-		&forwarder.LeadKnown{Notice: messenger.LeadNotice{FailureDomain: "thu-duc", Host: "entry-1", Epoch: 1}},
+		&forwarder.LeadChanged{Notice: messenger.LeadNotice{FailureDomain: "thu-duc", Host: "entry-1", Epoch: 1}},
 		submitted("s-long", 1), submitted("s-short", 2),
 	})
 	complete := &messenger.JobAnswer{Submission: "s-short", Outcome: messenger.OutcomeComplete}
@@ -45,7 +45,7 @@
 	tested := &forwarder.Forwarder{Self: "entry-0", FailureDomain: "thu-duc", Settings: forwarder.DefaultSettings()}
 	tested.Tick(0, []forwarder.Input{
 		&forwarder.HostsChanged{Living: []identifier.HostID{"entry-0", "entry-1"}},
-		&forwarder.LeadKnown{Notice: messenger.LeadNotice{FailureDomain: "thu-duc", Host: "entry-1", Epoch: 1}},
+		&forwarder.LeadChanged{Notice: messenger.LeadNotice{FailureDomain: "thu-duc", Host: "entry-1", Epoch: 1}},
 		&forwarder.CallerCancelled{Waiter: 1, Caller: "garage-7", Submission: "s-elsewhere"},
 	})
 	if tested.WaitingLookups() != 1 {
--- a/pkg/forwarder/forwarder.go
+++ b/pkg/forwarder/forwarder.go
@@ -171,7 +171,7 @@
 		forwarder.recordAnswer(input)
 	case *AnswerRequested:
 		forwarder.sendKeptAnswer(input)
-	case *LeadKnown:
+	case *LeadChanged:
 		forwarder.recordLead(input)
 	case *HostsChanged:
 		forwarder.handleHostsChanged(input.Living)
--- a/pkg/forwarder/input.go
+++ b/pkg/forwarder/input.go
@@ -47,8 +47,8 @@
 	Request messenger.AnswerRequest
 }
 
-// LeadKnown reports which host leads a cell, or, without a host, that no living host does.
-type LeadKnown struct {
+// LeadChanged reports which host leads a cell, or, without a host, that no living host does.
+type LeadChanged struct {
 	Notice messenger.LeadNotice
 }
 
@@ -192,7 +192,7 @@
 func (*CallerCancelled) isForwarderInput()        {}
 func (*AnswerArrived) isForwarderInput()          {}
 func (*AnswerRequested) isForwarderInput()        {}
-func (*LeadKnown) isForwarderInput()              {}
+func (*LeadChanged) isForwarderInput()            {}
 func (*HostsChanged) isForwarderInput()           {}
 func (*CopiesRequested) isForwarderInput()        {}
 func (*CopiesHeld) isForwarderInput()             {}
--- a/pkg/forwarder/lead_test.go
+++ b/pkg/forwarder/lead_test.go
@@ -14,8 +14,8 @@
 // forwarding jobs to the host that gave way.
 func TestLeadChangesWithinOneEpoch(t *testing.T) {
 	forwarder := &Forwarder{Self: "a", FailureDomain: "geel", Settings: DefaultSettings()}
-	lead := func(host identifier.HostID) *LeadKnown {
-		return &LeadKnown{Notice: messenger.LeadNotice{FailureDomain: "geel", Host: host, Epoch: 1}}
+	lead := func(host identifier.HostID) *LeadChanged {
+		return &LeadChanged{Notice: messenger.LeadNotice{FailureDomain: "geel", Host: host, Epoch: 1}}
 	}
 	job := &messenger.Job{Submission: "s", Caller: "c", MayRun: []identifier.FailureDomain{"geel"}}
 	forwarder.Tick(0, []Input{lead("b"), &CallerSubmitted{Job: job, Deadline: identifier.Never}})
--- a/pkg/forwarder/relay_test.go
+++ b/pkg/forwarder/relay_test.go
@@ -25,7 +25,7 @@
 	}
 	outputs := tested.Tick(0, []forwarder.Input{
 		&forwarder.HostsChanged{Living: []identifier.HostID{"entry-0", "entry-1"}},
-		&forwarder.LeadKnown{Notice: messenger.LeadNotice{FailureDomain: "thu-duc", Host: "entry-0", Epoch: 1}},
+		&forwarder.LeadChanged{Notice: messenger.LeadNotice{FailureDomain: "thu-duc", Host: "entry-0", Epoch: 1}},
 		relayed("far-0"), relayed("far-1"), relayed("far-0"),
 	})
 	requested := 0
--- a/pkg/forwarder/submissions.go
+++ b/pkg/forwarder/submissions.go
@@ -184,7 +184,7 @@
 
 // recordLead records which host leads a cell and forwards the unanswered jobs of the cell to a
 // new lead. A notice without a host means that no living host leads the cell.
-func (forwarder *Forwarder) recordLead(input *LeadKnown) {
+func (forwarder *Forwarder) recordLead(input *LeadChanged) {
 	key := cellKey{failureDomain: input.Notice.FailureDomain, cell: input.Notice.Cell}
 	known := forwarder.leads.Get(key)
 	switch {
