--- a/pkg/coordinator/intentdriver.go
+++ b/pkg/coordinator/intentdriver.go
@@ -270,7 +270,7 @@
 		if _, lost := input.(planner.WorkerLost); !lost {
 			// A message of a worker proves as well as one of a backend server that this host isn't
 			// cut off.
-			intentDriver.coordinator.notifyElector(elector.ServerHeard{})
+			intentDriver.coordinator.notifyElector(elector.ServerResponded{})
 		}
 		switch input := input.(type) {
 		case planner.WorkerAnnounced:
--- a/pkg/coordinator/membership.go
+++ b/pkg/coordinator/membership.go
@@ -245,7 +245,7 @@
 
 // recordServerContact records that a backend server has responded.
 func (coordinator *Coordinator) recordServerContact() {
-	coordinator.notifyElector(elector.ServerHeard{})
+	coordinator.notifyElector(elector.ServerResponded{})
 	if !coordinator.possiblyIsolated {
 		return
 	}
--- a/pkg/elector/decide.go
+++ b/pkg/elector/decide.go
@@ -14,7 +14,7 @@
 		if input.FailureDomain == elector.FailureDomain {
 			elector.recordHosts(elector.countOthers(), input.Missing)
 		}
-	case ServerHeard:
+	case ServerResponded:
 		elector.recordServerResponse()
 	case HostRestarted:
 		elector.dropAnnouncements(input.FailureDomain, input.Host)
--- a/pkg/elector/elector_test.go
+++ b/pkg/elector/elector_test.go
@@ -66,7 +66,7 @@
 		// All hosts of the own failure domain except this one are unreachable.
 		return HostsChanged{FailureDomain: domain, Living: []identifier.HostID{"b"}, Missing: 2}
 	case "server-heard":
-		return ServerHeard{}
+		return ServerResponded{}
 	case "restarted":
 		return HostRestarted{FailureDomain: domain, Host: identifier.HostID(words[2])}
 	case "lead-seen":
--- a/pkg/elector/messages.go
+++ b/pkg/elector/messages.go
@@ -14,8 +14,8 @@
 	Missing int
 }
 
-// ServerHeard reports that a backend server of the own failure domain has responded.
-type ServerHeard struct{}
+// ServerResponded reports that a backend server of the own failure domain has responded.
+type ServerResponded struct{}
 
 // HostRestarted reports that a host runs a new process, which leads none of the cells that the
 // old one announced.
@@ -59,15 +59,15 @@
 // Resign makes this host give up its cells and acquire none from then on.
 type Resign struct{}
 
-func (HostsChanged) input()  {}
-func (ServerHeard) input()   {}
-func (HostRestarted) input() {}
-func (LeadSeen) input()      {}
-func (LeadWithdrawn) input() {}
-func (EpochSeen) input()     {}
-func (Joined) input()        {}
-func (StoodStill) input()    {}
-func (Resign) input()        {}
+func (HostsChanged) input()    {}
+func (ServerResponded) input() {}
+func (HostRestarted) input()   {}
+func (LeadSeen) input()        {}
+func (LeadWithdrawn) input()   {}
+func (EpochSeen) input()       {}
+func (Joined) input()          {}
+func (StoodStill) input()      {}
+func (Resign) input()          {}
 
 // Output is a decision of this host or a change of its view.
 type Output interface{ output() }
--- a/pkg/elector/start_test.go
+++ b/pkg/elector/start_test.go
@@ -38,7 +38,7 @@
 			t.Errorf("it acquired the cell at %d ms, before any response", moment)
 		}
 	}
-	tested.Tick(at(2600), []elector.Input{elector.ServerHeard{}})
+	tested.Tick(at(2600), []elector.Input{elector.ServerResponded{}})
 	if acquired(tested.Tick(at(2800), nil)) {
 		t.Error("it acquired the cell before a living lead could announce itself")
 	}
