--- a/pkg/coordinator/isolation.go
+++ b/pkg/coordinator/isolation.go
@@ -48,7 +48,7 @@
 	coordinator.notifyDispatcher(&dispatcher.IsolationEnded{})
 	if responded {
 		clear(coordinator.deadButConnected)
-		coordinator.notifyElector(elector.StoodStill{})
+		coordinator.notifyElector(elector.ProcessStalled{})
 		coordinator.settleMembership()
 	}
 }
--- a/pkg/coordinator/suspension.go
+++ b/pkg/coordinator/suspension.go
@@ -28,6 +28,6 @@
 	if !coordinator.wasSuspended {
 		return
 	}
-	coordinator.notifyElector(elector.StoodStill{})
+	coordinator.notifyElector(elector.ProcessStalled{})
 	coordinator.settleMembership()
 }
--- a/pkg/elector/decide.go
+++ b/pkg/elector/decide.go
@@ -29,7 +29,7 @@
 		cell.highestEpoch = max(cell.highestEpoch, input.Epoch)
 	case Joined:
 		elector.handleJoined()
-	case StoodStill:
+	case ProcessStalled:
 		elector.handleStall()
 	case Resign:
 		elector.resign()
--- a/pkg/elector/messages.go
+++ b/pkg/elector/messages.go
@@ -52,9 +52,9 @@
 // except for announcements still on their way.
 type Joined struct{}
 
-// StoodStill reports that this host was stalled for so long that others may have acquired its
+// ProcessStalled reports that this host was stalled for so long that others may have acquired its
 // cells.
-type StoodStill struct{}
+type ProcessStalled struct{}
 
 // Resign makes this host give up its cells and acquire none from then on.
 type Resign struct{}
@@ -66,7 +66,7 @@
 func (LeadWithdrawn) input()   {}
 func (EpochSeen) input()       {}
 func (Joined) input()          {}
-func (StoodStill) input()      {}
+func (ProcessStalled) input()  {}
 func (Resign) input()          {}
 
 // Output is a decision of this host or a change of its view.
--- a/pkg/elector/stall_test.go
+++ b/pkg/elector/stall_test.go
@@ -21,7 +21,7 @@
 				t.Fatalf("%q leads", lead)
 			}
 			resumedAt := identifier.Moment(5 * time.Second)
-			outputs := host.Tick(resumedAt, []Input{StoodStill{}})
+			outputs := host.Tick(resumedAt, []Input{ProcessStalled{}})
 			if _, lost := outputs[0].(LeadLost); !lost {
 				t.Fatalf("the resumed host does not give up its cell: %+v", outputs)
 			}
