--- a/pkg/coordinator/membership.go
+++ b/pkg/coordinator/membership.go
@@ -41,7 +41,7 @@
 		Self:          coordinator.Self.Host,
 		FailureDomain: coordinator.Self.FailureDomain,
 		Cells:         max(coordinator.Settings.Dispatcher.Cells, 1),
-		Others:        coordinator.seedsOfOwnDomain(),
+		OtherHosts:    coordinator.seedsOfOwnDomain(),
 		SettleTime:    coordinator.Settings.LeadSettleTime,
 		OvertakenTime: coordinator.Settings.LeadOvertakenTime,
 		JoinedTime:    coordinator.Settings.LeadJoinedTime,
--- a/pkg/elector/elector.go
+++ b/pkg/elector/elector.go
@@ -25,10 +25,10 @@
 	FailureDomain identifier.FailureDomain
 	// Cells is the number of cells of the own failure domain.
 	Cells int
-	// Others is how many other hosts of the own failure domain the settings name. If it is
+	// OtherHosts is how many other hosts of the own failure domain the settings name. If it is
 	// positive, a host that has just started acquires no cell until one of them or a backend
 	// server has responded.
-	Others int
+	OtherHosts int
 	// OvertakenTime is how long a lead that learns of a higher epoch waits for the holder of
 	// that epoch to announce itself before it acquires the cell again. Zero means SettleTime.
 	OvertakenTime time.Duration
@@ -139,7 +139,7 @@
 func (elector *Elector) start() {
 	elector.started = true
 	elector.settlesAt = elector.now.Add(elector.SettleTime)
-	elector.isolation = isolation{alone: elector.Others > 0, stepsDownAt: elector.now.Add(stepDownWait)}
+	elector.isolation = isolation{alone: elector.OtherHosts > 0, stepsDownAt: elector.now.Add(stepDownWait)}
 	elector.domains = tabulator.New[identifier.FailureDomain, domainEntity]()
 	elector.cells = tabulator.New[cellKey, cellEntity]()
 	elector.setLiving(elector.FailureDomain, nil)
--- a/pkg/elector/start_test.go
+++ b/pkg/elector/start_test.go
@@ -17,7 +17,7 @@
 		return identifier.Moment(time.Duration(milliseconds) * time.Millisecond)
 	}
 	starting := func(others int) *elector.Elector {
-		return &elector.Elector{Self: "entry-0", FailureDomain: "thu-duc", Cells: 1, Others: others, SettleTime: elector.DefaultSettleTime}
+		return &elector.Elector{Self: "entry-0", FailureDomain: "thu-duc", Cells: 1, OtherHosts: others, SettleTime: elector.DefaultSettleTime}
 	}
 	acquired := func(outputs []elector.Output) bool {
 		for _, output := range outputs {
