--- a/pkg/coordinator/membership.go
+++ b/pkg/coordinator/membership.go
@@ -96,7 +96,7 @@
 	living := coordinator.livingIn(member.FailureDomain)
 	coordinator.notifyStarter(&starter.HostsChanged{FailureDomain: member.FailureDomain, Living: coordinator.entryHosts(living)})
 	coordinator.notifyElector(elector.HostsChanged{
-		FailureDomain: member.FailureDomain, Living: coordinator.entryHosts(living), Missing: coordinator.countMissing(member.FailureDomain),
+		FailureDomain: member.FailureDomain, Living: coordinator.entryHosts(living), MissingHosts: coordinator.countMissing(member.FailureDomain),
 	})
 	coordinator.notifyForwarder(&forwarder.DomainChanged{FailureDomain: member.FailureDomain, Living: len(living) > 0})
 	if member.FailureDomain == coordinator.Self.FailureDomain {
--- a/pkg/elector/decide.go
+++ b/pkg/elector/decide.go
@@ -12,7 +12,7 @@
 	case HostsChanged:
 		elector.setLiving(input.FailureDomain, input.Living)
 		if input.FailureDomain == elector.FailureDomain {
-			elector.recordHosts(elector.countOthers(), input.Missing)
+			elector.recordHosts(elector.countOthers(), input.MissingHosts)
 		}
 	case ServerResponded:
 		elector.recordServerResponse()
--- a/pkg/elector/elector_test.go
+++ b/pkg/elector/elector_test.go
@@ -64,7 +64,7 @@
 		return HostsChanged{FailureDomain: domain, Living: hosts}
 	case "cut-off":
 		// All hosts of the own failure domain except this one are unreachable.
-		return HostsChanged{FailureDomain: domain, Living: []identifier.HostID{"b"}, Missing: 2}
+		return HostsChanged{FailureDomain: domain, Living: []identifier.HostID{"b"}, MissingHosts: 2}
 	case "server-heard":
 		return ServerResponded{}
 	case "restarted":
--- a/pkg/elector/messages.go
+++ b/pkg/elector/messages.go
@@ -10,8 +10,8 @@
 type HostsChanged struct {
 	FailureDomain identifier.FailureDomain
 	Living        []identifier.HostID
-	// Missing counts the hosts that are known, have not left and are not living.
-	Missing int
+	// MissingHosts counts the hosts that are known, have not left and are not living.
+	MissingHosts int
 }
 
 // ServerResponded reports that a backend server of the own failure domain has responded.
