--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -200,7 +200,7 @@
 		From:                 from,
 		Job:                  forward.Job,
 		Deadline:             identifier.DeadlineFrom(coordinator.now, forward.Remaining),
-		MayHaveEarlierStarts: forward.Again,
+		MayHaveEarlierStarts: forward.MayHaveEarlierStarts,
 		Age:                  forward.Age,
 	})
 }
@@ -291,7 +291,7 @@
 		coordinator.keepRecord(output.From, output.Partner, &output.Forward)
 		coordinator.notifyDispatcher(&dispatcher.JobForwarded{
 			From: output.From, Job: output.Forward.Job, Deadline: output.Deadline,
-			MayHaveEarlierStarts: output.Forward.Again, Age: output.Forward.Age,
+			MayHaveEarlierStarts: output.Forward.MayHaveEarlierStarts, Age: output.Forward.Age,
 		})
 	case *forwarder.ReplyLookup:
 		coordinator.send(output.To, PeerMessage{LookupReply: &output.Reply})
--- a/pkg/forwarder/submissions.go
+++ b/pkg/forwarder/submissions.go
@@ -124,10 +124,10 @@
 	forwarder.emit(&ForwardJob{
 		To: to,
 		Forward: messenger.Forward{
-			Job:       localSubmission.job,
-			Remaining: localSubmission.deadline.Remaining(forwarder.now),
-			Again:     localSubmission.forwardedBefore,
-			Age:       age,
+			Job:                  localSubmission.job,
+			Remaining:            localSubmission.deadline.Remaining(forwarder.now),
+			MayHaveEarlierStarts: localSubmission.forwardedBefore,
+			Age:                  age,
 		},
 		Deadline: localSubmission.deadline,
 	})
--- a/pkg/messenger/peer.go
+++ b/pkg/messenger/peer.go
@@ -33,8 +33,8 @@
 	Job *Job `cbor:"1,keyasint"`
 	// Remaining is the time until the deadline; nil when there is none.
 	Remaining *time.Duration `cbor:"2,keyasint,omitempty"`
-	// Again means that an earlier lead may have started tasks of the job.
-	Again bool `cbor:"3,keyasint,omitempty"`
+	// MayHaveEarlierStarts means that an earlier lead may have started tasks of the job.
+	MayHaveEarlierStarts bool `cbor:"3,keyasint,omitempty"`
 	// Age is the time since the sender first forwarded the job.
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
 }
