--- a/pkg/dispatcher/guests.go
+++ b/pkg/dispatcher/guests.go
@@ -34,7 +34,7 @@
 		return
 	}
 	job := dispatcher.newJob(cell, &JobForwarded{
-		Job: request.Job, Deadline: input.Deadline, MayHaveEarlierStarts: request.Again, Age: request.Age,
+		Job: request.Job, Deadline: input.Deadline, MayHaveEarlierStarts: request.MayHaveEarlierStarts, Age: request.Age,
 	})
 	job.homeLead = input.From
 	job.recipients = nil
--- a/pkg/dispatcher/guests_test.go
+++ b/pkg/dispatcher/guests_test.go
@@ -71,7 +71,7 @@
 		})
 		job := newJob("s-1", "a", "counter", equalRuns(1, 0), nil)
 		job.MayRun = []identifier.FailureDomain{"home", fake.Domain}
-		request := messenger.SpillRequest{Job: job, Mode: messenger.SpillRun, Epoch: 4, Again: again}
+		request := messenger.SpillRequest{Job: job, Mode: messenger.SpillRun, Epoch: 4, MayHaveEarlierStarts: again}
 		outputs := lead.Tick(1, []dispatcher.Input{
 			&dispatcher.SpillArrived{From: "home-0", Request: request, Deadline: identifier.Never, SenderNotLive: true},
 		})
--- a/pkg/dispatcher/spilling.go
+++ b/pkg/dispatcher/spilling.go
@@ -103,12 +103,12 @@
 	}
 	dispatcher.recordJobStep(explainer.KindSpilled, job.spec.Submission, string(target.host))
 	dispatcher.outputs.add(&SpillJob{To: target.host, Request: messenger.SpillRequest{
-		Job:       job.spec,
-		Remaining: job.deadline.Remaining(dispatcher.now),
-		Again:     job.mayHaveEarlierStarts,
-		Age:       dispatcher.now.Sub(job.firstForwarded),
-		Mode:      mode,
-		Epoch:     dispatcher.cells.Get(job.cell).epoch,
+		Job:                  job.spec,
+		Remaining:            job.deadline.Remaining(dispatcher.now),
+		MayHaveEarlierStarts: job.mayHaveEarlierStarts,
+		Age:                  dispatcher.now.Sub(job.firstForwarded),
+		Mode:                 mode,
+		Epoch:                dispatcher.cells.Get(job.cell).epoch,
 	}})
 }
 
--- a/pkg/messenger/spill.go
+++ b/pkg/messenger/spill.go
@@ -34,8 +34,8 @@
 	Job *Job `cbor:"1,keyasint"`
 	// Remaining is the time until the deadline; nil when there is none.
 	Remaining *time.Duration `cbor:"2,keyasint,omitempty"`
-	// Again means that tasks of the job may have been started before.
-	Again bool `cbor:"3,keyasint,omitempty"`
+	// MayHaveEarlierStarts means that tasks of the job may have been started before.
+	MayHaveEarlierStarts bool `cbor:"3,keyasint,omitempty"`
 	// Age is the time since the job was first forwarded.
 	Age  time.Duration `cbor:"4,keyasint,omitempty"`
 	Mode SpillMode     `cbor:"5,keyasint,omitempty"`
