--- a/pkg/dispatcher/guestqueries_test.go
+++ b/pkg/dispatcher/guestqueries_test.go
@@ -34,7 +34,7 @@
 		})
 		queries := 0
 		for _, output := range outputs {
-			if spill, isSpill := output.(*dispatcher.SpillJob); isSpill && spill.Request.Mode == messenger.SpillAsk {
+			if spill, isSpill := output.(*dispatcher.SpillJob); isSpill && spill.Request.Mode == messenger.SpillQuery {
 				queries++
 			}
 		}
--- a/pkg/dispatcher/guests.go
+++ b/pkg/dispatcher/guests.go
@@ -21,7 +21,7 @@
 		dispatcher.answerHomeLead(known, input)
 		return
 	}
-	if request.Mode == messenger.SpillAsk {
+	if request.Mode == messenger.SpillQuery {
 		dispatcher.outputs.add(&AnswerSpill{To: input.From, Answer: messenger.RefuseUnknown(
 			request.Job.Submission, messenger.ReasonUnknownSubmission, "nothing is known of the submission here")})
 		return
--- a/pkg/dispatcher/recovery.go
+++ b/pkg/dispatcher/recovery.go
@@ -58,7 +58,7 @@
 	job.mayHaveEarlierStarts = true
 	job.state = jobSpilled
 	job.spilledTo = spilledTo
-	dispatcher.sendSpill(job, messenger.SpillAsk)
+	dispatcher.sendSpill(job, messenger.SpillQuery)
 }
 
 // claimAgain requests the claim of a job that an earlier lead knew. That lead may have died before
--- a/pkg/dispatcher/spilling.go
+++ b/pkg/dispatcher/spilling.go
@@ -189,7 +189,7 @@
 // be learned. If records may be missing, an earlier lead may have answered it: a caller that has
 // received "complete" must not receive "failed".
 func (dispatcher *Dispatcher) giveUpSpilled(job *job, detail string) {
-	if job.spillMode == messenger.SpillAsk && dispatcher.cells.Get(job.cell).mayMissRecords() {
+	if job.spillMode == messenger.SpillQuery && dispatcher.cells.Get(job.cell).mayMissRecords() {
 		dispatcher.finish(job, messenger.RefuseUnknown(job.spec.Submission, messenger.ReasonTaskUnknown, detail))
 		return
 	}
--- a/pkg/messenger/spill.go
+++ b/pkg/messenger/spill.go
@@ -24,9 +24,9 @@
 	SpillNone SpillMode = iota
 	// SpillRun means that the home lead spills the job: the receiving lead may run it.
 	SpillRun
-	// SpillAsk means that the home lead only queries the state of the job: the request
+	// SpillQuery means that the home lead only queries the state of the job: the request
 	// must not start anything.
-	SpillAsk
+	SpillQuery
 )
 
 // SpillRequest sends a job to the lead of another failure domain.
