--- a/pkg/dispatcher/evacuating_test.go
+++ b/pkg/dispatcher/evacuating_test.go
@@ -47,7 +47,7 @@
 		return &dispatcher.JobForwarded{From: "entry-0", Job: job, Deadline: identifier.Never}
 	}
 	evacuated := &dispatcher.EvacuationsChanged{Evacuated: messenger.Evacuated{fake.Domain}}
-	free := &dispatcher.LoadAnnounced{From: "other-0", Notice: messenger.LoadNotice{FailureDomain: other, Free: 8}}
+	free := &dispatcher.LoadAnnounced{From: "other-0", Notice: messenger.LoadNotice{FailureDomain: other, FreeSlots: 8}}
 	for step, test := range []struct {
 		what   string
 		inputs []dispatcher.Input
--- a/pkg/dispatcher/remotes.go
+++ b/pkg/dispatcher/remotes.go
@@ -107,7 +107,7 @@
 func (dispatcher *Dispatcher) recordLoad(input *LoadAnnounced) {
 	key := remoteKey{failureDomain: input.Notice.FailureDomain, cell: input.Notice.Cell}
 	if remote := dispatcher.remotes.Get(key); remote != nil && remote.host == input.From {
-		remote.free = input.Notice.Free
+		remote.free = input.Notice.FreeSlots
 	}
 }
 
@@ -139,7 +139,7 @@
 	}
 	cell.announcedFree = free
 	cell.announcedAt = dispatcher.now
-	notice := messenger.LoadNotice{FailureDomain: dispatcher.FailureDomain, Cell: cell.number, Free: free}
+	notice := messenger.LoadNotice{FailureDomain: dispatcher.FailureDomain, Cell: cell.number, FreeSlots: free}
 	dispatcher.remotes.Each(func(key remoteKey, remote *remote) bool {
 		if key.cell == cell.number && !remote.unreachable {
 			dispatcher.outputs.add(&AnnounceLoad{To: remote.host, Notice: notice})
--- a/pkg/messenger/spill.go
+++ b/pkg/messenger/spill.go
@@ -11,8 +11,8 @@
 type LoadNotice struct {
 	FailureDomain identifier.FailureDomain `cbor:"1,keyasint"`
 	Cell          CellNumber               `cbor:"2,keyasint,omitempty"`
-	// Free is the number of idle slots.
-	Free identifier.Slots `cbor:"3,keyasint,omitempty"`
+	// FreeSlots is the number of idle slots.
+	FreeSlots identifier.Slots `cbor:"3,keyasint,omitempty"`
 }
 
 // SpillMode determines what a lead may do with a job of another failure domain.
