--- a/pkg/allocator/admission.go
+++ b/pkg/allocator/admission.go
@@ -148,7 +148,7 @@
 // What this host knew of the server before is no proof: another lead with a higher epoch may have
 // started the run there since. The task would run twice, and the log would show a run that was
 // adopted as "not listed" and ends well.
-func (allocator *Allocator) adopt(job *job, held messenger.HeldRun) {
+func (allocator *Allocator) adopt(job *job, held messenger.ActiveRun) {
 	key := messenger.RunKey{Job: job.request.Job, Task: held.TaskRequest.Task, Run: held.Run}
 	task := job.task(held.TaskRequest.Task)
 	if end := allocator.unmatchedEnds.Get(unmatchedEnd{server: held.Server, run: key}); end != nil {
--- a/pkg/allocator/reports.go
+++ b/pkg/allocator/reports.go
@@ -162,7 +162,7 @@
 // joinUnannounced adds a backend server that only a job's host has named, since an earlier lead
 // knew it. Its capacity is unknown, so it gets no start until it has reported itself; it is called
 // to find out what became of the run.
-func (allocator *Allocator) joinUnannounced(job *job, held messenger.HeldRun) *server {
+func (allocator *Allocator) joinUnannounced(job *job, held messenger.ActiveRun) *server {
 	allocator.join(&messenger.ServerReport{
 		Server: held.Server, Service: job.request.Service, Address: held.Address, FailureDomain: allocator.FailureDomain,
 	})
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -61,7 +61,7 @@
 	// RunsBelow is a run number; every new run must have a higher one.
 	RunsBelow identifier.RunNumber `cbor:"14,keyasint,omitempty"`
 	// Held are the runs that an earlier lead granted and that have not ended.
-	Held []HeldRun `cbor:"15,keyasint,omitempty"`
+	Held []ActiveRun `cbor:"15,keyasint,omitempty"`
 }
 
 // TaskRequest is one task that needs capacity.
@@ -73,8 +73,8 @@
 	Account budgeter.Account `cbor:"4,keyasint,omitzero"`
 }
 
-// HeldRun is a run that an earlier lead granted.
-type HeldRun struct {
+// ActiveRun is a run that an earlier lead granted.
+type ActiveRun struct {
 	TaskRequest TaskRequest                  `cbor:"1,keyasint"`
 	Run         identifier.RunNumber         `cbor:"2,keyasint"`
 	Server      identifier.ServerIncarnation `cbor:"3,keyasint"`
