--- a/pkg/allocator/admission.go
+++ b/pkg/allocator/admission.go
@@ -125,11 +125,11 @@
 // adoptHeld takes over the runs that an earlier lead granted, and reports whether the request named
 // any. Tasks whose run is not there any more are placed again.
 func (allocator *Allocator) adoptHeld(job *job) bool {
-	if len(job.request.Held) == 0 {
+	if len(job.request.ActiveRuns) == 0 {
 		return false
 	}
 	job.granted = true
-	for _, held := range job.request.Held {
+	for _, held := range job.request.ActiveRuns {
 		allocator.adopt(job, held)
 	}
 	for index := range job.tasks {
--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -222,7 +222,7 @@
 		key, server := scanRun(t, string(request.Job)+"/"+text)
 		task.Task = key.Task
 		address := cmp.Or(scanString(t, data, "held-address"), "address of "+string(server.Server()))
-		request.Held = append(request.Held, messenger.ActiveRun{TaskRequest: task, Run: key.Run, Server: server, Address: address})
+		request.ActiveRuns = append(request.ActiveRuns, messenger.ActiveRun{TaskRequest: task, Run: key.Run, Server: server, Address: address})
 	}
 	return request
 }
--- a/pkg/allocator/jobs.go
+++ b/pkg/allocator/jobs.go
@@ -136,7 +136,7 @@
 	for _, requested := range request.Tasks {
 		created.tasks = append(created.tasks, task{requested: requested, account: allocator.accountOf(request.Job, requested)})
 	}
-	for _, held := range request.Held {
+	for _, held := range request.ActiveRuns {
 		created.tasks = append(created.tasks, task{requested: held.TaskRequest, account: allocator.accountOf(request.Job, held.TaskRequest)})
 		created.lastRun = max(created.lastRun, held.Run)
 	}
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -60,8 +60,8 @@
 	Partial bool `cbor:"18,keyasint,omitempty"`
 	// RunsBelow is a run number; every new run must have a higher one.
 	RunsBelow identifier.RunNumber `cbor:"14,keyasint,omitempty"`
-	// Held are the runs that an earlier lead granted and that have not ended.
-	Held []ActiveRun `cbor:"15,keyasint,omitempty"`
+	// ActiveRuns are the runs that an earlier lead granted and that have not ended.
+	ActiveRuns []ActiveRun `cbor:"15,keyasint,omitempty"`
 }
 
 // TaskRequest is one task that needs capacity.
--- a/pkg/supervisor/groups.go
+++ b/pkg/supervisor/groups.go
@@ -161,7 +161,7 @@
 		switch {
 		case task.done || task.group != group:
 		case task.start != nil:
-			request.Held = append(request.Held, messenger.ActiveRun{
+			request.ActiveRuns = append(request.ActiveRuns, messenger.ActiveRun{
 				TaskRequest: job.spec.Tasks[index], Run: task.start.Run.Run, Server: task.start.Server, Address: task.start.Address,
 			})
 		default:
