--- a/pkg/allocator/admission.go
+++ b/pkg/allocator/admission.go
@@ -112,7 +112,7 @@
 				return true
 			}
 			known = true
-			fits = job.tasks[index].requested.Needs.Fits(server.report.Capacity) && server.hasLabel(job.request.Label)
+			fits = job.tasks[index].requested.Needs.Fits(server.report.Capacity) && server.hasLabel(job.request.RequiredLabel)
 			return !fits
 		})
 		if !fits && known {
--- a/pkg/allocator/placing.go
+++ b/pkg/allocator/placing.go
@@ -149,7 +149,7 @@
 	if server.suspects > 0 && task.account.IsSuspect() {
 		return false
 	}
-	if server.report.Server == task.avoid || !server.hasLabel(job.request.Label) {
+	if server.report.Server == task.avoid || !server.hasLabel(job.request.RequiredLabel) {
 		return false
 	}
 	return job.request.PerServer == 0 || job.runsOn(server.report.Server) < job.request.PerServer
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -31,8 +31,8 @@
 	Tasks   []TaskRequest `cbor:"5,keyasint"`
 	// Attempts is how many runs of one task may fail.
 	Attempts int `cbor:"6,keyasint"`
-	// Label is a label that the backend server must have; empty for none.
-	Label string `cbor:"7,keyasint,omitempty"`
+	// RequiredLabel is a label that the backend server must have; empty for none.
+	RequiredLabel string `cbor:"7,keyasint,omitempty"`
 	// Near is a preferred label of the backend server: the rack of the job's data. Tasks take
 	// longer on servers without it.
 	Near string `cbor:"17,keyasint,omitempty"`
