--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -204,7 +204,7 @@
 	request := messenger.CapacityRequest{
 		Job: identifier.JobID(scanString(t, data, "job")), Service: "desk", Queue: "quick", Attempts: 2, Stretch: 1.6,
 		Allowance: 60 * time.Millisecond, Remaining: 2 * time.Second, HandedOff: data.HasArg("handed-over"), Partial: data.HasArg("part"),
-		Near: scanString(t, data, "near"),
+		PreferredLabel: scanString(t, data, "near"),
 	}
 	tasks, milliseconds, cpu := 0, 60, 14000
 	data.MaybeScanArgs(t, "tasks", &tasks)
--- a/pkg/allocator/placing.go
+++ b/pkg/allocator/placing.go
@@ -132,7 +132,7 @@
 			waste = left % usual
 		}
 		load := server.used.MilliCPU
-		near := server.hasLabel(job.request.Near)
+		near := server.hasLabel(job.request.PreferredLabel)
 		fitsBetter := waste < bestWaste || waste == bestWaste && load < bestLoad
 		if best == nil || near && !bestNear || near == bestNear && fitsBetter {
 			best, bestWaste, bestLoad, bestNear = server, waste, load, near
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -33,9 +33,9 @@
 	Attempts int `cbor:"6,keyasint"`
 	// RequiredLabel is a label that the backend server must have; empty for none.
 	RequiredLabel string `cbor:"7,keyasint,omitempty"`
-	// Near is a preferred label of the backend server: the rack of the job's data. Tasks take
+	// PreferredLabel is a preferred label of the backend server: the rack of the job's data. Tasks take
 	// longer on servers without it.
-	Near string `cbor:"17,keyasint,omitempty"`
+	PreferredLabel string `cbor:"17,keyasint,omitempty"`
 	// PerServer is the maximum number of the job's tasks on one backend server; 0 is no limit.
 	PerServer int `cbor:"8,keyasint,omitempty"`
 	// Elapsed is the time since the caller sent the job.
