--- a/pkg/allocator/placing.go
+++ b/pkg/allocator/placing.go
@@ -152,7 +152,7 @@
 	if server.report.Server == task.avoid || !server.hasLabel(job.request.RequiredLabel) {
 		return false
 	}
-	return job.request.PerServer == 0 || job.runsOn(server.report.Server) < job.request.PerServer
+	return job.request.MaxTasksPerServer == 0 || job.runsOn(server.report.Server) < job.request.MaxTasksPerServer
 }
 
 func (job *job) runsOn(server identifier.ServerIncarnation) int {
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -36,8 +36,8 @@
 	// PreferredLabel is a preferred label of the backend server: the rack of the job's data. Tasks take
 	// longer on servers without it.
 	PreferredLabel string `cbor:"17,keyasint,omitempty"`
-	// PerServer is the maximum number of the job's tasks on one backend server; 0 is no limit.
-	PerServer int `cbor:"8,keyasint,omitempty"`
+	// MaxTasksPerServer is the maximum number of the job's tasks on one backend server; 0 is no limit.
+	MaxTasksPerServer int `cbor:"8,keyasint,omitempty"`
 	// Elapsed is the time since the caller sent the job.
 	Elapsed time.Duration `cbor:"9,keyasint,omitempty"`
 	// Stretch times the longest run time, plus Allowance, is the response time up to which the
--- a/pkg/supervisor/groups.go
+++ b/pkg/supervisor/groups.go
@@ -150,7 +150,7 @@
 func (supervisor *Supervisor) newRequest(job *job, group *group, cell messenger.CellRef) messenger.CapacityRequest {
 	request := messenger.CapacityRequest{
 		Job: job.spec.Job, Cell: cell.Cell, Service: job.spec.Service, Queue: job.spec.Queue, Urgency: job.spec.Urgency,
-		Attempts: job.spec.Attempts, RequiredLabel: job.spec.Label, PreferredLabel: job.spec.Near, PerServer: job.spec.PerServer,
+		Attempts: job.spec.Attempts, RequiredLabel: job.spec.Label, PreferredLabel: job.spec.Near, MaxTasksPerServer: job.spec.PerServer,
 		Elapsed: supervisor.now.Sub(job.arrivedAt), Stretch: job.spec.Stretch, Allowance: job.spec.Allowance,
 		Remaining: job.deadline.Sub(supervisor.now), HandedOff: cell != supervisor.homeCell(job) || len(group.tried) > 1, Partial: len(job.groups) > 1,
 		RunsBelow: job.lastRun, Number: group.requestNumber,
