--- a/pkg/allocator/jobs.go
+++ b/pkg/allocator/jobs.go
@@ -156,9 +156,9 @@
 // lastRunOf is the highest number that a run of a job may have had.
 func (allocator *Allocator) lastRunOf(request *messenger.CapacityRequest) identifier.RunNumber {
 	if last := allocator.lastRuns.Get(request.Job); last != nil {
-		return max(request.RunsBelow, *last)
+		return max(request.HighestRun, *last)
 	}
-	return request.RunsBelow
+	return request.HighestRun
 }
 
 // schedule computes when the job is due, and sorts its tasks: the longest starts first, as the
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -58,8 +58,8 @@
 	// Partial means that other tasks of the job are requested from other leads: the tasks of this
 	// request are accepted however long they must wait, since the job's answer waits for them.
 	Partial bool `cbor:"18,keyasint,omitempty"`
-	// RunsBelow is a run number; every new run must have a higher one.
-	RunsBelow identifier.RunNumber `cbor:"14,keyasint,omitempty"`
+	// HighestRun is a run number; every new run must have a higher one.
+	HighestRun identifier.RunNumber `cbor:"14,keyasint,omitempty"`
 	// ActiveRuns are the runs that an earlier lead granted and that have not ended.
 	ActiveRuns []ActiveRun `cbor:"15,keyasint,omitempty"`
 }
--- a/pkg/supervisor/supervisor_test.go
+++ b/pkg/supervisor/supervisor_test.go
@@ -158,7 +158,7 @@
 		switch output := output.(type) {
 		case *supervisor.RequestCapacity:
 			fmt.Fprintf(&lines, "ask %s for %s: %d tasks, %d held, runs above %d, handed over %v\n", output.To, output.Request.Job,
-				len(output.Request.Tasks), len(output.Request.ActiveRuns), output.Request.RunsBelow, output.Request.HandedOff)
+				len(output.Request.Tasks), len(output.Request.ActiveRuns), output.Request.HighestRun, output.Request.HandedOff)
 		case *supervisor.ReleaseCapacity:
 			fmt.Fprintf(&lines, "release %s at %s\n", output.Release.Job, output.To)
 		case *supervisor.ReportStart:
