--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -143,7 +143,7 @@
 		case *allocator.AnswerRequest:
 			fmt.Fprintf(&lines, "answer %s %s %s", output.Answer.Job, output.Answer.Kind, output.Answer.Reason)
 			if len(output.Answer.Tasks) > 0 {
-				fmt.Fprintf(&lines, " at %s for tasks %v", output.Answer.Other.FailureDomain, output.Answer.Tasks)
+				fmt.Fprintf(&lines, " at %s for tasks %v", output.Answer.OtherCell.FailureDomain, output.Answer.Tasks)
 			}
 			lines.WriteByte('\n')
 		case *allocator.NotifyDone:
--- a/pkg/allocator/handoffs.go
+++ b/pkg/allocator/handoffs.go
@@ -74,7 +74,7 @@
 	// The other tasks start there, and the job's answer waits for those that wait here.
 	allocator.markGranted(job)
 	allocator.answerJob(job, messenger.CapacityAnswer{
-		Job: job.request.Job, Kind: messenger.CapacityAnswerAskOther, Other: handedOff.cell, Tasks: handedOff.tasks, Accounts: accounts,
+		Job: job.request.Job, Kind: messenger.CapacityAnswerAskOther, OtherCell: handedOff.cell, Tasks: handedOff.tasks, Accounts: accounts,
 		Unreferred: !allocator.runsReported,
 	})
 	allocator.logDecision(messenger.Decision{
--- a/pkg/allocator/load_test.go
+++ b/pkg/allocator/load_test.go
@@ -288,7 +288,7 @@
 		load.rejected++
 		delete(load.open, answer.Job)
 	case answer.Kind == messenger.CapacityAnswerAskOther:
-		load.requestFrom(job, answer, load.leadNamed(identifier.HostID(answer.Other.FailureDomain)))
+		load.requestFrom(job, answer, load.leadNamed(identifier.HostID(answer.OtherCell.FailureDomain)))
 	case answer.Kind == messenger.CapacityAnswerEvacuated:
 		load.requestFrom(job, answer, len(load.leads)-1)
 	}
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -118,8 +118,8 @@
 	RetryAfter time.Duration `cbor:"5,keyasint,omitempty"`
 	// Cell is the cell of the answering lead.
 	Cell CellNumber `cbor:"7,keyasint,omitempty"`
-	// Other is the cell to send the request to instead of this one.
-	Other         CellRef       `cbor:"6,keyasint,omitzero"`
+	// OtherCell is the cell to send the request to instead of this one.
+	OtherCell     CellRef       `cbor:"6,keyasint,omitzero"`
 	RequestNumber RequestNumber `cbor:"9,keyasint,omitempty"`
 	// Tasks are the tasks to request from Other; the rest stays here. None means all.
 	Tasks []TaskIndex `cbor:"8,keyasint,omitempty"`
--- a/pkg/supervisor/groups.go
+++ b/pkg/supervisor/groups.go
@@ -173,7 +173,7 @@
 
 // followReferral sends a group, or some of its tasks, to the cell that its lead refers it to.
 func (supervisor *Supervisor) followReferral(job *job, group *group, answer *messenger.CapacityAnswer) {
-	lead := supervisor.leadOf(answer.Other)
+	lead := supervisor.leadOf(answer.OtherCell)
 	if lead == "" {
 		supervisor.refuse(job, messenger.ReasonNoBackendServer, "the lead that has room is gone", answer.RetryAfter)
 		return
@@ -181,14 +181,14 @@
 	if len(answer.Tasks) > 0 {
 		group = supervisor.splitOff(job, group, answer)
 	}
-	if other := job.otherGroupAt(answer.Other, group); other != nil {
+	if other := job.otherGroupAt(answer.OtherCell, group); other != nil {
 		supervisor.merge(job, group, other)
 		return
 	}
 	if !answer.Unreferred {
-		group.referredTo = answer.Other
+		group.referredTo = answer.OtherCell
 	}
-	supervisor.sendRequest(job, group, lead, answer.Other)
+	supervisor.sendRequest(job, group, lead, answer.OtherCell)
 }
 
 // otherGroupAt returns the group other than except that has a request at a cell, or nil.
--- a/pkg/supervisor/supervisor_test.go
+++ b/pkg/supervisor/supervisor_test.go
@@ -82,7 +82,7 @@
 			t.Fatal(err)
 		}
 		inputs = append(inputs, &supervisor.AnswerArrived{From: from, Answer: messenger.CapacityAnswer{
-			Job: id, Kind: kind, Other: messenger.CellRef{FailureDomain: identifier.FailureDomain(scanString(t, data, "other"))},
+			Job: id, Kind: kind, OtherCell: messenger.CellRef{FailureDomain: identifier.FailureDomain(scanString(t, data, "other"))},
 			Tasks: scanTasks(t, data), RequestNumber: scenario.requestNumber(data, from, id), GrantedBefore: data.HasArg("begun"),
 		}})
 	case "done":
