--- a/pkg/coordinator/inquiring.go
+++ b/pkg/coordinator/inquiring.go
@@ -62,7 +62,7 @@
 
 // recordJobElsewhere notifies the allocator of the home cell where a job of its failure domain is
 // placed. The allocator records it if this host leads that cell.
-func (coordinator *Coordinator) recordJobElsewhere(from identifier.HostID, notice *messenger.JobElsewhere) {
+func (coordinator *Coordinator) recordJobElsewhere(from identifier.HostID, notice *messenger.JobHandoff) {
 	coordinator.notifyAllocator(coordinator.homeCellOf(notice.Job), &allocator.JobHandedOff{
 		Job: notice.Job, Tasks: notice.Tasks, Cell: messenger.CellRef{FailureDomain: coordinator.domainOf(from), Cell: notice.Cell},
 	})
--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -313,7 +313,7 @@
 	StartResult     *messenger.StartResult     `cbor:"61,keyasint,omitempty"`
 	JobInquiry      *messenger.JobInquiry      `cbor:"62,keyasint,omitempty"`
 	JobInquiryReply *messenger.JobInquiryReply `cbor:"63,keyasint,omitempty"`
-	JobElsewhere    *messenger.JobElsewhere    `cbor:"64,keyasint,omitempty"`
+	JobElsewhere    *messenger.JobHandoff      `cbor:"64,keyasint,omitempty"`
 }
 
 // outbox collects the outputs of one tick, with one batch for each peer.
--- a/pkg/inquirer/inquirer.go
+++ b/pkg/inquirer/inquirer.go
@@ -241,7 +241,7 @@
 	request.Elapsed += waited
 	request.Remaining -= waited
 	inquirer.logDecision(inquiry, "cleared")
-	notice := messenger.JobElsewhere{Job: key.job, Cell: key.cell, Tasks: tasksOf(&request)}
+	notice := messenger.JobHandoff{Job: key.job, Cell: key.cell, Tasks: tasksOf(&request)}
 	for _, peer := range inquiry.request.Peers {
 		inquirer.emit(&SendNotice{To: peer, Notice: notice})
 	}
--- a/pkg/inquirer/messages.go
+++ b/pkg/inquirer/messages.go
@@ -54,7 +54,7 @@
 // SendNotice notifies a host of the cell that a job goes to.
 type SendNotice struct {
 	To     identifier.HostID
-	Notice messenger.JobElsewhere
+	Notice messenger.JobHandoff
 }
 
 // RequestPending notifies a host that its request waits for replies. Otherwise the host would treat
--- a/pkg/messenger/room.go
+++ b/pkg/messenger/room.go
@@ -165,9 +165,9 @@
 	Host identifier.HostID `cbor:"4,keyasint"`
 }
 
-// JobElsewhere notifies a host of a job's home that another cell is about to grant capacity to
+// JobHandoff notifies a host of a job's home that another cell is about to grant capacity to
 // tasks of the job.
-type JobElsewhere struct {
+type JobHandoff struct {
 	Job identifier.JobID `cbor:"1,keyasint"`
 	// Cell is the cell of the sending lead.
 	Cell  CellNumber  `cbor:"2,keyasint,omitempty"`
