--- a/pkg/dispatcher/entities.go
+++ b/pkg/dispatcher/entities.go
@@ -96,7 +96,7 @@
 
 // keptBySelf reports whether this host keeps the answer.
 func (recovered recoveredRecord) keptBySelf(self identifier.HostID) bool {
-	return recovered.holder == self && recovered.record.Answered && recovered.record.AnswerAt == ""
+	return recovered.holder == self && recovered.record.Answered && recovered.record.AnswerHost == ""
 }
 
 // unmatchedTasks collects what backend servers reported of a submission's tasks.
--- a/pkg/dispatcher/takeover.go
+++ b/pkg/dispatcher/takeover.go
@@ -130,15 +130,15 @@
 		knownAfter = identifier.Earlier(knownAfter, known.knownAfter)
 	}
 	candidate := recoveredRecord{holder: holder, record: record}
-	betterHolder := candidate.keptBySelf(dispatcher.Self) || record.Answered && record.AnswerAt == "" && known.record.AnswerAt != ""
+	betterHolder := candidate.keptBySelf(dispatcher.Self) || record.Answered && record.AnswerHost == "" && known.record.AnswerHost != ""
 	if found && known.record.Answered && !betterHolder {
 		known.knownSince = knownSince
 		known.knownAfter = knownAfter
 		cell.recovered[record.Submission] = known
 		return
 	}
-	if record.AnswerAt != "" {
-		holder = record.AnswerAt
+	if record.AnswerHost != "" {
+		holder = record.AnswerHost
 	}
 	cell.recovered[record.Submission] = recoveredRecord{
 		holder: holder, record: record, knownSince: knownSince, knownAfter: knownAfter, keptUntil: dispatcher.retainedUntil(record),
--- a/pkg/forwarder/copies.go
+++ b/pkg/forwarder/copies.go
@@ -174,8 +174,8 @@
 func (forwarder *Forwarder) addTakeoverRecords(input *TakeoverRecordsArrived) {
 	for _, record := range input.Records {
 		known := forwarder.copies.Get(record.Submission)
-		if record.Answered && record.AnswerAt == "" {
-			record.AnswerAt = input.From
+		if record.Answered && record.AnswerHost == "" {
+			record.AnswerHost = input.From
 		}
 		if known != nil && record.SpilledTo != "" {
 			known.record.SpilledTo = record.SpilledTo
@@ -310,7 +310,7 @@
 	record.Remaining = held.deadline.Remaining(forwarder.now)
 	if held.answer != nil {
 		record.Answered = true
-		record.AnswerAt = ""
+		record.AnswerHost = ""
 	}
 	return record
 }
--- a/pkg/messenger/peer.go
+++ b/pkg/messenger/peer.go
@@ -50,9 +50,9 @@
 	Age time.Duration `cbor:"5,keyasint,omitempty"`
 	// Answered means that the submission has its answer.
 	Answered bool `cbor:"6,keyasint,omitempty"`
-	// AnswerAt is the host that stores the answer if the sender doesn't store it itself;
+	// AnswerHost is the host that stores the answer if the sender doesn't store it itself;
 	// empty means the sender.
-	AnswerAt identifier.HostID `cbor:"7,keyasint,omitempty"`
+	AnswerHost identifier.HostID `cbor:"7,keyasint,omitempty"`
 	// Epoch is the epoch of the lead that requests a copy; zero in other messages.
 	Epoch identifier.Epoch `cbor:"8,keyasint,omitempty"`
 	// SpilledTo is the failure domain to which the job was spilled.
