--- a/pkg/dispatcher/seenservers.go
+++ b/pkg/dispatcher/seenservers.go
@@ -86,7 +86,7 @@
 // forwarded yet. Its caller's host knows the arrival time by its own clock and replied after the
 // takeover began. Other hosts learned of the submission from messages that had a transit time.
 func (dispatcher *Dispatcher) knownAfter(cell *cell, record *messenger.CopyRecord) identifier.Moment {
-	if record.FirstHand {
+	if record.FromCallerHost {
 		return cell.takenAt.Add(-record.Age)
 	}
 	return dispatcher.now.Add(-record.Age).Add(-transitAllowance)
@@ -95,7 +95,7 @@
 // forwardedAfter returns a time at which a job that other hosts know had provably not been
 // forwarded yet. If its caller's host is among them, that host's record decides.
 func (recovered recoveredRecord) forwardedAfter(job *job) identifier.Moment {
-	if recovered.record.FirstHand && slices.Contains(job.recipients, recovered.holder) {
+	if recovered.record.FromCallerHost && slices.Contains(job.recipients, recovered.holder) {
 		return recovered.knownAfter
 	}
 	return identifier.Earlier(job.forwardedAfter, recovered.knownAfter)
--- a/pkg/forwarder/copies.go
+++ b/pkg/forwarder/copies.go
@@ -270,7 +270,7 @@
 	forwarder.localSubmissions.Each(func(_ identifier.SubmissionID, localSubmission *localSubmission) bool {
 		if localSubmission.forwardedBefore && localSubmission.firstEpoch != input.Query.Epoch && forwarder.cellOf(localSubmission.job) == wanted {
 			record := forwarder.recordOf(localSubmission)
-			record.FirstHand = true
+			record.FromCallerHost = true
 			reply.Records = append(reply.Records, record)
 		}
 		return true
--- a/pkg/messenger/peer.go
+++ b/pkg/messenger/peer.go
@@ -59,9 +59,9 @@
 	SpilledTo identifier.FailureDomain `cbor:"9,keyasint,omitempty"`
 	// Remaining is the time until the job's deadline; nil when there is none.
 	Remaining *time.Duration `cbor:"10,keyasint,omitempty"`
-	// FirstHand means, in the reply to a takeover query, that the sender is the host that the
+	// FromCallerHost means, in the reply to a takeover query, that the sender is the host that the
 	// caller is connected to, and has measured Age itself.
-	FirstHand bool `cbor:"11,keyasint,omitempty"`
+	FromCallerHost bool `cbor:"11,keyasint,omitempty"`
 }
 
 // AnswerCopy asks a second host to store an answer.
