--- a/pkg/forwarder/replicas.go
+++ b/pkg/forwarder/replicas.go
@@ -261,7 +261,7 @@
 		submission := replica.Record.Submission
 		if known := forwarder.differingAnswer(replica.Answer); known != nil {
 			forwarder.emit(&SendAnswer{To: input.From, Answer: known})
-			receipt.Differing = append(receipt.Differing, submission)
+			receipt.DifferingAnswers = append(receipt.DifferingAnswers, submission)
 			continue
 		}
 		held := forwarder.copies.Get(submission)
@@ -313,7 +313,7 @@
 			forwarder.endReplication(submission, input.From)
 		}
 	}
-	for _, submission := range input.Receipt.Differing {
+	for _, submission := range input.Receipt.DifferingAnswers {
 		forwarder.endReplication(submission, input.From)
 	}
 	for _, submission := range input.Receipt.Answered {
--- a/pkg/messenger/replica.go
+++ b/pkg/messenger/replica.go
@@ -16,7 +16,7 @@
 	Submissions []identifier.SubmissionID `cbor:"1,keyasint,omitempty"`
 	// Answered are the ids of the replicas that came with their answer.
 	Answered []identifier.SubmissionID `cbor:"2,keyasint,omitempty"`
-	// Differing are the ids of the replicas whose answer differs from the one that the sender
+	// DifferingAnswers are the ids of the replicas whose answer differs from the one that the sender
 	// of the receipt had stored; it keeps its own.
-	Differing []identifier.SubmissionID `cbor:"3,keyasint,omitempty"`
+	DifferingAnswers []identifier.SubmissionID `cbor:"3,keyasint,omitempty"`
 }
