--- a/pkg/allocator/allocator.go
+++ b/pkg/allocator/allocator.go
@@ -42,7 +42,7 @@
 	// that is still unclaimed.
 	runsReported bool
 	// evacuations are the failure domains where nothing is started.
-	evacuations messenger.Evacuated
+	evacuations messenger.EvacuatedDomains
 	servers     *tabulator.Table[identifier.ServerIncarnation, server]
 	jobs        *tabulator.Table[identifier.JobID, job]
 	// waiting holds the jobs with tasks that wait for capacity, in the order of placement.
--- a/pkg/allocator/evacuating_test.go
+++ b/pkg/allocator/evacuating_test.go
@@ -14,8 +14,8 @@
 // lost when they move to another one.
 func TestEvacuation(t *testing.T) { runScenarios(t, "testdata/evacuations") }
 
-func domainsNamed(names []string) messenger.Evacuated {
-	var domains messenger.Evacuated
+func domainsNamed(names []string) messenger.EvacuatedDomains {
+	var domains messenger.EvacuatedDomains
 	for _, name := range names {
 		domains = append(domains, identifier.FailureDomain(name))
 	}
@@ -32,9 +32,9 @@
 func (load *load) scheduleEvacuation(planned evacuation) {
 	for _, change := range []struct {
 		at        time.Duration
-		evacuated messenger.Evacuated
+		evacuated messenger.EvacuatedDomains
 	}{
-		{planned.at, messenger.Evacuated{domainOf(0)}},
+		{planned.at, messenger.EvacuatedDomains{domainOf(0)}},
 		{planned.until, nil},
 	} {
 		for lead := range load.leads {
@@ -103,7 +103,7 @@
 // capacity.
 func TestEvacuationOfATaskThatIsHeldBack(t *testing.T) {
 	lead := &allocator.Allocator{FailureDomain: "leuven", Settings: allocator.DefaultSettings()}
-	lead.Tick(0, []allocator.Input{&allocator.LeadTaken{Epoch: 7}, &allocator.EvacuationsChanged{Evacuated: messenger.Evacuated{"leuven"}}})
+	lead.Tick(0, []allocator.Input{&allocator.LeadTaken{Epoch: 7}, &allocator.EvacuationsChanged{Evacuated: messenger.EvacuatedDomains{"leuven"}}})
 	task := messenger.TaskRequest{Needs: identifier.Resources{MilliCPU: 1000}, Declared: time.Second, Account: budgeter.Account{Crashes: 3}}
 	outputs := lead.Tick(1, []allocator.Input{&allocator.CapacityRequested{From: "host-b", Request: messenger.CapacityRequest{
 		Job: "j", Service: "desk", Queue: "quick", Attempts: 3, Stretch: 1.6, Remaining: time.Hour, HandedOff: true, Tasks: []messenger.TaskRequest{task},
@@ -122,9 +122,9 @@
 	load := newLoadOf(2, 4)
 	load.simulate(20, time.Second)
 	for _, want := range []struct {
-		evacuated messenger.Evacuated
+		evacuated messenger.EvacuatedDomains
 		room      bool
-	}{{nil, true}, {messenger.Evacuated{domainOf(0)}, false}, {nil, true}} {
+	}{{nil, true}, {messenger.EvacuatedDomains{domainOf(0)}, false}, {nil, true}} {
 		load.now = load.now.Add(2 * time.Second)
 		load.leads[0].Tick(load.now, []allocator.Input{&allocator.EvacuationsChanged{Evacuated: want.evacuated}})
 		var lastNotice *messenger.CapacityNotice
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -21,7 +21,7 @@
 type OthersFollow struct{ Following bool }
 
 // EvacuationsChanged reports in which failure domains nothing is started from now on.
-type EvacuationsChanged struct{ Evacuated messenger.Evacuated }
+type EvacuationsChanged struct{ Evacuated messenger.EvacuatedDomains }
 
 // RunsReported reports that every living host has reported the runs that its jobs still have.
 type RunsReported struct{}
--- a/pkg/coordinator/coordinator.go
+++ b/pkg/coordinator/coordinator.go
@@ -74,7 +74,7 @@
 	keeperLeader identifier.HostID
 	nextNonce    keeper.Nonce
 	// enforcedEvacuations are the evacuations last sent to every component that starts work.
-	enforcedEvacuations messenger.Evacuated
+	enforcedEvacuations messenger.EvacuatedDomains
 	// wasSuspended reports whether this tick comes long after a missed deadline.
 	wasSuspended bool
 	// possiblyIsolated reports that no other host of the failure domain is known to live and that
--- a/pkg/coordinator/evacuating.go
+++ b/pkg/coordinator/evacuating.go
@@ -28,13 +28,13 @@
 
 // evacuated lists the failure domains where nothing is started, by the configuration last known to
 // this host.
-func (coordinator *Coordinator) evacuated() messenger.Evacuated {
+func (coordinator *Coordinator) evacuated() messenger.EvacuatedDomains {
 	inForce := coordinator.follower.InForce()
 	return inForce.Evacuated()
 }
 
 // updateEvacuations notifies the driver whether its failure domain is evacuated.
-func (intentDriver *intentDriver) updateEvacuations(evacuated messenger.Evacuated) {
+func (intentDriver *intentDriver) updateEvacuations(evacuated messenger.EvacuatedDomains) {
 	if intentDriver.driver != nil {
 		intentDriver.inputs = append(intentDriver.inputs, planner.EvacuationChanged{
 			Evacuated: evacuated.Has(intentDriver.coordinator.Self.FailureDomain),
--- a/pkg/coordinator/status.go
+++ b/pkg/coordinator/status.go
@@ -20,9 +20,9 @@
 	ConfigVersion identifier.ConfigVersion `json:"config-version"`
 	// Evacuated are the failure domains where nothing is started, by the configuration last known
 	// here.
-	Evacuated messenger.Evacuated `json:"evacuated,omitempty"`
-	Hosts     []HostStatus        `json:"hosts"`
-	Cells     []CellStatus        `json:"cells"`
+	Evacuated messenger.EvacuatedDomains `json:"evacuated,omitempty"`
+	Hosts     []HostStatus               `json:"hosts"`
+	Cells     []CellStatus               `json:"cells"`
 	// Servers are the backend servers that have announced themselves here.
 	Servers []dispatcher.ServerStatus `json:"backend-servers"`
 	// Work counts the work of the cells that this host leads.
--- a/pkg/dispatcher/dispatcher.go
+++ b/pkg/dispatcher/dispatcher.go
@@ -114,7 +114,7 @@
 	// remotes are the leads of the cells of other failure domains.
 	remotes *tabulator.Table[remoteKey, remote]
 	// evacuations are the failure domains where nothing may be started.
-	evacuations messenger.Evacuated
+	evacuations messenger.EvacuatedDomains
 	// assessor assesses the health of servers; outcomes are its inputs, collected during the tick.
 	assessor *assessor.Assessor
 	outcomes []assessor.Input
--- a/pkg/dispatcher/evacuating_test.go
+++ b/pkg/dispatcher/evacuating_test.go
@@ -46,7 +46,7 @@
 		job.MayRun = mayRun
 		return &dispatcher.JobForwarded{From: "entry-0", Job: job, Deadline: identifier.Never}
 	}
-	evacuated := &dispatcher.EvacuationsChanged{Evacuated: messenger.Evacuated{fake.Domain}}
+	evacuated := &dispatcher.EvacuationsChanged{Evacuated: messenger.EvacuatedDomains{fake.Domain}}
 	free := &dispatcher.LoadAnnounced{From: "other-0", Notice: messenger.LoadNotice{FailureDomain: other, FreeSlots: 8}}
 	for step, test := range []struct {
 		what   string
--- a/pkg/dispatcher/input.go
+++ b/pkg/dispatcher/input.go
@@ -146,7 +146,7 @@
 }
 
 // EvacuationsChanged lists the failure domains in which nothing is started from now on.
-type EvacuationsChanged struct{ Evacuated messenger.Evacuated }
+type EvacuationsChanged struct{ Evacuated messenger.EvacuatedDomains }
 
 func (*EvacuationsChanged) isDispatcherInput() {}
 
--- a/pkg/starter/messages.go
+++ b/pkg/starter/messages.go
@@ -43,7 +43,7 @@
 }
 
 // EvacuationsChanged reports the failure domains in which no run may be started from now on.
-type EvacuationsChanged struct{ Evacuated messenger.Evacuated }
+type EvacuationsChanged struct{ Evacuated messenger.EvacuatedDomains }
 
 // ConnectionLimitsChanged reports how many connections a server of each service accepts.
 type ConnectionLimitsChanged struct {
--- a/pkg/starter/starter.go
+++ b/pkg/starter/starter.go
@@ -65,7 +65,7 @@
 	// starterSets caches the starters of each server until hosts or limits change.
 	starterSets map[identifier.BackendServerID][]identifier.HostID
 	// evacuations holds the failure domains in which no run is started.
-	evacuations messenger.Evacuated
+	evacuations messenger.EvacuatedDomains
 	orders      *tabulator.Table[orderKey, order]
 	timers      *tabulator.Timers[orderKey]
 	outputs     []Output
--- a/pkg/starter/starter_test.go
+++ b/pkg/starter/starter_test.go
@@ -209,7 +209,7 @@
 func TestEvacuationWithholdsStarts(t *testing.T) {
 	hosts := hostsOf(2)
 	starter := newConnectedStarter(hosts[0], hosts)
-	starter.Tick(1, []Input{&EvacuationsChanged{Evacuated: messenger.Evacuated{domain}}})
+	starter.Tick(1, []Input{&EvacuationsChanged{Evacuated: messenger.EvacuatedDomains{domain}}})
 	outputs := starter.Tick(2, []Input{
 		&StartRequested{Start: startOn(1, 1)},
 		&OrderArrived{From: hosts[1], Order: messenger.StartOrder{RunKey: messenger.RunKey{Job: "job", Run: 2}, Server: "server-1", Epoch: 7}},
--- a/pkg/supervisor/supervisor.go
+++ b/pkg/supervisor/supervisor.go
@@ -49,7 +49,7 @@
 	// lastResponseAt is when the last message of each lead arrived.
 	lastResponseAt map[identifier.HostID]identifier.Moment
 	// evacuations holds the failure domains in which no run is started.
-	evacuations messenger.Evacuated
+	evacuations messenger.EvacuatedDomains
 	timers      *tabulator.Timers[timerKey]
 	outputs     []Output
 }
--- a/pkg/supervisor/supervisor_test.go
+++ b/pkg/supervisor/supervisor_test.go
@@ -95,7 +95,7 @@
 		server := identifier.ServerIncarnation(cmp.Or(scanString(t, data, "server"), "s1"))
 		inputs = append(inputs, &supervisor.StartReturned{Run: key, Server: server, Outcome: outcome, Epoch: identifier.Epoch(epoch)})
 	case "evacuate":
-		inputs = append(inputs, &supervisor.EvacuationsChanged{Evacuated: messenger.Evacuated{identifier.FailureDomain(scanString(t, data, "domain"))}})
+		inputs = append(inputs, &supervisor.EvacuationsChanged{Evacuated: messenger.EvacuatedDomains{identifier.FailureDomain(scanString(t, data, "domain"))}})
 	case "host-ends":
 		inputs = append(inputs, &supervisor.ShutdownStarted{})
 	case "wait":
