--- a/pkg/allocator/allocator_test.go
+++ b/pkg/allocator/allocator_test.go
@@ -261,7 +261,7 @@
 func incarnationOf(t *testing.T, text string) identifier.ServerIncarnation {
 	server, text, dated := strings.Cut(text, ":")
 	if !dated {
-		return identifier.UndatedIncarnation(identifier.BackendServerID(server))
+		return identifier.IncarnationWithoutStartTime(identifier.BackendServerID(server))
 	}
 	var born identifier.UnixMilliseconds
 	if _, err := fmt.Sscan(text, &born); err != nil {
--- a/pkg/allocator/restarts_test.go
+++ b/pkg/allocator/restarts_test.go
@@ -73,7 +73,7 @@
 func (load *load) beginIncarnation(id identifier.BackendServerID, index int, report messenger.ServerReport, speaks time.Duration) *loadServer {
 	restarting := load.restarting
 	restarting.lastDate++
-	report.Server = identifier.UndatedIncarnation(id)
+	report.Server = identifier.IncarnationWithoutStartTime(id)
 	if restarting.dated {
 		report.Server = identifier.NewServerIncarnation(id, restarting.lastDate)
 	}
--- a/pkg/coordinator/harshworld_test.go
+++ b/pkg/coordinator/harshworld_test.go
@@ -295,7 +295,7 @@
 	if announced {
 		departure := messenger.ServerReport{Server: server.report.Server, FailureDomain: server.report.FailureDomain, Gone: true}
 		if harsh.kinds.sameIDs && harsh.world.chance("undated", 1) == 0 {
-			departure.Server = identifier.UndatedIncarnation(server.report.Server.Server())
+			departure.Server = identifier.IncarnationWithoutStartTime(server.report.Server.Server())
 		}
 		harsh.announceLater(server, departure)
 	}
--- a/pkg/identifier/incarnations.go
+++ b/pkg/identifier/incarnations.go
@@ -21,8 +21,10 @@
 	return ServerIncarnation(string(server) + incarnationSeparator + strconv.FormatInt(int64(startedAt), 10))
 }
 
-// UndatedIncarnation returns the incarnation of a server that doesn't report its start time.
-func UndatedIncarnation(server BackendServerID) ServerIncarnation { return ServerIncarnation(server) }
+// IncarnationWithoutStartTime returns the incarnation of a server that doesn't report its start time.
+func IncarnationWithoutStartTime(server BackendServerID) ServerIncarnation {
+	return ServerIncarnation(server)
+}
 
 // Server returns the server's id, which all its incarnations share.
 func (incarnation ServerIncarnation) Server() BackendServerID {
