--- a/pkg/dispatcher/assignment.go
+++ b/pkg/dispatcher/assignment.go
@@ -111,7 +111,7 @@
 // removeFromQueue removes a queued task that turned out to be running already.
 func (dispatcher *Dispatcher) removeFromQueue(cell *cell, job *job, task *task) {
 	if task.state == taskQueued {
-		cell.queue.Take(&job.entry, 1)
+		cell.queue.Withdraw(&job.entry, 1)
 	}
 }
 
--- a/pkg/queuer/queue.go
+++ b/pkg/queuer/queue.go
@@ -135,11 +135,11 @@
 	team := entry.team
 	queue.virtualTime = max(queue.virtualTime, team.tag)
 	queue.charge(team, entry.Cost, entry.ClassWeight)
-	queue.Take(entry, 1)
+	queue.Withdraw(entry, 1)
 }
 
-// Take removes waiting tasks of a job without charging them to the team.
-func (queue *Queue[P, O]) Take(entry *Entry[P], tasks int) {
+// Withdraw removes waiting tasks of a job without charging them to the team.
+func (queue *Queue[P, O]) Withdraw(entry *Entry[P], tasks int) {
 	tasks = min(tasks, entry.waiting)
 	if tasks <= 0 {
 		return
@@ -154,7 +154,7 @@
 }
 
 // Remove removes all waiting tasks of a job without charging them to the team.
-func (queue *Queue[P, O]) Remove(entry *Entry[P]) { queue.Take(entry, entry.waiting) }
+func (queue *Queue[P, O]) Remove(entry *Entry[P]) { queue.Withdraw(entry, entry.waiting) }
 
 // Correct charges a team for the difference between the slot time that a task actually
 // took and the cost that Serve charged for it. The difference may be negative.
