--- a/pkg/dispatcher/estimating.go
+++ b/pkg/dispatcher/estimating.go
@@ -133,7 +133,7 @@
 	}
 	spec := task.job.spec
 	entry := &task.job.entry
-	cell.queue.Correct(spec.Team, answer.RunTime-entry.Cost, entry.ClassWeight)
+	cell.queue.AdjustCharge(spec.Team, answer.RunTime-entry.Cost, entry.ClassWeight)
 	if answer.Failed || answer.Cancelled {
 		return
 	}
--- a/pkg/queuer/bench_test.go
+++ b/pkg/queuer/bench_test.go
@@ -39,7 +39,7 @@
 				now += step
 				next := queue.Next()
 				queue.Serve(now, next)
-				queue.Correct(next.Team, time.Millisecond, 1)
+				queue.AdjustCharge(next.Team, time.Millisecond, 1)
 				arrive(next, number)
 			}
 			for number := range 10 * len(entries) {
--- a/pkg/queuer/queue.go
+++ b/pkg/queuer/queue.go
@@ -156,9 +156,9 @@
 // Remove removes all waiting tasks of a job without charging them to the team.
 func (queue *Queue[P, O]) Remove(entry *Entry[P]) { queue.Withdraw(entry, entry.waiting) }
 
-// Correct charges a team for the difference between the slot time that a task actually
+// AdjustCharge charges a team for the difference between the slot time that a task actually
 // took and the cost that Serve charged for it. The difference may be negative.
-func (queue *Queue[P, O]) Correct(id identifier.TeamID, difference time.Duration, classWeight int) {
+func (queue *Queue[P, O]) AdjustCharge(id identifier.TeamID, difference time.Duration, classWeight int) {
 	team := queue.teams[id]
 	if team == nil {
 		return
--- a/pkg/queuer/queue_test.go
+++ b/pkg/queuer/queue_test.go
@@ -131,7 +131,7 @@
 	oracle.waiting[next]--
 	oracle.queue.Serve(oracle.now, next)
 	difference := time.Duration(rapid.IntRange(-100, 100).Draw(t, "difference")) * time.Millisecond
-	oracle.queue.Correct(next.Team, difference, next.ClassWeight)
+	oracle.queue.AdjustCharge(next.Team, difference, next.ClassWeight)
 }
 
 func (oracle *oracle) remove(t *rapid.T) {
