--- a/pkg/dispatcher/overload.go
+++ b/pkg/dispatcher/overload.go
@@ -93,7 +93,7 @@
 		return nil
 	}
 	weight := cell.limiter.Weight(dispatcher.now, job.spec.Team)
-	share := int(cell.queue.Share(job.spec.Team, weight) * float64(bound))
+	share := int(cell.queue.FairShare(job.spec.Team, weight) * float64(bound))
 	if total <= 2*bound && cell.queue.TeamTasks(job.spec.Team)+len(job.tasks) <= share {
 		return nil
 	}
--- a/pkg/queuer/admission.go
+++ b/pkg/queuer/admission.go
@@ -122,9 +122,9 @@
 	return time.Duration(float64(work) / slots)
 }
 
-// Share returns a team's fair share, from 0 to 1, among the teams that recently had
+// FairShare returns a team's fair share, from 0 to 1, among the teams that recently had
 // waiting tasks and itself.
-func (queue *Queue[P, O]) Share(id identifier.TeamID, weight int) float64 {
+func (queue *Queue[P, O]) FairShare(id identifier.TeamID, weight int) float64 {
 	weights := queue.weights
 	if team := queue.teams[id]; team != nil && team.active {
 		weights -= team.weight
@@ -141,7 +141,7 @@
 	if team != nil {
 		own = team.admitted.value(now)
 	}
-	fair = slots * queue.Share(candidate.Team, candidate.Weight)
+	fair = slots * queue.FairShare(candidate.Team, candidate.Weight)
 	free = slots - max(queue.admitted.value(now)-own, 0)
 	if candidate.Ceiling > 0 {
 		fair = min(fair, float64(candidate.Ceiling))
