--- a/pkg/dispatcher/overload.go
+++ b/pkg/dispatcher/overload.go
@@ -115,7 +115,7 @@
 	}
 	limits := cell.limiter.Limits(dispatcher.now, job.spec.Team)
 	settings := dispatcher.Settings.Limits
-	verdict := cell.queue.Assess(dispatcher.now, queuer.Candidate{
+	verdict := cell.queue.Evaluate(dispatcher.now, queuer.Candidate{
 		Team:     job.spec.Team,
 		Weight:   max(limits.Weight, 1),
 		Urgent:   job.entry.Urgent,
--- a/pkg/queuer/admission.go
+++ b/pkg/queuer/admission.go
@@ -38,12 +38,12 @@
 	RetryAfter time.Duration
 }
 
-// Assess decides whether a job can be served in time. It can if the work of its own
+// Evaluate decides whether a job can be served in time. It can if the work of its own
 // team ahead of it fits into the team's fair share, whatever the other teams have
 // queued, or if it fits into the slots that the other teams leave free and the whole
 // queue is short. Jobs of the team that were already admitted and are due later must
 // still be served in time. Each call counts the candidate's work as offered.
-func (queue *Queue[P, O]) Assess(now identifier.Moment, candidate Candidate) Verdict {
+func (queue *Queue[P, O]) Evaluate(now identifier.Moment, candidate Candidate) Verdict {
 	queue.expireRecent(now)
 	queue.offered.add(now, candidate.Work)
 	queue.offered.rate = min(queue.offered.rate, maxOfferedRatio*float64(candidate.Slots))
