--- a/pkg/dispatcher/overload.go
+++ b/pkg/dispatcher/overload.go
@@ -128,7 +128,7 @@
 		Ceiling:  limits.TasksInFlight,
 	})
 	if dispatcher.startsAtOnce(cell, job, limits.TasksInFlight) {
-		verdict = queuer.Verdict{Admitted: true}
+		verdict = queuer.AdmissionDecision{Admitted: true}
 	}
 	if !verdict.Admitted {
 		return refuseWait(job, verdict)
@@ -151,7 +151,7 @@
 	return ceiling <= 0 || inFlight <= ceiling
 }
 
-func refuseWait(job *job, verdict queuer.Verdict) *messenger.JobAnswer {
+func refuseWait(job *job, verdict queuer.AdmissionDecision) *messenger.JobAnswer {
 	refusal := messenger.Refuse(job.spec.Submission, messenger.ReasonQueueFull, fmt.Sprintf(
 		"the job would wait about %v for a slot and takes about %v itself; the team's share of the slots is taken",
 		verdict.Wait.Round(time.Millisecond), job.estimate.ideal.Round(time.Millisecond)))
--- a/pkg/queuer/admission.go
+++ b/pkg/queuer/admission.go
@@ -28,8 +28,8 @@
 	Ceiling int
 }
 
-// Verdict is the decision on a candidate.
-type Verdict struct {
+// AdmissionDecision is the decision on a candidate.
+type AdmissionDecision struct {
 	Admitted bool
 	// Wait is the expected time that the work ahead of the job takes.
 	Wait time.Duration
@@ -43,7 +43,7 @@
 // queued, or if it fits into the slots that the other teams leave free and the whole
 // queue is short. Jobs of the team that were already admitted and are due later must
 // still be served in time. Each call counts the candidate's work as offered.
-func (queue *Queue[P, O]) Evaluate(now identifier.Moment, candidate Candidate) Verdict {
+func (queue *Queue[P, O]) Evaluate(now identifier.Moment, candidate Candidate) AdmissionDecision {
 	queue.expireRecent(now)
 	queue.offered.add(now, candidate.Work)
 	queue.offered.rate = min(queue.offered.rate, maxOfferedRatio*float64(candidate.Slots))
@@ -82,8 +82,8 @@
 
 // fitsAllSlots reports whether all slots together can finish the work of all teams that
 // is due before the job in time.
-func (queue *Queue[P, O]) fitsAllSlots(now identifier.Moment, candidate Candidate) Verdict {
-	verdict := Verdict{Admitted: true}
+func (queue *Queue[P, O]) fitsAllSlots(now identifier.Moment, candidate Candidate) AdmissionDecision {
+	verdict := AdmissionDecision{Admitted: true}
 	verdict.Wait = divide(queue.backlogs.workBefore(now, candidate), float64(max(candidate.Slots, 1)))
 	if late := verdict.Wait - candidate.Allowed; late > 0 {
 		verdict.Admitted = false
@@ -94,8 +94,8 @@
 
 // fits reports whether the job can be served in time by the given number of slots, when
 // the slot time before goes ahead of it.
-func (team *team[P]) fits(now identifier.Moment, candidate Candidate, before time.Duration, capacity float64) Verdict {
-	verdict := Verdict{Admitted: true, Wait: divide(before, capacity)}
+func (team *team[P]) fits(now identifier.Moment, candidate Candidate, before time.Duration, capacity float64) AdmissionDecision {
+	verdict := AdmissionDecision{Admitted: true, Wait: divide(before, capacity)}
 	if before == 0 {
 		return verdict
 	}
