--- a/pkg/dispatcher/overload.go
+++ b/pkg/dispatcher/overload.go
@@ -122,7 +122,7 @@
 		Due:      job.entry.Due,
 		Work:     job.estimate.work,
 		Ideal:    job.estimate.ideal,
-		Allowed:  max(time.Duration(float64(job.estimate.ideal)*settings.QueueWaitRatio), settings.QueueWaitFloor),
+		MaxDelay: max(time.Duration(float64(job.estimate.ideal)*settings.QueueWaitRatio), settings.QueueWaitFloor),
 		Patience: settings.QueuePatience,
 		Slots:    slots,
 		Ceiling:  limits.TasksInFlight,
--- a/pkg/queuer/admission.go
+++ b/pkg/queuer/admission.go
@@ -17,8 +17,8 @@
 	// when it has all slots for itself.
 	Work  time.Duration
 	Ideal time.Duration
-	// Allowed is the delay that is acceptable: how much longer than Ideal the job may take.
-	Allowed time.Duration
+	// MaxDelay is the delay that is acceptable: how much longer than Ideal the job may take.
+	MaxDelay time.Duration
 	// Patience is the fraction of the time until they are due that the team's waiting
 	// jobs may spend waiting.
 	Patience float64
@@ -59,13 +59,13 @@
 		return verdict
 	}
 	if !queue.overloaded(now, candidate.Slots) {
-		candidate.Allowed = scale(candidate.Allowed, queue.Settings.NormalWaitFactor)
+		candidate.MaxDelay = scale(candidate.MaxDelay, queue.Settings.NormalWaitFactor)
 		return queue.fitsAllSlots(now, candidate)
 	}
 	if free <= fair {
 		return verdict
 	}
-	candidate.Allowed = scale(candidate.Allowed, queue.Settings.OverloadWaitFactor)
+	candidate.MaxDelay = scale(candidate.MaxDelay, queue.Settings.OverloadWaitFactor)
 	verdict = team.fits(now, candidate, before, free)
 	if whole := queue.fitsAllSlots(now, candidate); !whole.Admitted {
 		return whole
@@ -85,7 +85,7 @@
 func (queue *Queue[P, O]) fitsAllSlots(now identifier.Moment, candidate Candidate) AdmissionDecision {
 	verdict := AdmissionDecision{Admitted: true}
 	verdict.Wait = divide(queue.backlogs.workBefore(now, candidate), float64(max(candidate.Slots, 1)))
-	if late := verdict.Wait - candidate.Allowed; late > 0 {
+	if late := verdict.Wait - candidate.MaxDelay; late > 0 {
 		verdict.Admitted = false
 		verdict.RetryAfter = late
 	}
@@ -99,7 +99,7 @@
 	if before == 0 {
 		return verdict
 	}
-	late := max(verdict.Wait, divide(before+candidate.Work, capacity)-candidate.Ideal) - candidate.Allowed
+	late := max(verdict.Wait, divide(before+candidate.Work, capacity)-candidate.Ideal) - candidate.MaxDelay
 	if late <= 0 && team.backlogs.of(candidate.Urgent).delaysLaterJobs(now, candidate.Due, before+candidate.Work, capacity*candidate.Patience) {
 		late = divide(candidate.Work, capacity)
 	}
