--- a/pkg/dispatcher/overload.go
+++ b/pkg/dispatcher/overload.go
@@ -116,16 +116,16 @@
 	limits := cell.limiter.Limits(dispatcher.now, job.spec.Team)
 	settings := dispatcher.Settings.Limits
 	verdict := cell.queue.Evaluate(dispatcher.now, queuer.Candidate{
-		Team:     job.spec.Team,
-		Weight:   max(limits.Weight, 1),
-		Urgent:   job.entry.Urgent,
-		Due:      job.entry.Due,
-		Work:     job.estimate.work,
-		Ideal:    job.estimate.ideal,
-		MaxDelay: max(time.Duration(float64(job.estimate.ideal)*settings.QueueWaitRatio), settings.QueueWaitFloor),
-		Patience: settings.QueuePatience,
-		Slots:    slots,
-		Ceiling:  limits.TasksInFlight,
+		Team:            job.spec.Team,
+		Weight:          max(limits.Weight, 1),
+		Urgent:          job.entry.Urgent,
+		Due:             job.entry.Due,
+		Work:            job.estimate.work,
+		Ideal:           job.estimate.ideal,
+		MaxDelay:        max(time.Duration(float64(job.estimate.ideal)*settings.QueueWaitRatio), settings.QueueWaitFloor),
+		MaxWaitFraction: settings.QueuePatience,
+		Slots:           slots,
+		Ceiling:         limits.TasksInFlight,
 	})
 	if dispatcher.startsAtOnce(cell, job, limits.TasksInFlight) {
 		verdict = queuer.AdmissionDecision{Admitted: true}
--- a/pkg/queuer/admission.go
+++ b/pkg/queuer/admission.go
@@ -19,9 +19,9 @@
 	Ideal time.Duration
 	// MaxDelay is the delay that is acceptable: how much longer than Ideal the job may take.
 	MaxDelay time.Duration
-	// Patience is the fraction of the time until they are due that the team's waiting
+	// MaxWaitFraction is the fraction of the time until they are due that the team's waiting
 	// jobs may spend waiting.
-	Patience float64
+	MaxWaitFraction float64
 	// Slots is the number of slots that serve the queue.
 	Slots identifier.Slots
 	// Ceiling is the largest number of slots that the team may use. 0 means no limit.
@@ -100,7 +100,7 @@
 		return verdict
 	}
 	late := max(verdict.Wait, divide(before+candidate.Work, capacity)-candidate.Ideal) - candidate.MaxDelay
-	if late <= 0 && team.backlogs.of(candidate.Urgent).delaysLaterJobs(now, candidate.Due, before+candidate.Work, capacity*candidate.Patience) {
+	if late <= 0 && team.backlogs.of(candidate.Urgent).delaysLaterJobs(now, candidate.Due, before+candidate.Work, capacity*candidate.MaxWaitFraction) {
 		late = divide(candidate.Work, capacity)
 	}
 	if late > 0 {
--- a/pkg/queuer/bench_test.go
+++ b/pkg/queuer/bench_test.go
@@ -27,7 +27,7 @@
 				entry.Cost = cost
 				shape := queuer.Shape{ArrivedAt: now, Deadline: identifier.Never, Ideal: cost, Tasks: 1}
 				entry.Due = queue.Order.Due(shape)
-				candidate := queuer.Candidate{Team: entry.Team, Due: entry.Due, Work: cost, Ideal: cost, MaxDelay: cost, Patience: 0.5, Slots: slots}
+				candidate := queuer.Candidate{Team: entry.Team, Due: entry.Due, Work: cost, Ideal: cost, MaxDelay: cost, MaxWaitFraction: 0.5, Slots: slots}
 				queue.Evaluate(now, candidate)
 				queue.Push(now, entry, 1, 1)
 			}
