--- a/pkg/dispatcher/overload.go
+++ b/pkg/dispatcher/overload.go
@@ -125,7 +125,7 @@
 		MaxDelay:        max(time.Duration(float64(job.estimate.ideal)*settings.QueueWaitRatio), settings.QueueWaitFloor),
 		MaxWaitFraction: settings.QueuePatience,
 		Slots:           slots,
-		Ceiling:         limits.TasksInFlight,
+		MaxTeamSlots:    limits.TasksInFlight,
 	})
 	if dispatcher.startsAtOnce(cell, job, limits.TasksInFlight) {
 		verdict = queuer.AdmissionDecision{Admitted: true}
--- a/pkg/queuer/admission.go
+++ b/pkg/queuer/admission.go
@@ -24,8 +24,8 @@
 	MaxWaitFraction float64
 	// Slots is the number of slots that serve the queue.
 	Slots identifier.Slots
-	// Ceiling is the largest number of slots that the team may use. 0 means no limit.
-	Ceiling int
+	// MaxTeamSlots is the largest number of slots that the team may use. 0 means no limit.
+	MaxTeamSlots int
 }
 
 // AdmissionDecision is the decision on a candidate.
@@ -143,9 +143,9 @@
 	}
 	fair = slots * queue.FairShare(candidate.Team, candidate.Weight)
 	free = slots - max(queue.admitted.value(now)-own, 0)
-	if candidate.Ceiling > 0 {
-		fair = min(fair, float64(candidate.Ceiling))
-		free = min(free, float64(candidate.Ceiling))
+	if candidate.MaxTeamSlots > 0 {
+		fair = min(fair, float64(candidate.MaxTeamSlots))
+		free = min(free, float64(candidate.MaxTeamSlots))
 	}
 	return fair, free
 }
