--- a/pkg/assessor/allowance.go
+++ b/pkg/assessor/allowance.go
@@ -67,7 +67,7 @@
 	}
 	server.announcedSlots = slots
 	assessor.outputs = append(assessor.outputs, &AllowanceChanged{
-		Server: server.id, Slots: slots, Cause: cause, Blame: server.blame(), Slowing: assessor.slownessOf(server),
+		Server: server.id, Slots: slots, Cause: cause, Blame: server.blame(), Slowness: assessor.slownessOf(server),
 	})
 }
 
--- a/pkg/assessor/assessor_test.go
+++ b/pkg/assessor/assessor_test.go
@@ -118,7 +118,7 @@
 	for _, output := range scenario.assessor.Tick(scenario.now, inputs) {
 		changed := output.(*assessor.AllowanceChanged)
 		fmt.Fprintf(&result, "%s may run %d (%s, blame %.1f, slowness %.1f)\n",
-			changed.Server, changed.Slots, changed.Cause, changed.Blame, changed.Slowing)
+			changed.Server, changed.Slots, changed.Cause, changed.Blame, changed.Slowness)
 	}
 	return result.String()
 }
--- a/pkg/assessor/messages.go
+++ b/pkg/assessor/messages.go
@@ -49,11 +49,11 @@
 
 // AllowanceChanged sets how many tasks a server may run concurrently from now on.
 type AllowanceChanged struct {
-	Server  identifier.BackendServerID
-	Slots   identifier.Slots
-	Cause   Cause
-	Blame   float64
-	Slowing float64
+	Server   identifier.BackendServerID
+	Slots    identifier.Slots
+	Cause    Cause
+	Blame    float64
+	Slowness float64
 }
 
 func (*AllowanceChanged) isAssessorOutput() {}
--- a/pkg/dispatcher/health.go
+++ b/pkg/dispatcher/health.go
@@ -44,7 +44,7 @@
 		changed := output.(*assessor.AllowanceChanged)
 		dispatcher.eachView(changed.Server, func(server *server) {
 			server.allowed = changed.Slots
-			server.slowness = changed.Slowing
+			server.slowness = changed.Slowness
 			dispatcher.refreshSlots(server)
 		})
 	}
