--- a/pkg/allocator/settings.go
+++ b/pkg/allocator/settings.go
@@ -83,7 +83,7 @@
 func DefaultSettings() Settings {
 	health := assessor.DefaultSettings()
 	health.Window = outcomesWeighed
-	health.EjectAt = ejectAfter
+	health.EjectThreshold = ejectAfter
 	health.SlowEjectAt = slowEjectAfter
 	health.SlownessDecay = slownessDecay
 	health.RatioLimit = ratioLimit
--- a/pkg/assembler/dispatch.go
+++ b/pkg/assembler/dispatch.go
@@ -32,7 +32,7 @@
 
 func fillHealth(settings *loader.Dispatch, target *assessor.Settings) {
 	target.EjectedShare = settings.EjectionFractionMax
-	target.EjectAt = float64(settings.EjectionFailures) - blameAllowance
+	target.EjectThreshold = float64(settings.EjectionFailures) - blameAllowance
 	// In a window of no more tasks than the wanted failures none could be reached.
 	target.Window = max(target.Window, 2*settings.EjectionFailures)
 	target.EjectWait = settings.EjectionTime.Std()
--- a/pkg/assessor/allowance.go
+++ b/pkg/assessor/allowance.go
@@ -15,7 +15,7 @@
 	if server == nil || server.state == stateEjected {
 		return
 	}
-	limit := assessor.Settings.EjectAt
+	limit := assessor.Settings.EjectThreshold
 	if server.state == stateProbing {
 		limit = probeFailureBlame
 	}
@@ -84,7 +84,7 @@
 	if server.state == stateProbing {
 		cause = CauseProbing
 	}
-	if failing := server.slotFraction(1 - server.blame()/assessor.Settings.EjectAt); failing < allowed {
+	if failing := server.slotFraction(1 - server.blame()/assessor.Settings.EjectThreshold); failing < allowed {
 		allowed, cause = failing, CauseFailing
 	}
 	if slowness := assessor.slownessOf(server); slowness > assessor.Settings.SlowThreshold {
--- a/pkg/assessor/assessor.go
+++ b/pkg/assessor/assessor.go
@@ -29,9 +29,9 @@
 type Settings struct {
 	// Window is about how many of a server's latest tasks its failures are counted over.
 	Window int
-	// EjectAt is the number of failed tasks in the window, in excess of what other
+	// EjectThreshold is the number of failed tasks in the window, in excess of what other
 	// servers show, at which a server is ejected.
-	EjectAt float64
+	EjectThreshold float64
 	// EjectedShare is the largest fraction of all slots that may be ejected.
 	EjectedShare float64
 	// EjectWait is how long the first ejection lasts. Each further ejection before a
@@ -55,13 +55,13 @@
 // DefaultSettings returns the settings that the daemon starts from.
 func DefaultSettings() Settings {
 	return Settings{
-		Window:        10,
-		EjectAt:       4.5,
-		EjectedShare:  1.0 / 3,
-		EjectWait:     2 * time.Second,
-		EjectWaitMax:  30 * time.Second,
-		SlowThreshold: 1,
-		SlowEjectAt:   3,
+		Window:         10,
+		EjectThreshold: 4.5,
+		EjectedShare:   1.0 / 3,
+		EjectWait:      2 * time.Second,
+		EjectWaitMax:   30 * time.Second,
+		SlowThreshold:  1,
+		SlowEjectAt:    3,
 		// An average over about the last twenty run times.
 		SlownessDecay: 0.05,
 		RatioLimit:    4,
