--- a/pkg/allocator/settings.go
+++ b/pkg/allocator/settings.go
@@ -84,7 +84,7 @@
 	health := assessor.DefaultSettings()
 	health.Window = outcomesWeighed
 	health.EjectThreshold = ejectAfter
-	health.SlowEjectAt = slowEjectAfter
+	health.SlowEjectThreshold = slowEjectAfter
 	health.SlownessDecay = slownessDecay
 	health.RatioLimit = ratioLimit
 	health.RampUp = 0
--- a/pkg/assessor/allowance.go
+++ b/pkg/assessor/allowance.go
@@ -19,7 +19,7 @@
 	if server.state == stateProbing {
 		limit = probeFailureBlame
 	}
-	unhealthy := server.blame() >= limit || assessor.slownessOf(server) >= assessor.Settings.SlowEjectAt
+	unhealthy := server.blame() >= limit || assessor.slownessOf(server) >= assessor.Settings.SlowEjectThreshold
 	if unhealthy && assessor.mayEject(server) {
 		assessor.eject(server)
 		return
--- a/pkg/assessor/assessor.go
+++ b/pkg/assessor/assessor.go
@@ -41,8 +41,8 @@
 	// SlowThreshold and SlowEjectAt are base 2 logarithms of observed over expected
 	// run time. Above the first the allowance shrinks, from the second on the server
 	// is ejected.
-	SlowThreshold float64
-	SlowEjectAt   float64
+	SlowThreshold      float64
+	SlowEjectThreshold float64
 	// SlownessDecay is the weight of a new run time ratio in the moving average.
 	SlownessDecay float64
 	// RatioLimit bounds the base 2 logarithm of one task's ratio, so that a single
@@ -55,13 +55,13 @@
 // DefaultSettings returns the settings that the daemon starts from.
 func DefaultSettings() Settings {
 	return Settings{
-		Window:         10,
-		EjectThreshold: 4.5,
-		EjectedShare:   1.0 / 3,
-		EjectWait:      2 * time.Second,
-		EjectWaitMax:   30 * time.Second,
-		SlowThreshold:  1,
-		SlowEjectAt:    3,
+		Window:             10,
+		EjectThreshold:     4.5,
+		EjectedShare:       1.0 / 3,
+		EjectWait:          2 * time.Second,
+		EjectWaitMax:       30 * time.Second,
+		SlowThreshold:      1,
+		SlowEjectThreshold: 3,
 		// An average over about the last twenty run times.
 		SlownessDecay: 0.05,
 		RatioLimit:    4,
