--- a/pkg/assembler/dispatch.go
+++ b/pkg/assembler/dispatch.go
@@ -35,6 +35,6 @@
 	target.EjectThreshold = float64(settings.EjectionFailures) - blameAllowance
 	// In a window of no more tasks than the wanted failures none could be reached.
 	target.Window = max(target.Window, 2*settings.EjectionFailures)
-	target.EjectWait = settings.EjectionTime.Std()
-	target.EjectWaitMax = max(target.EjectWaitMax, target.EjectWait)
+	target.EjectionTime = settings.EjectionTime.Std()
+	target.EjectWaitMax = max(target.EjectWaitMax, target.EjectionTime)
 }
--- a/pkg/assessor/allowance.go
+++ b/pkg/assessor/allowance.go
@@ -26,7 +26,7 @@
 	}
 	if server.state == stateProbing && server.rampLimit >= server.slots {
 		server.state = stateUsed
-		server.ejectWait = assessor.Settings.EjectWait
+		server.ejectWait = assessor.Settings.EjectionTime
 	}
 	assessor.announceAllowance(server)
 }
--- a/pkg/assessor/assessor.go
+++ b/pkg/assessor/assessor.go
@@ -34,9 +34,9 @@
 	EjectThreshold float64
 	// EjectedShare is the largest fraction of all slots that may be ejected.
 	EjectedShare float64
-	// EjectWait is how long the first ejection lasts. Each further ejection before a
+	// EjectionTime is how long the first ejection lasts. Each further ejection before a
 	// full recovery lasts twice as long as the previous one, up to EjectWaitMax.
-	EjectWait    time.Duration
+	EjectionTime time.Duration
 	EjectWaitMax time.Duration
 	// SlowThreshold and SlowEjectAt are base 2 logarithms of observed over expected
 	// run time. Above the first the allowance shrinks, from the second on the server
@@ -58,7 +58,7 @@
 		Window:             10,
 		EjectThreshold:     4.5,
 		EjectedShare:       1.0 / 3,
-		EjectWait:          2 * time.Second,
+		EjectionTime:       2 * time.Second,
 		EjectWaitMax:       30 * time.Second,
 		SlowThreshold:      1,
 		SlowEjectThreshold: 3,
--- a/pkg/assessor/outcomes.go
+++ b/pkg/assessor/outcomes.go
@@ -33,7 +33,7 @@
 	if !assessor.pastRampUp(created) && assessor.anyPastRampUp() {
 		created.rampLimit = max(1, input.Slots/4)
 	}
-	created.ejectWait = assessor.Settings.EjectWait
+	created.ejectWait = assessor.Settings.EjectionTime
 	assessor.servers.Put(input.Server, created)
 	assessor.slots += input.Slots
 	assessor.announceAllowance(created)
