--- a/pkg/assembler/dispatch.go
+++ b/pkg/assembler/dispatch.go
@@ -36,5 +36,5 @@
 	// In a window of no more tasks than the wanted failures none could be reached.
 	target.Window = max(target.Window, 2*settings.EjectionFailures)
 	target.EjectionTime = settings.EjectionTime.Std()
-	target.EjectWaitMax = max(target.EjectWaitMax, target.EjectionTime)
+	target.MaxEjectionTime = max(target.MaxEjectionTime, target.EjectionTime)
 }
--- a/pkg/assessor/allowance.go
+++ b/pkg/assessor/allowance.go
@@ -46,7 +46,7 @@
 	server.state = stateEjected
 	assessor.ejected += server.slots
 	assessor.timers.Set(server.id, assessor.now.Add(server.ejectWait))
-	server.ejectWait = min(2*server.ejectWait, assessor.Settings.EjectWaitMax)
+	server.ejectWait = min(2*server.ejectWait, assessor.Settings.MaxEjectionTime)
 	assessor.announceAllowance(server)
 }
 
--- a/pkg/assessor/assessor.go
+++ b/pkg/assessor/assessor.go
@@ -36,8 +36,8 @@
 	EjectedShare float64
 	// EjectionTime is how long the first ejection lasts. Each further ejection before a
 	// full recovery lasts twice as long as the previous one, up to EjectWaitMax.
-	EjectionTime time.Duration
-	EjectWaitMax time.Duration
+	EjectionTime    time.Duration
+	MaxEjectionTime time.Duration
 	// SlowThreshold and SlowEjectAt are base 2 logarithms of observed over expected
 	// run time. Above the first the allowance shrinks, from the second on the server
 	// is ejected.
@@ -59,7 +59,7 @@
 		EjectThreshold:     4.5,
 		EjectedShare:       1.0 / 3,
 		EjectionTime:       2 * time.Second,
-		EjectWaitMax:       30 * time.Second,
+		MaxEjectionTime:    30 * time.Second,
 		SlowThreshold:      1,
 		SlowEjectThreshold: 3,
 		// An average over about the last twenty run times.
