--- a/pkg/assembler/dispatch.go
+++ b/pkg/assembler/dispatch.go
@@ -31,7 +31,7 @@
 const blameAllowance = 0.5
 
 func fillHealth(settings *loader.Dispatch, target *assessor.Settings) {
-	target.EjectedShare = settings.EjectionFractionMax
+	target.MaxEjectedFraction = settings.EjectionFractionMax
 	target.EjectThreshold = float64(settings.EjectionFailures) - blameAllowance
 	// In a window of no more tasks than the wanted failures none could be reached.
 	target.Window = max(target.Window, 2*settings.EjectionFailures)
--- a/pkg/assembler/parts_test.go
+++ b/pkg/assembler/parts_test.go
@@ -16,7 +16,7 @@
 	settings := loader.Defaults()
 	got := coordinatorSettings(&settings).Dispatcher
 	health := assessor.DefaultSettings()
-	health.EjectedShare = got.Health.EjectedShare // A third, rounded up to 0.34.
+	health.MaxEjectedFraction = got.Health.MaxEjectedFraction // A third, rounded up to 0.34.
 	if got.Health != health || got.Selection != selector.DefaultSettings() || got.Spill != dispatcher.DefaultSpillSettings() {
 		t.Errorf("got %+v, want %+v", got, coordinator.DefaultSettings().Dispatcher)
 	}
--- a/pkg/assessor/allowance.go
+++ b/pkg/assessor/allowance.go
@@ -39,7 +39,7 @@
 	if assessor.ejected == 0 && server.slots < assessor.slots {
 		return true
 	}
-	return float64(assessor.ejected+server.slots) <= assessor.Settings.EjectedShare*float64(assessor.slots)
+	return float64(assessor.ejected+server.slots) <= assessor.Settings.MaxEjectedFraction*float64(assessor.slots)
 }
 
 func (assessor *Assessor) eject(server *server) {
--- a/pkg/assessor/assessor.go
+++ b/pkg/assessor/assessor.go
@@ -32,8 +32,8 @@
 	// EjectThreshold is the number of failed tasks in the window, in excess of what other
 	// servers show, at which a server is ejected.
 	EjectThreshold float64
-	// EjectedShare is the largest fraction of all slots that may be ejected.
-	EjectedShare float64
+	// MaxEjectedFraction is the largest fraction of all slots that may be ejected.
+	MaxEjectedFraction float64
 	// EjectionTime is how long the first ejection lasts. Each further ejection before a
 	// full recovery lasts twice as long as the previous one, up to EjectWaitMax.
 	EjectionTime    time.Duration
@@ -57,7 +57,7 @@
 	return Settings{
 		Window:             10,
 		EjectThreshold:     4.5,
-		EjectedShare:       1.0 / 3,
+		MaxEjectedFraction: 1.0 / 3,
 		EjectionTime:       2 * time.Second,
 		MaxEjectionTime:    30 * time.Second,
 		SlowThreshold:      1,
