--- a/pkg/coordinator/membership.go
+++ b/pkg/coordinator/membership.go
@@ -365,5 +365,5 @@
 
 // publish spreads a record of this host with the membership. An empty value withdraws it.
 func (coordinator *Coordinator) publish(key, value string) {
-	coordinator.notifyGossiper(gossiper.RecordSet{Key: key, Value: []byte(value)})
+	coordinator.notifyGossiper(gossiper.RecordPublished{Key: key, Value: []byte(value)})
 }
--- a/pkg/elector/membership.go
+++ b/pkg/elector/membership.go
@@ -21,9 +21,9 @@
 		switch output := output.(type) {
 		case LeadTaken:
 			value := strconv.AppendUint(nil, uint64(output.Epoch), 10)
-			inputs = append(inputs, gossiper.RecordSet{Key: announcementKey(output.Cell), Value: value})
+			inputs = append(inputs, gossiper.RecordPublished{Key: announcementKey(output.Cell), Value: value})
 		case LeadLost:
-			inputs = append(inputs, gossiper.RecordSet{Key: announcementKey(output.Cell)})
+			inputs = append(inputs, gossiper.RecordPublished{Key: announcementKey(output.Cell)})
 		}
 	}
 	return inputs
--- a/pkg/gossiper/fuzz_test.go
+++ b/pkg/gossiper/fuzz_test.go
@@ -141,7 +141,7 @@
 	run.published++
 	value := []byte(fmt.Sprint(run.published))
 	key := rapid.SampledFrom([]string{"load", "lead"}).Draw(t, "key")
-	run.net.tick(current, RecordSet{Key: key, Value: value})
+	run.net.tick(current, RecordPublished{Key: key, Value: value})
 	if rapid.Bool().Draw(t, "cluster-wide") {
 		run.cluster++
 		run.net.tick(current, ClusterRecordSet{Record: configurationRecord(run.cluster)})
--- a/pkg/gossiper/inputs.go
+++ b/pkg/gossiper/inputs.go
@@ -16,9 +16,9 @@
 // One failed probe after it shows that the process is dead.
 type PeerConnectionClosed struct{ Host identifier.HostID }
 
-// RecordSet publishes a record of this host; the gossiper assigns its version. An empty value
+// RecordPublished publishes a record of this host; the gossiper assigns its version. An empty value
 // withdraws the record. Setting the same value again does nothing.
-type RecordSet struct {
+type RecordPublished struct {
 	Key   string
 	Value []byte
 }
@@ -34,6 +34,6 @@
 func (MessageReceived) input()      {}
 func (PeerConnected) input()        {}
 func (PeerConnectionClosed) input() {}
-func (RecordSet) input()            {}
+func (RecordPublished) input()      {}
 func (ClusterRecordSet) input()     {}
 func (LeaveRequested) input()       {}
--- a/pkg/gossiper/measure_test.go
+++ b/pkg/gossiper/measure_test.go
@@ -160,7 +160,7 @@
 				remote = append(remote, net.now-since)
 			}
 		}
-		net.tick(source, RecordSet{Key: "load", Value: []byte(fmt.Sprintf("%032d", round))})
+		net.tick(source, RecordPublished{Key: "load", Value: []byte(fmt.Sprintf("%032d", round))})
 		net.tick(source, ClusterRecordSet{Record: configurationRecord(uint64(round + 1))})
 		net.run(20 * time.Second)
 		missed += 2*(len(net.nodes)-1) - received
@@ -197,11 +197,11 @@
 			seen, _ := current.gossiper.ClusterRecord("config")
 			if seen.Version != lastConfirmed[current.index] {
 				lastConfirmed[current.index] = seen.Version
-				net.tick(current, RecordSet{Key: "config-version", Value: []byte(fmt.Sprint(seen.Version))})
+				net.tick(current, RecordPublished{Key: "config-version", Value: []byte(fmt.Sprint(seen.Version))})
 			}
 			isLead := strings.HasSuffix(string(current.member.Host), "-00")
 			if isLead && (second+current.index)%3 == 0 {
-				net.tick(current, RecordSet{Key: "load", Value: []byte(fmt.Sprintf("%032d", second))})
+				net.tick(current, RecordPublished{Key: "load", Value: []byte(fmt.Sprintf("%032d", second))})
 			}
 		}
 	})
--- a/pkg/gossiper/receive.go
+++ b/pkg/gossiper/receive.go
@@ -10,7 +10,7 @@
 		gossiper.handleConnected(input.Host)
 	case PeerConnectionClosed:
 		gossiper.handleConnectionClosed(input.Host)
-	case RecordSet:
+	case RecordPublished:
 		gossiper.setOwnRecord(input.Key, input.Value)
 	case ClusterRecordSet:
 		gossiper.mergeCluster(input.Record, originated)
--- a/pkg/gossiper/scenario_test.go
+++ b/pkg/gossiper/scenario_test.go
@@ -67,9 +67,9 @@
 		net.tick(at, LeaveRequested{})
 		net.kill(at)
 	case "publish":
-		net.tick(at, RecordSet{Key: "lead", Value: []byte("cell 0 epoch 4")})
+		net.tick(at, RecordPublished{Key: "lead", Value: []byte("cell 0 epoch 4")})
 	case "withdraw":
-		net.tick(at, RecordSet{Key: "lead"})
+		net.tick(at, RecordPublished{Key: "lead"})
 	case "configure":
 		net.tick(at, ClusterRecordSet{Record: Record{Key: "config", Version: 7, Value: []byte("seven")}})
 	case "configure-older":
