--- a/pkg/gossiper/fuzz_test.go
+++ b/pkg/gossiper/fuzz_test.go
@@ -144,7 +144,7 @@
 	run.net.tick(current, RecordPublished{Key: key, Value: value})
 	if rapid.Bool().Draw(t, "cluster-wide") {
 		run.cluster++
-		run.net.tick(current, ClusterRecordSet{Record: configurationRecord(run.cluster)})
+		run.net.tick(current, ClusterRecordPublished{Record: configurationRecord(run.cluster)})
 	}
 }
 
--- a/pkg/gossiper/inputs.go
+++ b/pkg/gossiper/inputs.go
@@ -23,17 +23,17 @@
 	Value []byte
 }
 
-// ClusterRecordSet publishes a cluster-wide record with a version that the caller assigns. It is
+// ClusterRecordPublished publishes a cluster-wide record with a version that the caller assigns. It is
 // ignored unless its version is above the known one.
-type ClusterRecordSet struct{ Record Record }
+type ClusterRecordPublished struct{ Record Record }
 
 // LeaveRequested makes this host announce that it leaves. It goes on answering until its process
 // ends.
 type LeaveRequested struct{}
 
-func (MessageReceived) input()      {}
-func (PeerConnected) input()        {}
-func (PeerConnectionClosed) input() {}
-func (RecordPublished) input()      {}
-func (ClusterRecordSet) input()     {}
-func (LeaveRequested) input()       {}
+func (MessageReceived) input()        {}
+func (PeerConnected) input()          {}
+func (PeerConnectionClosed) input()   {}
+func (RecordPublished) input()        {}
+func (ClusterRecordPublished) input() {}
+func (LeaveRequested) input()         {}
--- a/pkg/gossiper/measure_test.go
+++ b/pkg/gossiper/measure_test.go
@@ -161,7 +161,7 @@
 			}
 		}
 		net.tick(source, RecordPublished{Key: "load", Value: []byte(fmt.Sprintf("%032d", round))})
-		net.tick(source, ClusterRecordSet{Record: configurationRecord(uint64(round + 1))})
+		net.tick(source, ClusterRecordPublished{Record: configurationRecord(uint64(round + 1))})
 		net.run(20 * time.Second)
 		missed += 2*(len(net.nodes)-1) - received
 	}
@@ -191,7 +191,7 @@
 		if at-events[1] >= 24*time.Hour/4400 {
 			events[1] = at
 			version++
-			net.tick(net.nodes[net.random.IntN(len(net.nodes))], ClusterRecordSet{Record: configurationRecord(version)})
+			net.tick(net.nodes[net.random.IntN(len(net.nodes))], ClusterRecordPublished{Record: configurationRecord(version)})
 		}
 		for _, current := range net.nodes {
 			seen, _ := current.gossiper.ClusterRecord("config")
--- a/pkg/gossiper/receive.go
+++ b/pkg/gossiper/receive.go
@@ -12,7 +12,7 @@
 		gossiper.handleConnectionClosed(input.Host)
 	case RecordPublished:
 		gossiper.setOwnRecord(input.Key, input.Value)
-	case ClusterRecordSet:
+	case ClusterRecordPublished:
 		gossiper.mergeCluster(input.Record, originated)
 	case LeaveRequested:
 		gossiper.leave()
--- a/pkg/gossiper/scenario_test.go
+++ b/pkg/gossiper/scenario_test.go
@@ -71,9 +71,9 @@
 	case "withdraw":
 		net.tick(at, RecordPublished{Key: "lead"})
 	case "configure":
-		net.tick(at, ClusterRecordSet{Record: Record{Key: "config", Version: 7, Value: []byte("seven")}})
+		net.tick(at, ClusterRecordPublished{Record: Record{Key: "config", Version: 7, Value: []byte("seven")}})
 	case "configure-older":
-		net.tick(at, ClusterRecordSet{Record: Record{Key: "config", Version: 6, Value: []byte("six")}})
+		net.tick(at, ClusterRecordPublished{Record: Record{Key: "config", Version: 6, Value: []byte("six")}})
 	case "cut-off":
 		domain := at.member.FailureDomain
 		net.cut = func(from, to *node) bool {
