--- a/pkg/supervisor/supervisor_test.go
+++ b/pkg/supervisor/supervisor_test.go
@@ -77,7 +77,7 @@
 			Job: id, Epoch: identifier.Epoch(epoch), Runs: []messenger.GrantedRun{granted}, RequestNumber: scenario.requestNumber(data, from, id),
 		}})
 	case "answer":
-		kind, err := messenger.RoomAnswerKindString(scanString(t, data, "kind"))
+		kind, err := messenger.CapacityAnswerKindString(scanString(t, data, "kind"))
 		if err != nil {
 			t.Fatal(err)
 		}
