--- a/pkg/planner/assign.go
+++ b/pkg/planner/assign.go
@@ -10,82 +10,84 @@
 	"github.com/stoathitch/stoathitch/pkg/placer"
 )
 
-// driven is an intent that the driver has a part in.
-type driven struct {
+// driverIntent is an intent of which the driver runs at least one batch.
+type driverIntent struct {
 	name       identifier.IntentName
 	spec       Spec
-	batches    []*drivenBatch
+	batches    []*driverBatch
 	cancelling bool
 	started    bool
-	// over tells that the log has ended the intent.
-	over bool
-	// announced tells whether the first start was reported.
-	announced bool
-	ranges    []Range
-	notes     []pendingNote
-	flushAt   identifier.Moment
+	// ended reports whether the log has ended the intent.
+	ended bool
+	// startReported reports whether the start of the first task was proposed to the log.
+	startReported bool
+	ranges        []Range
+	notes         []pendingNote
+	flushAt       identifier.Moment
 }
 
-// drivenBatch is the driver's part of a batch.
-type drivenBatch struct {
-	intent *driven
+// driverBatch is the part of a batch that is allotted to this driver: the tasks from
+// index from up to, not including, to.
+type driverBatch struct {
+	intent *driverIntent
 	number int
 	batch  Batch
 	group  placer.GroupID
 	from   int
 	to     int
-	// next is the next index that was never started nor queued by this driver.
+	// next is the lowest index that this driver has neither queued nor started.
 	next int
-	// claimed is the index up to which the log lets this driver start tasks.
+	// claimed is the index below which the log lets this driver start tasks.
 	claimed int
-	// former is the index up to which a former lead may have started tasks.
-	former       int
-	claimPending bool
-	claimRefused bool
-	states       []indexState
-	// saved holds the tasks with a checkpoint.
-	saved map[int]checkpoint
-	// raised is the highest use of tasks that were checkpointed for it: they run
-	// again with the room that they need.
-	raised identifier.Resources
-	// ran holds what is known of earlier runs of tasks that wait again.
-	ran       map[int]Outcome
-	settled   int
-	succeeded int
-	blocked   placer.Blocked
-	// taught tells that a task has ended of which the log doesn't know yet.
-	taught bool
+	// formerClaimed is the index below which a former lead may have started tasks.
+	formerClaimed int
+	claimPending  bool
+	claimRefused  bool
+	states        []taskState
+	// checkpoints holds the tasks that have a checkpoint, by index.
+	checkpoints map[int]checkpoint
+	// raisedNeed is the highest usage of tasks that were checkpointed for using too much.
+	// They run again with that much reserved.
+	raisedNeed identifier.Resources
+	// earlierOutcomes holds how earlier runs of tasks that wait again may have ended, by index.
+	earlierOutcomes map[int]Outcome
+	settled         int
+	succeeded       int
+	blocked         placer.Blocked
+	// correctionPending reports whether a task has ended since the learned correction was
+	// last proposed to the log.
+	correctionPending bool
 }
 
-// indexState is where one task of a batch stands.
-type indexState uint8
+// taskState is the state of one task of a batch.
+type taskState uint8
 
 const (
-	// indexOpen has not been handled yet.
-	indexOpen indexState = iota
-	// indexWaiting waits in the placer.
-	indexWaiting
-	// indexRunning has a lease.
-	indexRunning
-	// indexSettled has an outcome.
-	indexSettled
+	// taskOpen is neither queued, running nor settled.
+	taskOpen taskState = iota
+	// taskWaiting is queued in the placer.
+	taskWaiting
+	// taskRunning has a lease.
+	taskRunning
+	// taskSettled has an outcome.
+	taskSettled
 )
 
-// taskSeparator stands between the parts of a TaskID.
+// taskSeparator separates the parts of a TaskID.
 const taskSeparator = "/"
 
-// NameTask returns the id of a task of an intent.
+// NameTask returns the id of a task: INTENT/BATCH/INDEX.
 func NameTask(name identifier.IntentName, batch, index int) identifier.TaskID {
 	return identifier.TaskID(string(name) + taskSeparator + strconv.Itoa(batch) + taskSeparator + strconv.Itoa(index))
 }
 
-// IntentOf returns the intent of a task, or nothing for an id of another form.
+// IntentOf returns the intent of a task, or an empty name if the id has fewer than three parts.
 func IntentOf(task identifier.TaskID) identifier.IntentName {
 	name, _, _, _ := splitTask(task)
 	return name
 }
 
-// splitTask returns the parts of a TaskID.
+// splitTask parses a TaskID. The name of the intent may itself contain separators.
 func splitTask(task identifier.TaskID) (name identifier.IntentName, batch, index int, valid bool) {
 	parts := strings.Split(string(task), taskSeparator)
 	if len(parts) < 3 {
@@ -98,8 +100,8 @@
 	return name, batch, index, batchErr == nil && indexErr == nil
 }
 
-// assign takes an intent over, or begins to cancel one that it has.
-func (driver *Driver[P]) assign(now identifier.Moment, assigned IntentAssigned) {
+// handleIntentAssigned adds a new intent, or begins to cancel a known one.
+func (driver *Driver[P]) handleIntentAssigned(now identifier.Moment, assigned IntentAssigned) {
 	intent := driver.intents.Get(assigned.Name)
 	if intent == nil {
 		intent = driver.adoptIntent(now, assigned)
@@ -112,47 +114,47 @@
 	}
 }
 
-func (driver *Driver[P]) adoptIntent(now identifier.Moment, assigned IntentAssigned) *driven {
-	intent := &driven{name: assigned.Name, spec: assigned.Spec, flushAt: identifier.Never}
+func (driver *Driver[P]) adoptIntent(now identifier.Moment, assigned IntentAssigned) *driverIntent {
+	intent := &driverIntent{name: assigned.Name, spec: assigned.Spec, flushAt: identifier.Never}
 	driver.intents.Put(assigned.Name, intent)
 	for _, learned := range assigned.Learned {
 		driver.Learner.Seed(guarder.KindKey{Team: assigned.Spec.Team, Kind: learned.Kind}, learned.Correction)
 	}
 	for _, allotment := range assigned.Allotments {
-		batch := &drivenBatch{
+		batch := &driverBatch{
 			intent: intent,
 			number: allotment.Batch,
 			batch:  assigned.Spec.Batches[allotment.Batch],
 			group:  placer.GroupID{Intent: assigned.Name, Batch: allotment.Batch},
 			from:   allotment.From,
 			to:     allotment.To,
-			states: make([]indexState, allotment.To-allotment.From),
+			states: make([]taskState, allotment.To-allotment.From),
 		}
-		batch.former = batch.from
+		batch.formerClaimed = batch.from
 		for _, mark := range assigned.Claims {
 			if mark.Batch == batch.number {
-				batch.former = mark.To
+				batch.formerClaimed = mark.To
 			}
 		}
-		batch.claimed = batch.former
+		batch.claimed = batch.formerClaimed
 		batch.next = batch.from
 		for _, ended := range assigned.Ranges {
 			batch.markSettled(ended)
 		}
 		intent.batches = append(intent.batches, batch)
-		driver.Placer.AddGroup(now, driver.wanted(batch))
+		driver.Placer.AddGroup(now, driver.placerGroup(batch))
 	}
 	if !driver.quiet {
-		driver.resolveFormer(now, intent)
+		driver.settleFormerTasks(now, intent)
 	}
 	return intent
 }
 
-// wanted returns what the placer needs of a batch, with what was learned since,
-// unless no worker or quota could hold that: then what was declared.
-func (driver *Driver[P]) wanted(batch *drivenBatch) placer.Group {
+// placerGroup describes a batch to the placer, with the learned corrections applied.
+// If no worker or quota could hold the corrected need, the declared need is used.
+func (driver *Driver[P]) placerGroup(batch *driverBatch) placer.Group {
 	spec := batch.intent.spec
-	declared := driver.declaration(batch)
+	declared := driver.correctedDeclaration(batch)
 	if !driver.Placer.CouldRun(spec.Team, declared.Need) {
 		declared.Need = batch.batch.Need
 	}
@@ -167,26 +169,26 @@
 	}
 }
 
-func (driver *Driver[P]) key(batch *drivenBatch) guarder.KindKey {
+func (driver *Driver[P]) kindKey(batch *driverBatch) guarder.KindKey {
 	return guarder.KindKey{Team: batch.intent.spec.Team, Kind: batch.batch.Kind}
 }
 
-func (driver *Driver[P]) declaration(batch *drivenBatch) guarder.Declaration {
-	declared := driver.Learner.Correction(driver.key(batch)).Apply(batch.batch.Declaration())
-	declared.Need = declared.Need.Max(batch.raised)
+func (driver *Driver[P]) correctedDeclaration(batch *driverBatch) guarder.Declaration {
+	declared := driver.Learner.Correction(driver.kindKey(batch)).Apply(batch.batch.Declaration())
+	declared.Need = declared.Need.Max(batch.raisedNeed)
 	return declared
 }
 
-// endQuiet begins the work once no task of a former lead can run any more, but
-// for those that were adopted.
-func (driver *Driver[P]) endQuiet(now identifier.Moment) {
+// endQuietPeriod starts the driver's work once no task of a former lead can still run,
+// except those that were adopted.
+func (driver *Driver[P]) endQuietPeriod(now identifier.Moment) {
 	if !driver.quiet || now.Before(driver.Granter.QuietUntil) {
 		return
 	}
 	driver.quiet = false
-	driver.changed = true
-	driver.intents.Each(func(_ identifier.IntentName, intent *driven) bool {
-		driver.resolveFormer(now, intent)
+	driver.placementPending = true
+	driver.intents.Each(func(_ identifier.IntentName, intent *driverIntent) bool {
+		driver.settleFormerTasks(now, intent)
 		if intent.cancelling {
 			driver.cancel(now, intent)
 		}
@@ -194,30 +196,30 @@
 	})
 }
 
-// resolveFormer decides on tasks that a former lead may have started and whose
-// outcome it did not report. Repeatable ones run again; the others are not known
-// to have run, and must not run again.
-func (driver *Driver[P]) resolveFormer(now identifier.Moment, intent *driven) {
+// settleFormerTasks settles tasks that a former lead may have started without reporting
+// an outcome. Repeatable ones run again. The others get an unknown outcome and must not
+// run again.
+func (driver *Driver[P]) settleFormerTasks(now identifier.Moment, intent *driverIntent) {
 	for _, batch := range intent.batches {
 		if batch.batch.Repeatable {
 			continue
 		}
 		lost := 0
-		for index := batch.from; index < batch.former; index++ {
-			if batch.state(index) == indexOpen {
+		for index := batch.from; index < batch.formerClaimed; index++ {
+			if batch.state(index) == taskOpen {
 				driver.settle(now, batch, index, OutcomeUnknown)
 				lost++
 			}
 		}
 		if lost > 0 {
-			driver.note(now, intent, fmt.Sprintf("the lead changed: %d tasks may have run and are not run again", lost))
+			driver.recordNote(now, intent, fmt.Sprintf("the lead changed: %d tasks may have run and are not run again", lost))
 		}
 	}
 }
 
-// refill claims tasks and lets them wait in the placer, a window at a time.
+// refill claims tasks and queues them in the placer, up to Window tasks of each batch.
 func (driver *Driver[P]) refill(now identifier.Moment) {
-	driver.intents.Each(func(_ identifier.IntentName, intent *driven) bool {
+	driver.intents.Each(func(_ identifier.IntentName, intent *driverIntent) bool {
 		if intent.cancelling {
 			return true
 		}
@@ -228,15 +230,15 @@
 	})
 }
 
-func (driver *Driver[P]) refillBatch(now identifier.Moment, batch *drivenBatch) {
+func (driver *Driver[P]) refillBatch(now identifier.Moment, batch *driverBatch) {
 	waiting, _ := driver.Placer.Waiting(batch.group)
 	for waiting < driver.Settings.Window && batch.next < batch.claimed {
 		index := batch.next
 		batch.next++
-		if batch.state(index) != indexOpen {
+		if batch.state(index) != taskOpen {
 			continue
 		}
-		batch.setState(index, indexWaiting)
+		batch.setState(index, taskWaiting)
 		driver.Placer.Enqueue(now, batch.group, NameTask(batch.intent.name, batch.number, index))
 		waiting++
 	}
@@ -250,17 +252,17 @@
 	}
 }
 
-// claimEnd returns how far to claim. A repeatable batch is claimed whole, so that it
-// goes on while the failure domain is cut off from the log. What is not repeatable
-// is claimed by the window, since the next lead starts nothing that is claimed.
-func (driver *Driver[P]) claimEnd(batch *drivenBatch) int {
+// claimEnd returns the end of the next claim. A repeatable batch is claimed as a whole, so
+// that it continues while the failure domain is cut off from the log. Any other batch is
+// claimed one window at a time, since the next lead starts no task that is already claimed.
+func (driver *Driver[P]) claimEnd(batch *driverBatch) int {
 	if batch.batch.Repeatable {
 		return batch.to
 	}
 	return min(batch.claimed+driver.Settings.Window, batch.to)
 }
 
-func (driver *Driver[P]) claimApplied(applied ClaimApplied) {
+func (driver *Driver[P]) handleClaimApplied(applied ClaimApplied) {
 	intent := driver.intents.Get(applied.Name)
 	if intent == nil || applied.Claim.Epoch != driver.Epoch {
 		return
@@ -277,57 +279,58 @@
 	}
 }
 
-// cancel gives up what has not started and stops what runs. A task that only a
-// former lead may have started is not known to have run.
-func (driver *Driver[P]) cancel(now identifier.Moment, intent *driven) {
+// cancel withdraws the tasks that have not started and stops those that run. A task that
+// only a former lead may have started gets an unknown outcome.
+func (driver *Driver[P]) cancel(now identifier.Moment, intent *driverIntent) {
 	for _, batch := range intent.batches {
 		driver.Placer.Withdraw(batch.group)
 		for index := batch.from; index < batch.to; index++ {
 			switch batch.state(index) {
-			case indexOpen, indexWaiting:
-				driver.settle(now, batch, index, batch.unstarted(index))
-			case indexRunning:
-				driver.stop(NameTask(intent.name, batch.number, index), leavingCancelled, "the intent is cancelled")
+			case taskOpen, taskWaiting:
+				driver.settle(now, batch, index, batch.outcomeWithoutRun(index))
+			case taskRunning:
+				driver.stop(NameTask(intent.name, batch.number, index), stopCauseCancelled, "the intent is cancelled")
 			}
 		}
 	}
 }
 
-// unstarted returns the outcome of a task that is given up and not running now.
-func (batch *drivenBatch) unstarted(index int) Outcome {
-	if outcome, ran := batch.ran[index]; ran {
+// outcomeWithoutRun returns the outcome of a task that is given up while it doesn't run.
+func (batch *driverBatch) outcomeWithoutRun(index int) Outcome {
+	if outcome, ran := batch.earlierOutcomes[index]; ran {
 		return outcome
 	}
-	if index < batch.former {
+	if index < batch.formerClaimed {
 		return OutcomeUnknown
 	}
 	return OutcomeNotRun
 }
 
-// intentEnded drops an intent that the log has ended.
-func (driver *Driver[P]) intentEnded(now identifier.Moment, name identifier.IntentName) {
+// handleIntentEnded cancels an intent that the log has ended. It is removed once every
+// task is settled.
+func (driver *Driver[P]) handleIntentEnded(now identifier.Moment, name identifier.IntentName) {
 	intent := driver.intents.Get(name)
 	if intent == nil {
 		return
 	}
 	intent.cancelling = true
-	intent.over = true
+	intent.ended = true
 	driver.cancel(now, intent)
 	driver.scheduleFlush(now, intent)
 }
 
-func (batch *drivenBatch) state(index int) indexState { return batch.states[index-batch.from] }
+func (batch *driverBatch) state(index int) taskState { return batch.states[index-batch.from] }
 
-func (batch *drivenBatch) setState(index int, state indexState) {
+func (batch *driverBatch) setState(index int, state taskState) {
 	batch.states[index-batch.from] = state
 }
 
-func (batch *drivenBatch) markSettled(ended Range) {
+func (batch *driverBatch) markSettled(ended Range) {
 	if ended.Batch != batch.number {
 		return
 	}
 	for index := max(ended.From, batch.from); index < min(ended.To, batch.to); index++ {
-		batch.setState(index, indexSettled)
+		batch.setState(index, taskSettled)
 		batch.settled++
 		if ended.Outcome == OutcomeSucceeded {
 			batch.succeeded++
@@ -335,31 +338,32 @@
 	}
 }
 
-// checkpoint says why a task was checkpointed.
+// checkpoint records why a task was checkpointed.
 type checkpoint struct {
-	// guarded tells that the task had used too much. It is not checkpointed for
-	// that again but stopped, since otherwise it could go around for ever.
-	guarded bool
+	// byGuarder reports whether the guarder ordered the checkpoint because the task used too
+	// much. The next time, the task is stopped instead, or it might be checkpointed and
+	// resumed forever.
+	byGuarder bool
 }
 
-// remember keeps what is known of a run of a task that waits again. Without it a
-// task that ran and is then cancelled while it waits would be said not to have run.
-func (batch *drivenBatch) remember(index int, outcome Outcome) {
-	if batch.ran == nil {
-		batch.ran = make(map[int]Outcome)
+// recordEarlierOutcome records how a run of a task that waits again may have ended. Without
+// it, a task that ran and is cancelled while it waits would be reported as never run.
+func (batch *driverBatch) recordEarlierOutcome(index int, outcome Outcome) {
+	if batch.earlierOutcomes == nil {
+		batch.earlierOutcomes = make(map[int]Outcome)
 	}
-	batch.ran[index] = max(outcome, batch.ran[index])
+	batch.earlierOutcomes[index] = max(outcome, batch.earlierOutcomes[index])
 }
 
-// resumes tells whether a task has a checkpoint to go on from.
-func (batch *drivenBatch) resumes(index int) bool {
-	_, saved := batch.saved[index]
+// hasCheckpoint reports whether a task can resume from a checkpoint.
+func (batch *driverBatch) hasCheckpoint(index int) bool {
+	_, saved := batch.checkpoints[index]
 	return saved
 }
 
-func (batch *drivenBatch) save(index int, guarded bool) {
-	if batch.saved == nil {
-		batch.saved = make(map[int]checkpoint)
+func (batch *driverBatch) recordCheckpoint(index int, byGuarder bool) {
+	if batch.checkpoints == nil {
+		batch.checkpoints = make(map[int]checkpoint)
 	}
-	batch.saved[index] = checkpoint{guarded: guarded || batch.saved[index].guarded}
+	batch.checkpoints[index] = checkpoint{byGuarder: byGuarder || batch.checkpoints[index].byGuarder}
 }
--- a/pkg/planner/bench_test.go
+++ b/pkg/planner/bench_test.go
@@ -11,9 +11,9 @@
 	"github.com/stoathitch/stoathitch/pkg/placer"
 )
 
-// BenchmarkDriver measures one tenth of a second of a full failure domain: each
-// worker runs 30 tasks, sends a heartbeat with their usage every one or three seconds,
-// and the intents of 740 teams are waiting.
+// BenchmarkDriver runs a tenth of a second of a full failure domain per iteration: each
+// worker runs 30 tasks and sends a heartbeat with their usage every one or three seconds,
+// while the intents of 740 teams wait.
 func BenchmarkDriver(b *testing.B) {
 	for _, size := range []struct{ workers, ticks int }{{50, 10}, {250, 10}, {1000, 10}, {250, 30}} {
 		workers := size.workers
@@ -41,7 +41,7 @@
 				})
 			}
 			running := make(map[identifier.WorkerID][]RunningTask)
-			note := func(outputs []Output) {
+			recordStarts := func(outputs []Output) {
 				for _, output := range outputs {
 					if start, is := output.(StartTask); is {
 						running[start.Worker] = append(running[start.Worker], RunningTask{Task: start.Grant.Task, Number: start.Grant.Number})
@@ -49,7 +49,7 @@
 				}
 			}
 			for range 40 {
-				note(driver.Tick(now, inputs))
+				recordStarts(driver.Tick(now, inputs))
 				inputs = nil
 			}
 			tick := 0
@@ -66,14 +66,14 @@
 					}
 					inputs = append(inputs, beat)
 				}
-				note(driver.Tick(now, inputs))
+				recordStarts(driver.Tick(now, inputs))
 				driver.NextDeadline()
 			}
 		})
 	}
 }
 
-// BenchmarkApply measures one command with its encoding.
+// BenchmarkApply encodes, decodes and applies a creation, and applies a rejection.
 func BenchmarkApply(b *testing.B) {
 	machine := &Machine{}
 	index := identifier.LogIndex(0)
--- a/pkg/planner/driver.go
+++ b/pkg/planner/driver.go
@@ -10,29 +10,28 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// DriverSettings of a Driver.
+// DriverSettings configures a Driver.
 type DriverSettings struct {
-	// SweepInterval is the time between two looks at all running tasks.
+	// SweepInterval is the time between two checks of all running tasks and workers.
 	SweepInterval time.Duration
-	// PlaceInterval is the time between two rounds of placement: every heartbeat may
-	// make room, and a round costs something for each batch that waits.
+	// PlaceInterval is the minimum time between two rounds of placement. Any heartbeat may
+	// free capacity, and a round has a cost for each waiting batch.
 	PlaceInterval time.Duration
-	// FlushInterval is how long outcomes are gathered before they are proposed.
+	// FlushInterval is how long outcomes are collected before they are proposed to the log.
 	FlushInterval time.Duration
-	// Window is the number of tasks of a batch that wait in the placer, and that
-	// are claimed at once.
+	// Window is the number of tasks of a batch that wait in the placer, and the size of a claim.
 	Window int
-	// FailuresToQuarantine is the number of failures in a row, of batches that
-	// succeed elsewhere, after which a worker gets no new tasks.
+	// FailuresToQuarantine is the number of consecutive failures after which a worker gets no
+	// new tasks. Only failures of batches that have succeeded somewhere count.
 	FailuresToQuarantine int
-	// Quarantine is the time for which it gets none, doubled up to eight times as
-	// long when it fails again at once.
+	// Quarantine is the length of the first quarantine. It doubles each time the worker fails
+	// again at once, up to eight times this length.
 	Quarantine time.Duration
 	// QuarantinedPermille is the highest share of workers in quarantine.
 	QuarantinedPermille int
-	// CheckpointWithin is the time after which a checkpoint is given up for a stop.
+	// CheckpointWithin is the time after which a task that is still not checkpointed is stopped.
 	CheckpointWithin time.Duration
-	// RememberLost is how long a lost worker counts as one that will be back.
+	// RememberLost is how long a lost worker counts as one that will return; then it is removed.
 	RememberLost time.Duration
 }
 
@@ -51,41 +50,41 @@
 	}
 }
 
-// Driver runs the confirmed intents on the workers of one failure domain. It runs
-// only on the host that leads these workers; its Epoch is above that of every
-// former lead, the former lead must have lost its right before this one begins,
-// and a CommandLead must be applied before the first assignment is read. Set the exported fields before use.
+// Driver runs the confirmed intents on the workers of one failure domain. It runs only on
+// the host that leads these workers. Its Epoch is above that of every former lead, the
+// former lead must have lost its right to lead before this one begins, and a CommandLead
+// must be applied before the first assignment is read. Set the exported fields before use.
 type Driver[P placer.Policy] struct {
 	FailureDomain identifier.FailureDomain
 	Epoch         identifier.Epoch
 	Settings      DriverSettings
 	Placer        *placer.Placer[P]
-	// Granter holds the leases; its QuietUntil lies at least one lease after the
-	// driver's first Tick when another host led before.
+	// Granter holds the leases. If another host led before, its QuietUntil is at least one
+	// lease after the driver's first Tick.
 	Granter *leaser.Granter
 	Guarder *guarder.Guarder
 	Learner *guarder.Learner
 
-	intents *tabulator.Table[identifier.IntentName, driven]
-	tasks   *tabulator.Table[identifier.TaskID, driveTask]
-	workers *tabulator.Table[identifier.WorkerID, driveWorker]
+	intents *tabulator.Table[identifier.IntentName, driverIntent]
+	tasks   *tabulator.Table[identifier.TaskID, driverTask]
+	workers *tabulator.Table[identifier.WorkerID, driverWorker]
 	outputs []Output
 	sweepAt identifier.Moment
 	flushAt identifier.Moment
 	quiet   bool
-	// evacuated tells that nothing is started in the failure domain.
+	// evacuated reports whether starts in the failure domain are suspended.
 	evacuated bool
-	// changed tells that something may be placed that could not be before; placeAt
-	// is when that is tried next.
-	changed  bool
-	placeAt  identifier.Moment
-	badRacks map[identifier.RackID]bool
-	// settledAt is when every living worker has had time to announce itself.
-	settledAt identifier.Moment
+	// placementPending reports whether a change may allow further placements; placeAt is the
+	// time of the next attempt.
+	placementPending bool
+	placeAt          identifier.Moment
+	badRacks         map[identifier.RackID]bool
+	// workersKnownAt is when every live worker has had time to announce itself.
+	workersKnownAt identifier.Moment
 }
 
 // NewDriver returns a driver with the default settings. Nothing is started before
-// quietUntil, the moment until which tasks of a former lead may run.
+// quietUntil, the time until which tasks of a former lead may run.
 func NewDriver[P placer.Policy](policy P, domain identifier.FailureDomain, epoch identifier.Epoch, lease time.Duration, quietUntil identifier.Moment) *Driver[P] {
 	return &Driver[P]{
 		FailureDomain: domain,
@@ -98,60 +97,60 @@
 	}
 }
 
-// DefaultKinds is the number of kinds of batches that are learned of.
+// DefaultKinds is the maximum number of kinds of batches with learned corrections.
 const DefaultKinds = 8192
 
-// driveTask is a task that runs, or may run, on a worker.
-type driveTask struct {
-	batch     *drivenBatch
+// driverTask is a task that runs, or may run, on a worker.
+type driverTask struct {
+	batch     *driverBatch
 	index     int
 	worker    identifier.WorkerID
 	number    leaser.Number
 	startedAt identifier.Moment
-	leaving   leaving
-	// leavingSince is when a checkpoint was ordered.
-	leavingSince identifier.Moment
-	// stopping tells that the lease is no longer renewed.
+	stopCause stopCause
+	// checkpointOrderedAt is when the worker was ordered to checkpoint the task.
+	checkpointOrderedAt identifier.Moment
+	// stopping reports whether the task was ordered to stop; its lease is no longer renewed.
 	stopping bool
 	reason   string
 }
 
-// leaving says why a task was told to stop.
-type leaving int
+// stopCause is why a task was ordered to checkpoint or stop.
+type stopCause int
 
 const (
-	leavingNot leaving = iota
-	leavingPreempted
-	leavingGuarded
-	leavingCancelled
+	stopCauseNone stopCause = iota
+	stopCausePreempted
+	stopCauseGuarder
+	stopCauseCancelled
 )
 
-// driveWorker is a worker as the driver sees it.
-type driveWorker struct {
+// driverWorker is the driver's state of a worker.
+type driverWorker struct {
 	worker           placer.Worker
 	lostAt           identifier.Moment
 	lost             bool
 	silent           bool
 	failures         int
-	quarantine       time.Duration
+	quarantineLength time.Duration
 	quarantinedUntil identifier.Moment
 }
 
-// Tick takes inputs at now and returns what is to be done, in order.
+// Tick handles inputs at now and returns the outputs to carry out, in order.
 func (driver *Driver[P]) Tick(now identifier.Moment, inputs []Input) []Output {
 	driver.prepare(now)
 	driver.outputs = nil
-	driver.changed = driver.changed || len(inputs) > 0
+	driver.placementPending = driver.placementPending || len(inputs) > 0
 	for _, input := range inputs {
-		driver.take(now, input)
+		driver.handleInput(now, input)
 	}
-	driver.endQuiet(now)
+	driver.endQuietPeriod(now)
 	driver.expireLeases(now)
 	if driver.sweepAt.Due(now) {
 		driver.sweep(now)
 	}
-	if !driver.quiet && !driver.evacuated && driver.changed && driver.placeAt.Due(now) {
-		driver.changed = false
+	if !driver.quiet && !driver.evacuated && driver.placementPending && driver.placeAt.Due(now) {
+		driver.placementPending = false
 		driver.placeAt = now.Add(driver.Settings.PlaceInterval)
 		driver.refill(now)
 		driver.place(now)
@@ -160,7 +159,7 @@
 	return driver.outputs
 }
 
-// NextDeadline returns the moment at which Tick is due without any input.
+// NextDeadline returns when Tick must be called even if there is no input.
 func (driver *Driver[P]) NextDeadline() identifier.Moment {
 	if driver.intents == nil {
 		return identifier.Never
@@ -171,40 +170,40 @@
 	}
 	if driver.quiet {
 		next = identifier.Earlier(next, driver.Granter.QuietUntil)
-	} else if driver.changed && !driver.evacuated {
+	} else if driver.placementPending && !driver.evacuated {
 		next = identifier.Earlier(next, driver.placeAt)
 	}
 	return next
 }
 
-// Picture returns what plans are made from.
+// Picture returns the capacities and loads that plans are based on.
 func (driver *Driver[P]) Picture(now identifier.Moment) Picture {
 	if driver.intents == nil {
 		return Picture{FailureDomain: driver.FailureDomain, Settling: true}
 	}
 	picture := Picture{FailureDomain: driver.FailureDomain, Rooms: driver.Placer.Rooms()}
-	picture.Settling = now.Before(driver.settledAt) || driver.workers.Len() == 0
+	picture.Settling = now.Before(driver.workersKnownAt) || driver.workers.Len() == 0
 	loads := driver.Placer.Loads(now)
 	picture.Loads = loads[:]
 	return picture
 }
 
-func (driver *Driver[P]) take(now identifier.Moment, input Input) {
+func (driver *Driver[P]) handleInput(now identifier.Moment, input Input) {
 	switch input := input.(type) {
 	case WorkerAnnounced:
-		driver.announce(now, input)
+		driver.handleWorkerAnnounced(now, input)
 	case WorkerHeartbeat:
-		driver.heartbeat(now, input)
+		driver.handleHeartbeat(now, input)
 	case WorkerLost:
-		driver.lose(now, input.Worker)
+		driver.handleWorkerLost(now, input.Worker)
 	case TaskEnded:
-		driver.taskEnded(now, input)
+		driver.handleTaskEnded(now, input)
 	case IntentAssigned:
-		driver.assign(now, input)
+		driver.handleIntentAssigned(now, input)
 	case IntentEnded:
-		driver.intentEnded(now, input.Name)
+		driver.handleIntentEnded(now, input.Name)
 	case ClaimApplied:
-		driver.claimApplied(input)
+		driver.handleClaimApplied(input)
 	case EvacuationChanged:
 		driver.evacuated = input.Evacuated
 	case QuotasChanged:
@@ -220,11 +219,11 @@
 	if driver.intents != nil {
 		return
 	}
-	driver.intents = tabulator.New[identifier.IntentName, driven]()
-	driver.tasks = tabulator.New[identifier.TaskID, driveTask]()
-	driver.workers = tabulator.New[identifier.WorkerID, driveWorker]()
+	driver.intents = tabulator.New[identifier.IntentName, driverIntent]()
+	driver.tasks = tabulator.New[identifier.TaskID, driverTask]()
+	driver.workers = tabulator.New[identifier.WorkerID, driverWorker]()
 	driver.flushAt = identifier.Never
 	driver.sweepAt = now.Add(driver.Settings.SweepInterval)
-	driver.settledAt = now.Add(driver.Granter.Length)
+	driver.workersKnownAt = now.Add(driver.Granter.Length)
 	driver.quiet = now.Before(driver.Granter.QuietUntil)
 }
--- a/pkg/planner/driver_test.go
+++ b/pkg/planner/driver_test.go
@@ -13,23 +13,24 @@
 	"github.com/stoathitch/stoathitch/pkg/placer"
 )
 
-// script is a world that a golden file drives.
+// script is a world that is driven by the commands of a golden file.
 type script struct {
 	*world
-	// runTime, cpu, memory and end say how tasks that start from now on run.
+	// runTime, cpu, memory and end override how tasks that start from now on run; cpu and
+	// memory are in thousandths of the declared need.
 	runTime time.Duration
 	cpu     int64
 	memory  int64
 	end     TaskEnd
-	// bad fails every task fast.
-	bad identifier.WorkerID
+	// failingWorker fails every task after a second.
+	failingWorker identifier.WorkerID
 }
 
-// TestDriver runs whole exchanges from the plan to the outcome, with faults.
+// TestDriver runs intents from the plan to the outcome, with faults.
 func TestDriver(t *testing.T) {
 	datadriven.Walk(t, "testdata/driver", func(t *testing.T, path string) {
 		script := &script{world: newWorld(t, 2)}
-		script.settle()
+		script.awaitWorkers()
 		script.behave = func(start StartTask) (time.Duration, TaskEnd, identifier.Resources) {
 			batch := script.machine.Get(start.Intent).Spec.Batches[start.Batch]
 			used := batch.Need
@@ -40,7 +41,7 @@
 			if script.memory > 0 {
 				used.Memory = used.Memory * identifier.Bytes(script.memory) / 1000
 			}
-			if start.Worker == script.bad {
+			if start.Worker == script.failingWorker {
 				return time.Second, EndFailed, used
 			}
 			if script.runTime > 0 {
@@ -58,23 +59,23 @@
 				}
 			}
 			if data.Cmd == "show" {
-				text += show1(script.machine.Get(scanCommand(t, data).Name))
+				text += showRecord(script.machine.Get(scanCommand(t, data).Name))
 			}
 			return text
 		})
-		script.checkWords()
+		script.checkOutcomes()
 	})
 }
 
-// settle lets the workers announce themselves and the lead learn of them.
-func (script *script) settle() {
+// awaitWorkers lets the workers announce themselves to the lead.
+func (script *script) awaitWorkers() {
 	for range 11 {
 		script.step(time.Second, 0, true)
 	}
 	script.trace = nil
 }
 
-// restarted returns a new world with workers of one rack.
+// restarted returns a new world whose workers all stand in one rack.
 func (script *script) restarted(t *testing.T, count int) *world {
 	world := newWorld(t, count)
 	world.behave = script.behave
@@ -117,9 +118,9 @@
 		var count int
 		data.ScanArgs(t, "count", &count)
 		script.world = script.restarted(t, count)
-		script.settle()
+		script.awaitWorkers()
 	case "bad":
-		script.bad = identifier.WorkerID(id)
+		script.failingWorker = identifier.WorkerID(id)
 	case "kill":
 		script.kill(worker)
 	case "cut":
--- a/pkg/planner/errors.go
+++ b/pkg/planner/errors.go
@@ -4,7 +4,7 @@
 
 //go:generate enumer -type=ErrorKind -transform=kebab -trimprefix=Kind -text
 
-// ErrorKind says what went wrong.
+// ErrorKind classifies an Error.
 type ErrorKind int
 
 // The kinds of errors.
@@ -15,20 +15,20 @@
 	KindVersion
 )
 
-// Error is the error of this package.
+// Error is returned by every function of this package that can fail.
 type Error struct {
 	Operation string
 	Kind      ErrorKind
 	Err       error
 }
 
-// Error implements error.
+// Error returns the operation and the cause.
 func (err *Error) Error() string { return err.Operation + ": " + err.Err.Error() }
 
 // Unwrap returns the cause.
 func (err *Error) Unwrap() error { return err.Err }
 
-// failure wraps a cause.
+// failure returns an Error that wraps cause.
 func failure(operation string, kind ErrorKind, cause error) error {
 	return &Error{Operation: operation, Kind: kind, Err: eris.Wrap(cause, kind.String())}
 }
--- a/pkg/planner/experiment_test.go
+++ b/pkg/planner/experiment_test.go
@@ -14,13 +14,13 @@
 
 var experiment = flag.Bool("experiment", false, "run the experiment on declarations that are far off")
 
-// truth is how far a kind of batch is from what is declared, in thousandths.
-var truth = map[guarder.Kind]int64{"over": 333, "right": 1000, "under": 2000}
+// usedPermille is the real usage of each kind of batch relative to its declaration.
+var usedPermille = map[guarder.Kind]int64{"over": 333, "right": 1000, "under": 2000}
 
-// TestExperiment keeps a failure domain of 50 workers saturated with batches whose
-// declarations are far off (row 15), with and without usage reports, and prints how
-// much of the processors is really used, how much of the time a worker is asked for
-// more than it has, and how many tasks end a minute.
+// TestExperiment saturates a failure domain of 50 workers with batches whose declarations
+// are far off (row 15), with and without usage reports. It prints the real processor
+// utilisation, how often workers are used beyond their capacity, and the number of tasks
+// that succeeded and that were stopped or checkpointed.
 func TestExperiment(t *testing.T) {
 	if !*experiment {
 		t.Skip("only with -experiment")
@@ -30,11 +30,11 @@
 		reports, learned bool
 	}{{"declared-only", false, false}, {"reports", true, false}, {"reports-and-learning", true, true}} {
 		world := newWorld(t, 50)
-		world.silent = !mode.reports
+		world.withoutReports = !mode.reports
 		random := rand.New(rand.NewPCG(5, 5))
 		world.behave = func(start StartTask) (time.Duration, TaskEnd, identifier.Resources) {
 			batch := world.machine.Get(start.Intent).Spec.Batches[start.Batch]
-			share := truth[batch.Kind]
+			share := usedPermille[batch.Kind]
 			used := identifier.Resources{
 				MilliCPU: batch.Need.MilliCPU * identifier.MilliCPU(share) / 1000,
 				Memory:   batch.Need.Memory / 1000 * identifier.Bytes(share),
--- a/pkg/planner/fuzz_test.go
+++ b/pkg/planner/fuzz_test.go
@@ -12,11 +12,11 @@
 	"github.com/stoathitch/stoathitch/pkg/placer"
 )
 
-// Symptom: a task runs before its plan was confirmed, twice, or on a worker that
-// has no room; or an intent is reported otherwise than it went. Sequence: any mix
-// of rows 15, 16, 21 and 23 with the death of a worker, a cut connection, a change
-// of the lead with its proposals lost, and a keeper that restarts. Cause: any
-// account, lease, claim or outcome that one of these leaves behind.
+// TestWholeExchange guards against a task that runs before its plan was confirmed, twice,
+// or on a worker without enough capacity, and against an intent that is reported otherwise
+// than it went. Accounts, leases, claims and outcomes can be left wrong by any mix of rows
+// 15, 16, 21 and 23 with the death of a worker, a cut connection, a change of the lead that
+// loses its proposals, and a keeper that restarts.
 func TestWholeExchange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		world := newWorld(t, 4)
@@ -30,7 +30,7 @@
 		first := map[identifier.RequestID]Result{}
 		sent := map[identifier.RequestID]Command{}
 		var order []identifier.RequestID
-		ask := func(t *rapid.T, command Command) {
+		submit := func(t *rapid.T, command Command) {
 			requests++
 			command.Request = identifier.RequestID(fmt.Sprint("q", requests))
 			result := world.apply(command)
@@ -38,7 +38,7 @@
 			order = append(order, command.Request)
 			if result.Kind != ResultAccepted {
 				if result.Kind == ResultConflict && result.Winner == nil {
-					t.Fatalf("the loser does not learn who won")
+					t.Fatalf("a conflict without the winner")
 				}
 				return
 			}
@@ -67,7 +67,7 @@
 				command := drawCommand(t, CommandCreate)
 				spec := specs.Draw(t, "spec")
 				command.Spec, command.Revision = &spec, 0
-				ask(t, command)
+				submit(t, command)
 			},
 			"plan": func(t *rapid.T) {
 				name := drawName(t)
@@ -78,22 +78,22 @@
 			"whole-intent": func(t *rapid.T) {
 				name := identifier.IntentName(fmt.Sprint("i", requests))
 				spec := specs.Draw(t, "spec")
-				ask(t, Command{Kind: CommandCreate, Name: name, Operator: "an", Spec: &spec})
+				submit(t, Command{Kind: CommandCreate, Name: name, Operator: "an", Spec: &spec})
 				if planned := world.propose(name); planned.State == StatePlanned {
-					ask(t, Command{Kind: CommandConfirm, Name: name, Operator: "an", Revision: planned.Revision, PlanNumber: 1})
+					submit(t, Command{Kind: CommandConfirm, Name: name, Operator: "an", Revision: planned.Revision, PlanNumber: 1})
 					names = append(names, name)
 				}
 			},
-			"confirm": func(t *rapid.T) { ask(t, drawCommand(t, CommandConfirm)) },
+			"confirm": func(t *rapid.T) { submit(t, drawCommand(t, CommandConfirm)) },
 			"both-confirm": func(t *rapid.T) {
 				command := drawCommand(t, CommandConfirm)
-				ask(t, command)
+				submit(t, command)
 				command.Operator = "bert"
-				ask(t, command)
+				submit(t, command)
 			},
 			"cancel": func(t *rapid.T) {
 				if rapid.IntRange(0, 3).Draw(t, "seldom") == 0 {
-					ask(t, drawCommand(t, CommandCancel))
+					submit(t, drawCommand(t, CommandCancel))
 				}
 			},
 			"cancel-newest": func(t *rapid.T) {
@@ -101,7 +101,7 @@
 				command.Name = names[len(names)-1]
 				if record := world.machine.Get(command.Name); record != nil {
 					command.Revision = record.Revision
-					ask(t, command)
+					submit(t, command)
 				}
 			},
 			"resend": func(t *rapid.T) {
@@ -111,7 +111,7 @@
 				request := rapid.SampledFrom(order).Draw(t, "request")
 				again := world.apply(sent[request])
 				if showResult(again) != showResult(first[request]) {
-					t.Fatalf("a resend got another answer:\n%s%s", showResult(first[request]), showResult(again))
+					t.Fatalf("a resent command got another result:\n%s%s", showResult(first[request]), showResult(again))
 				}
 			},
 			"keeper-restarts": func(t *rapid.T) {
@@ -151,7 +151,7 @@
 			"time-1":        func(t *rapid.T) { world.drawStep(t) },
 			"time-2":        func(t *rapid.T) { world.drawStep(t) },
 			"quotas-change": func(t *rapid.T) { world.inbox = append(world.inbox, drawQuotas(t)) },
-			"":              func(t *rapid.T) { world.checkWords() },
+			"":              func(t *rapid.T) { world.checkOutcomes() },
 		})
 		world.settleAll()
 	})
@@ -167,12 +167,13 @@
 	}
 }
 
-// changeLead replaces the driver; its proposals may still reach the log or be lost.
+// changeLead replaces the driver. The proposals of the former one are lost or stay on their
+// way to the log.
 func (world *world) changeLead(lost bool) {
 	if lost {
 		world.proposals = nil
 	}
-	world.lead()
+	world.replaceLead()
 }
 
 func (world *world) drawStep(t *rapid.T) {
@@ -181,8 +182,8 @@
 	world.step(wait, rapid.IntRange(0, 4).Draw(t, "applied"), rapid.Bool().Draw(t, "beats"))
 }
 
-// settleAll lets everything recover; then every confirmed intent must end, and
-// every word must be true.
+// settleAll restores all workers. Then every confirmed intent must end, with outcomes that
+// match what really ran.
 func (world *world) settleAll() {
 	world.inbox = append(world.inbox, QuotasChanged{Quotas: []TeamQuota{{Team: "t0"}, {Team: "t1"}}})
 	for step := 0; step < 20_000 && (step < 30 || !world.idle()); step++ {
@@ -191,7 +192,7 @@
 		}
 		world.step(time.Second, len(world.proposals), true)
 	}
-	world.checkWords()
+	world.checkOutcomes()
 	for _, name := range world.machine.Names() {
 		record := world.machine.Get(name)
 		if record.State >= StateConfirmed && !record.State.Ended() {
@@ -202,11 +203,11 @@
 		}
 	}
 	if used := world.driver.Placer.Used(); used != (identifier.Resources{}) {
-		world.t.Fatalf("room is still taken when all is over: %v", used)
+		world.t.Fatalf("resources are still reserved after all intents ended: %v", used)
 	}
 }
 
-// idle tells whether no confirmed intent is left to do.
+// idle reports whether no confirmed intent is unfinished.
 func (world *world) idle() bool {
 	for _, name := range world.machine.Names() {
 		state := world.machine.Get(name).State
@@ -238,8 +239,8 @@
 	return spec
 }
 
-// drawRun lets most tasks go as declared, and some run far longer, use far more,
-// or fail.
+// drawRun lets most tasks run as declared; some run far longer, use far more, end early or
+// refuse to start, or fail.
 func drawRun(t *rapid.T, batch Batch) (time.Duration, TaskEnd, identifier.Resources) {
 	runTime, end, used := batch.RunTime, EndSucceeded, batch.Need
 	switch rapid.IntRange(0, 7).Draw(t, "run") {
--- a/pkg/planner/golden_test.go
+++ b/pkg/planner/golden_test.go
@@ -14,7 +14,7 @@
 	"github.com/stoathitch/stoathitch/pkg/placer"
 )
 
-// exchange is a keeper's machine with the pictures that plans are made from.
+// exchange is a keeper's machine with a proposer and the pictures that it plans from.
 type exchange struct {
 	machine  *Machine
 	index    identifier.LogIndex
@@ -22,7 +22,7 @@
 	learner  *guarder.Learner
 }
 
-// TestExchange runs whole exchanges between operators and the machine.
+// TestExchange runs command sequences between operators and the machine.
 func TestExchange(t *testing.T) {
 	datadriven.Walk(t, "testdata/exchange", func(t *testing.T, path string) {
 		learner := &guarder.Learner{}
@@ -63,7 +63,7 @@
 		exchange.machine = restored
 		return fmt.Sprintf("applied=%d\n", restored.Applied())
 	case "show":
-		return show1(exchange.machine.Get(command.Name))
+		return showRecord(exchange.machine.Get(command.Name))
 	case "create":
 		command.Spec = &Spec{}
 		if err := json.Unmarshal([]byte(data.Input), command.Spec); err != nil {
@@ -168,7 +168,7 @@
 	return identifier.Resources{MilliCPU: identifier.MilliCPU(cpu), Memory: identifier.Bytes(memory), Accelerators: identifier.Accelerators(accelerators)}
 }
 
-// scanRanges reads lines of batch, from, to and outcome.
+// scanRanges parses lines of batch, from, to and outcome.
 func scanRanges(t *testing.T, input string) []Range {
 	var ranges []Range
 	for line := range strings.Lines(input) {
@@ -205,7 +205,7 @@
 	return text + "\n"
 }
 
-func show1(record *Record) string {
+func showRecord(record *Record) string {
 	if record == nil {
 		return "none\n"
 	}
--- a/pkg/planner/machine.go
+++ b/pkg/planner/machine.go
@@ -1,10 +1,9 @@
-// Package planner turns what operators state into plans, and confirmed plans into
-// running tasks.
+// Package planner plans the intents that operators state, and runs confirmed plans as
+// tasks.
 //
-// Machine is the replicated state of intents: it applies commands from the
-// keepers' log, the same on every keeper. Proposer makes plans from pictures of
-// the failure domains. Driver runs confirmed plans on the workers of one failure
-// domain.
+// Machine is the replicated state of intents: it applies commands from the keepers' log,
+// the same on every keeper. Proposer makes plans from Pictures of the failure domains.
+// Driver runs confirmed plans on the workers of one failure domain.
 package planner
 
 import (
@@ -17,7 +16,7 @@
 
 // Limits of what a Machine keeps.
 const (
-	// DefaultAnswers is the number of answers remembered for resends.
+	// DefaultAnswers is the number of results kept for resent requests.
 	DefaultAnswers = 16_384
 	// DefaultEnded is the number of ended intents that are kept.
 	DefaultEnded = 2048
@@ -25,8 +24,8 @@
 	MaxTasks = 100_000
 )
 
-// Machine is the deterministic state of all intents. Set the exported fields
-// before use, the same on every keeper.
+// Machine is the deterministic state of all intents. Set the exported fields before use,
+// to the same values on every keeper; zero selects the default.
 type Machine struct {
 	Answers int
 	Ended   int
@@ -36,22 +35,22 @@
 	ended   *tabulator.Table[identifier.IntentName, identifier.LogIndex]
 	epochs  *tabulator.Table[identifier.FailureDomain, identifier.Epoch]
 	applied identifier.LogIndex
-	// changed is the index of the last change of any intent's revision.
-	changed identifier.LogIndex
+	// lastChange is the index of the last change of any intent's revision.
+	lastChange identifier.LogIndex
 	// learned outlives the drivers and is shared by all failure domains.
 	learned *guarder.Learner
 }
 
-// answer is the first answer to a request.
+// answer is the first result of a request, with the command's kind and intent.
 type answer struct {
 	Kind   CommandKind           `cbor:"1,keyasint,omitempty"`
 	Name   identifier.IntentName `cbor:"2,keyasint,omitempty"`
 	Result Result                `cbor:"3,keyasint,omitempty"`
 }
 
-// Apply applies the entry at index. A command whose request was answered before
-// gets that answer again and changes nothing, which is how an operator who lost
-// an answer learns it, from whichever host.
+// Apply applies the entry at index. A command whose request was applied before gets the
+// first result again and changes nothing, so an operator that lost a response can resend
+// the request to any host.
 func (machine *Machine) Apply(index identifier.LogIndex, command Command) Result {
 	machine.prepare()
 	machine.applied = index
@@ -66,14 +65,14 @@
 	}
 	result := machine.execute(index, command)
 	machine.answers.Put(command.Request, &answer{Kind: command.Kind, Name: command.Name, Result: result})
-	dropFirst(machine.answers, machine.Answers)
+	dropOldest(machine.answers, machine.Answers)
 	return result
 }
 
 // Applied returns the index of the last entry applied.
 func (machine *Machine) Applied() identifier.LogIndex { return machine.applied }
 
-// Get returns the record of an intent, or nil. It must not be changed.
+// Get returns the record of an intent, or nil. The caller must not change it.
 func (machine *Machine) Get(name identifier.IntentName) *Record {
 	machine.prepare()
 	return machine.records.Get(name)
@@ -85,7 +84,7 @@
 	return machine.records.Keys()
 }
 
-// Correction returns what was learned of a kind of batch, for a Proposer.
+// Correction returns the learned correction for a kind of batch, for use by a Proposer.
 func (machine *Machine) Correction(key guarder.KindKey) guarder.Correction {
 	machine.prepare()
 	return machine.learned.Correction(key)
@@ -156,18 +155,18 @@
 	replaced := record.Plan
 	record.Plan = &plan
 	if len(plan.Refusals) > 0 {
-		record.settleRest(OutcomeNotRun)
+		record.settleRemaining(OutcomeNotRun)
 	}
 	result := machine.accept(index, command, record, planState(plan), planReason(plan, replaced, command.Reason))
 	result.Plan = &plan
 	return result
 }
 
-// postpone says why there is no plan yet. The intent stays as it is.
+// postpone records why there is no plan yet. State and revision stay unchanged.
 func (machine *Machine) postpone(index identifier.LogIndex, command Command, record *Record) Result {
 	reason := "no plan yet: " + command.Plan.Queued
 	if last := len(record.Steps) - 1; record.Steps[last].Reason != reason {
-		record.explain(Step{Index: index, Wall: command.Wall, Kind: command.Kind, Reason: reason})
+		record.addStep(Step{Index: index, Wall: command.Wall, Kind: command.Kind, Reason: reason})
 	}
 	return Result{Kind: ResultAccepted, Index: index, State: record.State, Revision: record.Revision, Reason: reason}
 }
@@ -212,8 +211,8 @@
 	if record.State != StateCreated && record.State != StatePlanned {
 		return refuse(index, record, ResultWrongState, "only an unconfirmed intent is rejected")
 	}
-	record.settleRest(OutcomeNotRun)
-	return machine.accept(index, command, record, StateRejected, "rejected by "+string(command.Operator)+because(command.Reason))
+	record.settleRemaining(OutcomeNotRun)
+	return machine.accept(index, command, record, StateRejected, "rejected by "+string(command.Operator)+reasonSuffix(command.Reason))
 }
 
 func (machine *Machine) expire(index identifier.LogIndex, command Command, record *Record) Result {
@@ -226,10 +225,10 @@
 }
 
 func (machine *Machine) cancel(index identifier.LogIndex, command Command, record *Record) Result {
-	reason := "cancelled by " + string(command.Operator) + because(command.Reason)
+	reason := "cancelled by " + string(command.Operator) + reasonSuffix(command.Reason)
 	switch record.State {
 	case StateCreated, StatePlanned:
-		record.settleRest(OutcomeNotRun)
+		record.settleRemaining(OutcomeNotRun)
 		return machine.accept(index, command, record, StateCancelled, reason)
 	case StateConfirmed, StateRunning:
 		return machine.accept(index, command, record, StateCancelling, reason)
@@ -245,38 +244,38 @@
 	}
 	cancelled := record.State == StateCancelling
 	record.settleUnclaimed()
-	record.settleRest(OutcomeUnknown)
-	return machine.accept(index, command, record, lastState(record, cancelled), "given up by "+string(command.Operator)+because(command.Reason)+": "+record.Tally().String())
+	record.settleRemaining(OutcomeUnknown)
+	return machine.accept(index, command, record, finalState(record, cancelled), "given up by "+string(command.Operator)+reasonSuffix(command.Reason)+": "+record.Tally().String())
 }
 
-func because(reason string) string {
+func reasonSuffix(reason string) string {
 	if reason == "" {
 		return ""
 	}
 	return " (" + reason + ")"
 }
 
-// settleUnclaimed says of the tasks that no driver has claimed that they did not run:
-// once the intent has ended nobody can claim them any more.
+// settleUnclaimed sets OutcomeNotRun for the tasks that no driver has claimed: after the
+// intent has ended no driver can claim them.
 func (record *Record) settleUnclaimed() {
 	for _, allotment := range record.Plan.Allotments {
-		mark := record.claimed(allotment.FailureDomain, allotment.Batch, allotment.From)
+		mark := record.claimMark(allotment.FailureDomain, allotment.Batch, allotment.From)
 		record.settle(Range{Batch: allotment.Batch, From: mark.To, To: allotment.To, Outcome: OutcomeNotRun})
 	}
 }
 
-// settleRest gives an outcome to every task that has none.
-func (record *Record) settleRest(outcome Outcome) {
+// settleRemaining sets the outcome of every task that has none.
+func (record *Record) settleRemaining(outcome Outcome) {
 	for batch := range record.Spec.Batches {
 		record.settle(Range{Batch: batch, To: record.Spec.Batches[batch].Count, Outcome: outcome})
 	}
 }
 
-// accept moves a record on to its next revision.
+// accept applies a change to a record and increments its revision.
 func (machine *Machine) accept(index identifier.LogIndex, command Command, record *Record, state State, reason string) Result {
 	record.State = state
 	record.Revision++
-	machine.changed = index
+	machine.lastChange = index
 	change := Change{
 		Revision: record.Revision, Kind: command.Kind, Operator: command.Operator, Wall: command.Wall,
 		Request: command.Request, Index: index, Spec: command.Spec, PlanNumber: command.PlanNumber,
@@ -285,21 +284,22 @@
 		change.PlanNumber = record.Plans
 	}
 	record.Changes = append(record.Changes, change)
-	if len(record.Changes) > keptChanges {
+	if len(record.Changes) > maxChanges {
 		record.Changes = append(record.Changes[:1], record.Changes[2:]...)
 	}
-	record.explain(Step{Index: index, Wall: command.Wall, Kind: command.Kind, Reason: reason})
-	machine.noteEnd(index, record)
+	record.addStep(Step{Index: index, Wall: command.Wall, Kind: command.Kind, Reason: reason})
+	machine.recordEnd(index, record)
 	return Result{Kind: ResultAccepted, Index: index, State: record.State, Revision: record.Revision, Reason: reason}
 }
 
-// noteEnd keeps only so many ended intents; the names of the others are free again.
-func (machine *Machine) noteEnd(index identifier.LogIndex, record *Record) {
+// recordEnd records that an intent has ended and removes the oldest ended ones beyond the
+// limit; their names can be used again.
+func (machine *Machine) recordEnd(index identifier.LogIndex, record *Record) {
 	if !record.State.Ended() || machine.ended.Get(record.Name) != nil {
 		return
 	}
 	machine.ended.Put(record.Name, &index)
-	record.forgetRacks()
+	record.dropRacks()
 	machine.ended.Each(func(name identifier.IntentName, _ *identifier.LogIndex) bool {
 		if machine.ended.Len() <= machine.Ended {
 			return false
@@ -310,7 +310,8 @@
 	})
 }
 
-// conflict names the change that was made to the revision that the sender saw.
+// conflict returns a ResultConflict with the change that followed the revision that the
+// sender saw, or with the latest change if that one is no longer kept.
 func conflict(index identifier.LogIndex, record *Record, seen uint64) Result {
 	winner := record.Changes[len(record.Changes)-1]
 	for _, change := range record.Changes {
@@ -347,9 +348,9 @@
 	}
 }
 
-// dropFirst removes the oldest rows down to limit, once an eighth too many are
-// there: each removal alone would pass over the rows removed before it.
-func dropFirst[K comparable, V any](table *tabulator.Table[K, V], limit int) {
+// dropOldest removes the oldest rows down to limit once it is exceeded by an eighth.
+// Removing them one at a time would skip over all removed rows each time.
+func dropOldest[K comparable, V any](table *tabulator.Table[K, V], limit int) {
 	if table.Len() <= limit+limit/8 {
 		return
 	}
--- a/pkg/planner/message.go
+++ b/pkg/planner/message.go
@@ -11,7 +11,7 @@
 
 //go:generate enumer -type=TaskEnd -transform=kebab -trimprefix=End -text
 
-// TaskEnd says how a task ended on its worker.
+// TaskEnd is how a run of a task ended on its worker.
 type TaskEnd int
 
 // The ways in which a task ends on a worker.
@@ -20,7 +20,7 @@
 	EndSucceeded TaskEnd = iota
 	// EndFailed means that it failed.
 	EndFailed
-	// EndStopped means that it was stopped, by a command or since its lease was over.
+	// EndStopped means that it was stopped, by an order or because its lease ended.
 	EndStopped
 	// EndCheckpointed means that it was stopped after its progress was saved.
 	EndCheckpointed
@@ -28,17 +28,17 @@
 	EndRefused
 )
 
-// Input is something that a Driver is told.
+// Input is an event that a Driver handles.
 type Input interface{ isInput() }
 
-// WorkerAnnounced says that a worker's process has connected.
+// WorkerAnnounced reports that a worker's process has connected.
 type WorkerAnnounced struct {
 	Worker placer.Worker
 	// Reading is the worker's own clock, as in WorkerHeartbeat.
 	Reading leaser.HolderMoment
 }
 
-// WorkerHeartbeat is a worker's regular message.
+// WorkerHeartbeat is sent by each worker at regular intervals.
 type WorkerHeartbeat struct {
 	Worker  identifier.WorkerID
 	Reading leaser.HolderMoment
@@ -52,11 +52,11 @@
 	Number leaser.Number
 }
 
-// WorkerLost says that the connection to a worker is closed. Its tasks may run on
-// until their leases are over.
+// WorkerLost reports that the connection to a worker is closed. Its tasks may continue to
+// run until their leases end.
 type WorkerLost struct{ Worker identifier.WorkerID }
 
-// TaskEnded is a worker's word on how a task ended.
+// TaskEnded is a worker's report of how a task ended.
 type TaskEnded struct {
 	Worker identifier.WorkerID
 	Task   identifier.TaskID
@@ -64,8 +64,8 @@
 	End    TaskEnd
 }
 
-// IntentAssigned gives the driver its part of a confirmed intent, or tells it that
-// an intent that it has is being cancelled. See Machine.Assignment.
+// IntentAssigned assigns a failure domain's part of a confirmed intent to its driver, or
+// notifies the driver that a known intent is being cancelled. See Machine.Assignment.
 type IntentAssigned struct {
 	Name       identifier.IntentName
 	Spec       Spec
@@ -76,16 +76,16 @@
 	Cancelling bool
 }
 
-// EvacuationChanged says whether nothing may start on the workers of the failure domain. What
-// is assigned waits meanwhile.
+// EvacuationChanged sets whether starts on the workers of the failure domain are suspended.
+// Assigned tasks wait meanwhile.
 type EvacuationChanged struct{ Evacuated bool }
 
 func (EvacuationChanged) isInput() {}
 
-// IntentEnded says that the log has ended an intent. What still runs is stopped.
+// IntentEnded reports that the log has ended an intent. Its running tasks are stopped.
 type IntentEnded struct{ Name identifier.IntentName }
 
-// ClaimApplied answers a proposed claim.
+// ClaimApplied is the result of a proposed claim.
 type ClaimApplied struct {
 	Name     identifier.IntentName
 	Claim    Claim
@@ -110,30 +110,30 @@
 func (ClaimApplied) isInput()    {}
 func (QuotasChanged) isInput()   {}
 
-// Output is something that a Driver wants done.
+// Output is an action that a Driver requests.
 type Output interface{ isOutput() }
 
-// StartTask tells a worker to run a task under a new lease.
+// StartTask orders a worker to run a task under a new lease.
 type StartTask struct {
 	Worker identifier.WorkerID
 	Grant  leaser.Grant
 	Intent identifier.IntentName
 	Batch  int
 	Index  int
-	// Need is what the task may use when it is throttled.
+	// Need is the limit of the task's usage while it is throttled.
 	Need    identifier.Resources
 	RunTime time.Duration
-	// Resume tells whether to go on from the task's checkpoint.
+	// Resume reports whether to resume from the task's checkpoint.
 	Resume bool
 }
 
-// RenewLeases prolongs leases, in answer to a heartbeat.
+// RenewLeases extends leases, in response to a heartbeat.
 type RenewLeases struct {
 	Worker identifier.WorkerID
 	Grants []leaser.Grant
 }
 
-// ThrottleTask holds a task to its declared processors.
+// ThrottleTask limits a task to its declared processors.
 type ThrottleTask struct{ TaskOrder }
 
 // CheckpointTask saves a task's progress and stops it.
@@ -142,7 +142,7 @@
 // StopTask stops a task.
 type StopTask struct{ TaskOrder }
 
-// TaskOrder names the task that an order is for, and why it is given.
+// TaskOrder is the target of an order to a worker, and the reason for it.
 type TaskOrder struct {
 	Worker identifier.WorkerID
 	Task   identifier.TaskID
@@ -150,8 +150,8 @@
 	Reason string
 }
 
-// Propose puts a command into the log. Whoever carries it out sets the command's
-// Wall and repeats it until it is applied or this host no longer leads.
+// Propose appends a command to the log. Whoever carries it out sets the command's Wall and
+// retries until the command is applied or this host no longer leads.
 type Propose struct{ Command Command }
 
 func (StartTask) isOutput()      {}
@@ -161,8 +161,8 @@
 func (StopTask) isOutput()       {}
 func (Propose) isOutput()        {}
 
-// Assignment returns what a failure domain's driver needs of an intent; false if
-// it has no part in it or it may not start.
+// Assignment returns the part of an intent that a failure domain's driver runs. It returns
+// false if there is none or the intent may not run.
 func (machine *Machine) Assignment(name identifier.IntentName, domain identifier.FailureDomain) (IntentAssigned, bool) {
 	record := machine.Get(name)
 	if record == nil || record.State < StateConfirmed || record.State.Ended() {
--- a/pkg/planner/news.go
+++ b/pkg/planner/news.go
@@ -6,33 +6,32 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// News is what the log has decided for a failure domain's driver.
+// News holds the state of the log that a failure domain's driver needs.
 type News struct {
 	FailureDomain identifier.FailureDomain `cbor:"1,keyasint,omitempty"`
-	// Epoch is the highest one of the failure domain: a driver below it is replaced.
+	// Epoch is the highest one of the failure domain. A driver with a lower one is replaced.
 	Epoch identifier.Epoch `cbor:"2,keyasint,omitempty"`
-	// Version is the index of the last change; news of a lower one are older.
+	// Version is the index of the last change. News with a lower one is older.
 	Version identifier.LogIndex `cbor:"3,keyasint,omitempty"`
-	// Since is the version after which the changes are given. A driver that has not seen
-	// it has lost earlier news and must not take these: it would never learn of what
-	// changed in between.
+	// Since is the version after which changes are included. A driver that has not seen it has
+	// lost earlier news and must not apply this one: it would miss the changes in between.
 	Since identifier.LogIndex `cbor:"7,keyasint,omitempty"`
-	// Active names all intents that the failure domain has a part in; what a driver
-	// has besides them has ended.
+	// Active names all intents that the failure domain has a part in. Any other intent of the
+	// driver has ended.
 	Active []identifier.IntentName `cbor:"4,keyasint,omitempty"`
-	// Changed holds those that changed after the version which the driver has.
+	// Changed holds the active intents that changed after Since.
 	Changed []IntentAssigned `cbor:"5,keyasint,omitempty"`
-	// Capacities are those by which quotas are divided, in order.
+	// Capacities are the ones by which quotas are divided, in order.
 	Capacities []DomainCapacity `cbor:"6,keyasint,omitempty"`
 }
 
 // Changed returns the index of the last change of any intent's revision.
-func (machine *Machine) Changed() identifier.LogIndex { return machine.changed }
+func (machine *Machine) Changed() identifier.LogIndex { return machine.lastChange }
 
-// News returns what a failure domain's driver that has seen a version needs.
+// News returns the news for a failure domain's driver that has seen the version since.
 func (machine *Machine) News(domain identifier.FailureDomain, since identifier.LogIndex) News {
 	machine.prepare()
-	news := News{FailureDomain: domain, Epoch: machine.Epoch(domain), Since: since, Version: machine.changed}
+	news := News{FailureDomain: domain, Epoch: machine.Epoch(domain), Since: since, Version: machine.lastChange}
 	machine.records.Each(func(name identifier.IntentName, record *Record) bool {
 		if !record.activeIn(domain) {
 			return true
@@ -47,7 +46,7 @@
 	return news
 }
 
-// activeIn tells whether a failure domain's driver has a part in the intent.
+// activeIn reports whether a failure domain's driver has a part in the intent.
 func (record *Record) activeIn(domain identifier.FailureDomain) bool {
 	if record.State < StateConfirmed || record.State.Ended() {
 		return false
@@ -65,23 +64,23 @@
 	return record.Changes[len(record.Changes)-1].Index
 }
 
-// Summary returns the record without its explanation, for lists.
+// Summary returns a copy for lists, without steps, changes, claims and racks.
 func (record *Record) Summary() Record {
 	summary := *record
 	summary.Steps = nil
 	summary.Changes = nil
 	summary.Claims = nil
-	summary.forgetRacks()
+	summary.dropRacks()
 	return summary
 }
 
-// Join returns one report that says what both say, other being the later one.
+// Join merges two reports into one; other is the later one.
 func (progress Progress) Join(other Progress) Progress {
 	joined := other
 	joined.Started = progress.Started || other.Started
 	joined.Ranges = slices.Concat(progress.Ranges, other.Ranges)
 	joined.Notes = slices.Concat(progress.Notes, other.Notes)
-	joined.Notes = joined.Notes[:min(len(joined.Notes), 2*pendingNotes)]
+	joined.Notes = joined.Notes[:min(len(joined.Notes), 2*maxPendingNotes)]
 	joined.Learned = slices.DeleteFunc(slices.Clone(progress.Learned), func(learned Learned) bool {
 		return slices.ContainsFunc(other.Learned, func(later Learned) bool { return later.Kind == learned.Kind })
 	})
@@ -89,13 +88,13 @@
 	return joined
 }
 
-// DomainCapacity is what the workers of a failure domain offer.
+// DomainCapacity is the total capacity of a failure domain's workers.
 type DomainCapacity struct {
 	FailureDomain identifier.FailureDomain `cbor:"1,keyasint,omitempty"`
 	Capacity      identifier.Resources     `cbor:"2,keyasint,omitempty"`
 }
 
-// Capacity returns what all workers of the picture offer.
+// Capacity returns the total capacity of the picture's workers.
 func (picture *Picture) Capacity() DomainCapacity {
 	return DomainCapacity{FailureDomain: picture.FailureDomain, Capacity: picture.capacity()}
 }
--- a/pkg/planner/oracle_test.go
+++ b/pkg/planner/oracle_test.go
@@ -7,8 +7,8 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// checkTick checks that a tick depends on nothing but its inputs, and that the
-// driver does not ask to be called again at once.
+// checkTick checks that a tick depends only on its inputs, and that the driver does not
+// request another tick at once.
 func (world *world) checkTick(inputs []Input, outputs []Output) {
 	again := world.shadow.Tick(world.now(), inputs)
 	if !reflect.DeepEqual(outputs, again) {
@@ -19,14 +19,14 @@
 	}
 }
 
-// checkRoom checks that a task was started only where what was declared of tasks
-// without a report, and what the last report showed of the others, leave room.
-func (world *world) checkRoom(start StartTask) {
+// checkCapacity checks that a task is started only where it fits beside the other tasks,
+// counted by their last usage report or, without one, by their declared need.
+func (world *world) checkCapacity(start StartTask) {
 	var sum identifier.Resources
 	for _, task := range world.driver.Placer.TasksOn(start.Worker) {
 		running := world.driver.tasks.Get(task)
 		if running == nil {
-			world.t.Fatalf("%s has room taken but is not known", task)
+			world.t.Fatalf("%s has resources reserved but is unknown to the driver", task)
 		}
 		known := running.batch.batch.Need
 		if report, reported := world.reports[RunningTask{Task: task, Number: running.number}]; reported {
@@ -35,17 +35,17 @@
 		sum = sum.Add(known)
 	}
 	if !sum.Fits(testCapacity) {
-		world.t.Fatalf("%s started on %s, which is then given %v", start.Grant.Task, start.Worker, sum)
+		world.t.Fatalf("%s started on %s, which then has %v reserved", start.Grant.Task, start.Worker, sum)
 	}
 }
 
-// checkWords compares every outcome in the log with what really ran.
-func (world *world) checkWords() {
+// checkOutcomes compares every outcome in the log with what really ran.
+func (world *world) checkOutcomes() {
 	for _, name := range world.machine.Names() {
 		record := world.machine.Get(name)
 		for _, ended := range record.Ranges {
 			for index := ended.From; index < ended.To; index++ {
-				world.checkWord(record, ended, NameTask(name, ended.Batch, index))
+				world.checkOutcome(record, ended, NameTask(name, ended.Batch, index))
 			}
 		}
 		tally := record.Tally()
@@ -58,11 +58,11 @@
 	}
 }
 
-func (world *world) checkWord(record *Record, ended Range, task identifier.TaskID) {
+func (world *world) checkOutcome(record *Record, ended Range, task identifier.TaskID) {
 	succeeded, failed, stopped := false, false, false
 	for _, run := range world.runs[task] {
-		succeeded = succeeded || run.over && !run.stopped && run.end == EndSucceeded
-		failed = failed || run.over && !run.stopped && run.end == EndFailed
+		succeeded = succeeded || run.ended && !run.stopped && run.end == EndSucceeded
+		failed = failed || run.ended && !run.stopped && run.end == EndFailed
 		stopped = stopped || run.stopped
 	}
 	truth := true
@@ -77,7 +77,7 @@
 		truth = len(world.runs[task]) == 0
 	}
 	if !truth {
-		world.t.Fatalf("%s of %s is said to have %s, which is not true (%d runs)", task, record.State, ended.Outcome, len(world.runs[task]))
+		world.t.Fatalf("%s of %s is reported as %s, which does not match its %d runs", task, record.State, ended.Outcome, len(world.runs[task]))
 	}
 }
 
@@ -94,8 +94,8 @@
 		return order("checkpoint", output.TaskOrder)
 	case StopTask:
 		return order("stop", output.TaskOrder)
-	case RackNoticed:
-		return fmt.Sprintf("rack %s: %d of %d workers out, over=%v", output.Rack, output.Out, output.Workers, output.Over)
+	case RackStatusChanged:
+		return fmt.Sprintf("rack %s: %d of %d workers out, over=%v", output.Rack, output.Unavailable, output.Workers, output.Recovered)
 	case Propose:
 		if output.Command.Kind == CommandProgress {
 			return fmt.Sprintf("progress %s %v", output.Command.Name, showRanges(output.Command.Progress.Ranges))
--- a/pkg/planner/outcome.go
+++ b/pkg/planner/outcome.go
@@ -5,59 +5,59 @@
 	"github.com/stoathitch/stoathitch/pkg/leaser"
 )
 
-// pendingNote is a Note that is not yet proposed.
+// pendingNote is a Note that is not proposed yet.
 type pendingNote struct {
 	reason string
 	count  int
 	since  identifier.Moment
 }
 
-// pendingNotes bounds the notes between two proposals.
-const pendingNotes = 8
+// maxPendingNotes bounds the notes of an intent between two proposals.
+const maxPendingNotes = 8
 
-// taskEnded takes a worker's word. It counts only with the number of the lease
-// that stands: another one tells of a run that was given up, and whose task has
-// an outcome or a new lease.
-func (driver *Driver[P]) taskEnded(now identifier.Moment, ended TaskEnded) {
+// handleTaskEnded handles a worker's report that a task ended. It counts only with the
+// number of the current lease. Any other number is that of a run that was given up and
+// whose task already has an outcome or a new lease.
+func (driver *Driver[P]) handleTaskEnded(now identifier.Moment, ended TaskEnded) {
 	running := driver.tasks.Get(ended.Task)
 	if running == nil && driver.quiet {
-		driver.formerEnded(now, ended)
+		driver.handleFormerTaskEnded(now, ended)
 	}
 	if running == nil || running.worker != ended.Worker || running.number != ended.Number {
 		return
 	}
-	driver.learn(now, ended, running)
-	driver.release(ended.Task, running)
+	driver.observeRun(now, ended, running)
+	driver.releaseTask(ended.Task, running)
 	driver.Granter.Release(ended.Task, ended.Number)
 	batch, index := running.batch, running.index
 	switch ended.End {
 	case EndSucceeded:
-		driver.judge(now, ended.Worker, batch, true)
+		driver.recordWorkerResult(now, ended.Worker, batch, true)
 		driver.settle(now, batch, index, OutcomeSucceeded)
 	case EndFailed:
-		driver.judge(now, ended.Worker, batch, false)
+		driver.recordWorkerResult(now, ended.Worker, batch, false)
 		driver.settle(now, batch, index, OutcomeFailed)
 	case EndCheckpointed:
-		batch.save(index, running.leaving == leavingGuarded)
-		driver.endedEarly(now, running, true)
+		batch.recordCheckpoint(index, running.stopCause == stopCauseGuarder)
+		driver.handleEarlyEnd(now, running, true)
 	case EndRefused:
-		driver.judge(now, ended.Worker, batch, false)
-		driver.refused(now, running)
+		driver.recordWorkerResult(now, ended.Worker, batch, false)
+		driver.handleRefused(now, running)
 	case EndStopped:
-		driver.endedEarly(now, running, false)
+		driver.handleEarlyEnd(now, running, false)
 	}
 }
 
-// formerEnded takes the end of a task that a former lead started. Before the quiet
-// time is over nobody else can have started it again.
-func (driver *Driver[P]) formerEnded(now identifier.Moment, ended TaskEnded) {
+// handleFormerTaskEnded handles the end of a task that a former lead started. During the
+// quiet period no other host can have started it again.
+func (driver *Driver[P]) handleFormerTaskEnded(now identifier.Moment, ended TaskEnded) {
 	name, number, index, valid := splitTask(ended.Task)
 	intent := driver.intents.Get(name)
 	if !valid || intent == nil || ended.Number.Epoch() >= driver.Epoch {
 		return
 	}
 	batch := intent.batch(number)
-	if batch == nil || index < batch.from || index >= batch.former || batch.state(index) != indexOpen {
+	if batch == nil || index < batch.from || index >= batch.formerClaimed || batch.state(index) != taskOpen {
 		return
 	}
 	switch ended.End {
@@ -68,9 +68,9 @@
 	}
 }
 
-// learn takes what a whole run showed, and what one showed that was cut short for
-// using too much.
-func (driver *Driver[P]) learn(now identifier.Moment, ended TaskEnded, running *driveTask) {
+// observeRun passes the usage of a run to the learner if the run succeeded, or if it was
+// cut short for using too much.
+func (driver *Driver[P]) observeRun(now identifier.Moment, ended TaskEnded, running *driverTask) {
 	highest, measured := driver.Guarder.Forget(ended.Task)
 	declared := running.batch.batch.Declaration()
 	switch {
@@ -78,87 +78,87 @@
 		if !measured {
 			highest = declared.Need
 		}
-		driver.Learner.Observe(driver.key(running.batch), declared, highest, now.Sub(running.startedAt))
-	case running.leaving == leavingGuarded && measured:
+		driver.Learner.Observe(driver.kindKey(running.batch), declared, highest, now.Sub(running.startedAt))
+	case running.stopCause == stopCauseGuarder && measured:
 		if ended.End == EndCheckpointed {
-			running.batch.raised = running.batch.raised.Max(highest)
+			running.batch.raisedNeed = running.batch.raisedNeed.Max(highest)
 		}
-		driver.Learner.Observe(driver.key(running.batch), declared, highest, max(declared.RunTime, now.Sub(running.startedAt)))
+		driver.Learner.Observe(driver.kindKey(running.batch), declared, highest, max(declared.RunTime, now.Sub(running.startedAt)))
 	default:
 		return
 	}
-	running.batch.taught = true
-	driver.Placer.AddGroup(now, driver.wanted(running.batch))
+	running.batch.correctionPending = true
+	driver.Placer.AddGroup(now, driver.placerGroup(running.batch))
 }
 
-// release frees the room of a task that no longer runs.
-func (driver *Driver[P]) release(task identifier.TaskID, running *driveTask) {
+// releaseTask frees the capacity of a task that no longer runs.
+func (driver *Driver[P]) releaseTask(task identifier.TaskID, running *driverTask) {
 	driver.Placer.End(task)
 	driver.Guarder.Forget(task)
 	driver.tasks.Remove(task)
-	running.batch.setState(running.index, indexOpen)
+	running.batch.setState(running.index, taskOpen)
 }
 
-// endedEarly decides on a task that is known to have stopped before its end.
-func (driver *Driver[P]) endedEarly(now identifier.Moment, running *driveTask, saved bool) {
+// handleEarlyEnd requeues or settles a task that is known to have stopped before its end.
+func (driver *Driver[P]) handleEarlyEnd(now identifier.Moment, running *driverTask, saved bool) {
 	batch, index := running.batch, running.index
 	switch {
 	case batch.intent.cancelling:
 		driver.settle(now, batch, index, OutcomeStopped)
-	case running.leaving == leavingGuarded && !saved:
-		driver.note(now, batch.intent, "failed: "+running.reason)
+	case running.stopCause == stopCauseGuarder && !saved:
+		driver.recordNote(now, batch.intent, "failed: "+running.reason)
 		driver.settle(now, batch, index, OutcomeFailed)
 	case batch.batch.Repeatable:
-		batch.remember(index, OutcomeStopped)
+		batch.recordEarlierOutcome(index, OutcomeStopped)
 		driver.requeue(now, batch, index)
 	default:
-		driver.note(now, batch.intent, "a task was stopped and is not run again")
+		driver.recordNote(now, batch.intent, "a task was stopped and is not run again")
 		driver.settle(now, batch, index, OutcomeStopped)
 	}
 }
 
-// refused decides on a task that its worker did not start.
-func (driver *Driver[P]) refused(now identifier.Moment, running *driveTask) {
+// handleRefused requeues or settles a task that its worker did not start.
+func (driver *Driver[P]) handleRefused(now identifier.Moment, running *driverTask) {
 	if running.batch.intent.cancelling {
-		driver.settle(now, running.batch, running.index, running.batch.unstarted(running.index))
+		driver.settle(now, running.batch, running.index, running.batch.outcomeWithoutRun(running.index))
 		return
 	}
 	driver.requeue(now, running.batch, running.index)
 }
 
-func (driver *Driver[P]) requeue(now identifier.Moment, batch *drivenBatch, index int) {
-	batch.setState(index, indexWaiting)
+func (driver *Driver[P]) requeue(now identifier.Moment, batch *driverBatch, index int) {
+	batch.setState(index, taskWaiting)
 	driver.Placer.Enqueue(now, batch.group, NameTask(batch.intent.name, batch.number, index))
 }
 
-// expireLeases decides on tasks whose workers were not heard of for a lease.
+// expireLeases handles tasks whose workers sent no heartbeat for the length of a lease.
 func (driver *Driver[P]) expireLeases(now identifier.Moment) {
 	for _, lease := range driver.Granter.Expire(now) {
-		driver.expire(now, lease)
+		driver.handleExpiredLease(now, lease)
 	}
 }
 
-func (driver *Driver[P]) expire(now identifier.Moment, lease leaser.Lease) {
+func (driver *Driver[P]) handleExpiredLease(now identifier.Moment, lease leaser.Lease) {
 	running := driver.tasks.Get(lease.Task)
 	if running == nil {
 		return
 	}
-	driver.changed = true
-	driver.release(lease.Task, running)
+	driver.placementPending = true
+	driver.releaseTask(lease.Task, running)
 	batch := running.batch
 	if batch.batch.Repeatable && !batch.intent.cancelling {
-		driver.note(now, batch.intent, "a lease ran out on "+string(lease.Worker)+": its task runs again")
-		batch.remember(running.index, OutcomeUnknown)
+		driver.recordNote(now, batch.intent, "a lease ran out on "+string(lease.Worker)+": its task runs again")
+		batch.recordEarlierOutcome(running.index, OutcomeUnknown)
 		driver.requeue(now, batch, running.index)
 		return
 	}
-	driver.note(now, batch.intent, "a lease ran out on "+string(lease.Worker)+": its task may have run")
+	driver.recordNote(now, batch.intent, "a lease ran out on "+string(lease.Worker)+": its task may have run")
 	driver.settle(now, batch, running.index, OutcomeUnknown)
 }
 
-// settle gives a task its outcome.
-func (driver *Driver[P]) settle(now identifier.Moment, batch *drivenBatch, index int, outcome Outcome) {
-	batch.setState(index, indexSettled)
+// settle sets the outcome of a task.
+func (driver *Driver[P]) settle(now identifier.Moment, batch *driverBatch, index int, outcome Outcome) {
+	batch.setState(index, taskSettled)
 	batch.settled++
 	if outcome == OutcomeSucceeded {
 		batch.succeeded++
@@ -174,8 +174,8 @@
 	driver.scheduleFlush(now, intent)
 }
 
-// note explains something; the like is counted until the next proposal.
-func (driver *Driver[P]) note(now identifier.Moment, intent *driven, reason string) {
+// recordNote adds a note to an intent. Equal notes are counted until the next proposal.
+func (driver *Driver[P]) recordNote(now identifier.Moment, intent *driverIntent, reason string) {
 	if intent == nil {
 		return
 	}
@@ -186,42 +186,41 @@
 			return
 		}
 	}
-	if len(intent.notes) < pendingNotes {
+	if len(intent.notes) < maxPendingNotes {
 		intent.notes = append(intent.notes, pendingNote{reason: reason, count: 1, since: now})
 	}
 }
 
-// scheduleFlush has an intent's news proposed soon, and at once when nothing more
-// is to come or the first task has started.
-func (driver *Driver[P]) scheduleFlush(now identifier.Moment, intent *driven) {
+// scheduleFlush schedules the next report of an intent: at once if its first task has
+// started or all tasks are settled, else after FlushInterval.
+func (driver *Driver[P]) scheduleFlush(now identifier.Moment, intent *driverIntent) {
 	due := now.Add(driver.Settings.FlushInterval)
-	if intent.started && !intent.announced || intent.settled() {
+	if intent.started && !intent.startReported || intent.settled() {
 		due = now
 	}
 	intent.flushAt = identifier.Earlier(intent.flushAt, due)
 	driver.flushAt = identifier.Earlier(driver.flushAt, intent.flushAt)
 }
 
-// flush proposes what came of the intents: at once when an intent has begun or is
-// done here, else after a while.
+// flush proposes the reports that are due and removes intents that have ended.
 func (driver *Driver[P]) flush(now identifier.Moment) {
 	if !driver.flushAt.Due(now) {
 		return
 	}
 	driver.flushAt = identifier.Never
-	driver.intents.Each(func(_ identifier.IntentName, intent *driven) bool {
+	driver.intents.Each(func(_ identifier.IntentName, intent *driverIntent) bool {
 		if intent.flushAt.Due(now) {
 			driver.flushIntent(now, intent)
 		}
 		driver.flushAt = identifier.Earlier(driver.flushAt, intent.flushAt)
-		driver.forgetIfOver(intent)
+		driver.removeIfEnded(intent)
 		return true
 	})
 }
 
-func (driver *Driver[P]) flushIntent(now identifier.Moment, intent *driven) {
+func (driver *Driver[P]) flushIntent(now identifier.Moment, intent *driverIntent) {
 	intent.flushAt = identifier.Never
-	if intent.announced == intent.started && len(intent.ranges)+len(intent.notes) == 0 {
+	if intent.startReported == intent.started && len(intent.ranges)+len(intent.notes) == 0 {
 		return
 	}
 	progress := &Progress{
@@ -232,19 +231,19 @@
 		progress.Notes = append(progress.Notes, Note{Reason: pending.reason, Count: pending.count, Ago: now.Sub(pending.since)})
 	}
 	for _, batch := range intent.batches {
-		if batch.taught {
-			progress.Learned = append(progress.Learned, Learned{Kind: batch.batch.Kind, Correction: driver.Learner.Known(driver.key(batch))})
-			batch.taught = false
+		if batch.correctionPending {
+			progress.Learned = append(progress.Learned, Learned{Kind: batch.batch.Kind, Correction: driver.Learner.Known(driver.kindKey(batch))})
+			batch.correctionPending = false
 		}
 	}
-	intent.announced = intent.started
+	intent.startReported = intent.started
 	intent.ranges = nil
 	intent.notes = nil
 	driver.emit(Propose{Command{Kind: CommandProgress, Name: intent.name, Progress: progress}})
 }
 
-// settled tells whether every task of the driver's part has an outcome.
-func (intent *driven) settled() bool {
+// settled reports whether every task of the driver's part has an outcome.
+func (intent *driverIntent) settled() bool {
 	for _, batch := range intent.batches {
 		if batch.settled < batch.to-batch.from {
 			return false
@@ -253,11 +252,11 @@
 	return true
 }
 
-// forgetIfOver drops an intent that the log has ended and of which nothing runs
-// here any more. One that is only settled here is kept: its outcomes may not be
-// in the log yet, and an assignment made before would start its tasks again.
-func (driver *Driver[P]) forgetIfOver(intent *driven) {
-	if !intent.over || !intent.settled() {
+// removeIfEnded removes an intent that the log has ended and of which nothing runs here any
+// more. One that is only settled here is kept: its outcomes may not be in the log yet, and
+// an assignment made before would start its tasks again.
+func (driver *Driver[P]) removeIfEnded(intent *driverIntent) {
+	if !intent.ended || !intent.settled() {
 		return
 	}
 	for _, batch := range intent.batches {
--- a/pkg/planner/picture.go
+++ b/pkg/planner/picture.go
@@ -5,18 +5,19 @@
 	"github.com/stoathitch/stoathitch/pkg/placer"
 )
 
-// Picture is what a failure domain's Driver tells of its workers, for plans.
+// Picture holds the capacities and loads of a failure domain's workers. Its Driver reports
+// it, and plans are based on it.
 type Picture struct {
 	FailureDomain identifier.FailureDomain `cbor:"1,keyasint,omitempty"`
 	Rooms         []placer.Room            `cbor:"2,keyasint,omitempty"`
-	// Loads holds the work by urgency.
+	// Loads holds the load of each urgency, indexed by urgency.
 	Loads []placer.Load `cbor:"3,keyasint,omitempty"`
-	// Settling tells that the lead is new and may not know all its workers yet, so
-	// that what has no room here may have some soon.
+	// Settling reports whether the lead is new and may not know all its workers yet. Capacity
+	// that is missing now may then appear soon.
 	Settling bool `cbor:"4,keyasint,omitempty"`
 }
 
-// capacity returns what all workers offer.
+// capacity returns the total capacity of all workers.
 func (picture *Picture) capacity() identifier.Resources {
 	var sum identifier.Resources
 	for _, room := range picture.Rooms {
@@ -25,8 +26,8 @@
 	return sum
 }
 
-// countNow returns how many tasks of a need fit into what is free.
-func (picture *Picture) countNow(need identifier.Resources) int {
+// fitNow returns how many tasks of a need fit into the free capacity.
+func (picture *Picture) fitNow(need identifier.Resources) int {
 	count := 0
 	for _, room := range picture.Rooms {
 		count += need.CountIn(room.Free)
@@ -34,8 +35,8 @@
 	return count
 }
 
-// countEmpty returns how many tasks of a need would fit if nothing ran.
-func (picture *Picture) countEmpty(need identifier.Resources) int {
+// fitEmpty returns how many tasks of a need would fit if nothing ran.
+func (picture *Picture) fitEmpty(need identifier.Resources) int {
 	count := 0
 	for _, room := range picture.Rooms {
 		count += need.CountIn(room.Capacity)
@@ -43,24 +44,24 @@
 	return count
 }
 
-// aheadOf returns the work, in milli-cpu for one second, that goes before a batch
-// of an urgency.
-func (picture *Picture) aheadOf(urgency placer.Urgency) int64 {
+// workAhead returns the work, in milli-cpu times seconds, that runs before a batch of an
+// urgency.
+func (picture *Picture) workAhead(urgency placer.Urgency) int64 {
 	work := int64(0)
 	for level, load := range picture.Loads {
 		switch {
 		case level >= int(urgency):
 			work += load.Work
 		case urgency < placer.UrgencyUrgent:
-			// What runs holds its room until it ends: half of that on average.
+			// Running tasks keep their capacity until they end: on average for half of their work.
 			work += load.Work / 2
 		}
 	}
 	return work
 }
 
-// below returns the load that a batch of an urgency may preempt.
-func (picture *Picture) below(urgency placer.Urgency) placer.Load {
+// preemptible returns the load that a batch of an urgency may preempt.
+func (picture *Picture) preemptible(urgency placer.Urgency) placer.Load {
 	var sum placer.Load
 	if urgency < placer.UrgencyUrgent {
 		return sum
@@ -72,8 +73,8 @@
 	return sum
 }
 
-// take sets room aside, as if count tasks had started.
-func (picture *Picture) take(need identifier.Resources, count int) {
+// reserve subtracts the need of count tasks from the free capacity.
+func (picture *Picture) reserve(need identifier.Resources, count int) {
 	for position := range picture.Rooms {
 		room := &picture.Rooms[position]
 		taken := min(need.CountIn(room.Free), count)
@@ -87,7 +88,7 @@
 
 // byRack splits count tasks over the racks by how many fit in each.
 func (picture *Picture) byRack(need identifier.Resources, count int) []RackCount {
-	now := picture.countNow(need) >= count
+	now := picture.fitNow(need) >= count
 	var racks []identifier.RackID
 	var weights []int
 	numbers := make(map[identifier.RackID]int)
@@ -114,8 +115,8 @@
 	return counts
 }
 
-// split divides count by weights, the rest going to the largest remainders, the
-// first ones first. Without any weight all parts are zero.
+// split divides count in proportion to weights. The remainder goes to the parts with the
+// largest fractions, on ties to the first ones. If all weights are 0, so are all parts.
 func split(count int, weights []int) []int {
 	parts := make([]int, len(weights))
 	remainders := make([]int, len(weights))
--- a/pkg/planner/progress.go
+++ b/pkg/planner/progress.go
@@ -7,8 +7,8 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// progress takes outcomes. It does not change the revision but for the end of the
-// intent, so that an operator's cancellation need not chase it.
+// progress applies reported outcomes. Only the end of the intent changes the revision, so
+// that an operator's cancellation doesn't conflict with each report.
 func (machine *Machine) progress(index identifier.LogIndex, command Command, record *Record) Result {
 	progress := command.Progress
 	if progress == nil {
@@ -30,19 +30,19 @@
 	}
 	if progress.Started && record.State == StateConfirmed {
 		record.State = StateRunning
-		record.explain(Step{Index: index, Wall: command.Wall, Kind: command.Kind, Reason: "first task started in " + string(progress.FailureDomain)})
+		record.addStep(Step{Index: index, Wall: command.Wall, Kind: command.Kind, Reason: "first task started in " + string(progress.FailureDomain)})
 	}
 	for _, note := range progress.Notes {
-		record.explain(Step{Index: index, Wall: command.Wall.Add(-note.Ago), Kind: command.Kind, Reason: noteReason(progress.FailureDomain, note)})
+		record.addStep(Step{Index: index, Wall: command.Wall.Add(-note.Ago), Kind: command.Kind, Reason: noteText(progress.FailureDomain, note)})
 	}
 	if record.Tally().Sum() < record.Spec.Tasks() {
 		return Result{Kind: ResultAccepted, Index: index, State: record.State, Revision: record.Revision}
 	}
-	state := lastState(record, record.State == StateCancelling)
+	state := finalState(record, record.State == StateCancelling)
 	return machine.accept(index, command, record, state, state.String()+": "+record.Tally().String())
 }
 
-func noteReason(domain identifier.FailureDomain, note Note) string {
+func noteText(domain identifier.FailureDomain, note Note) string {
 	text := string(domain) + ": " + note.Reason
 	if note.Count > 1 {
 		text += fmt.Sprintf(" (%d times)", note.Count)
@@ -66,7 +66,7 @@
 	if !found || claim.To > allotment.To || claim.To < claim.From {
 		return refuse(index, record, ResultInvalid, "the plan does not allot these tasks")
 	}
-	mark := record.claimed(claim.FailureDomain, claim.Batch, allotment.From)
+	mark := record.claimMark(claim.FailureDomain, claim.Batch, allotment.From)
 	repeated := claim.From == mark.From && claim.To == mark.To && claim.Epoch == mark.Epoch
 	if claim.From != mark.To && !repeated {
 		return refuse(index, record, ResultConflict, "these tasks are claimed")
@@ -75,9 +75,9 @@
 	return Result{Kind: ResultAccepted, Index: index, State: record.State, Revision: record.Revision}
 }
 
-// lead raises the epoch of a failure domain. Without an epoch in the command the
-// log gives the next one: two hosts that both believe to lead never get the same,
-// and a failure domain that was started anew does not begin below its former leads.
+// lead raises the epoch of a failure domain. Without an epoch in the command the log
+// assigns the next one: two hosts that both consider themselves lead never get the same
+// epoch, and a failure domain that was rebuilt does not begin below its former leads.
 func (machine *Machine) lead(index identifier.LogIndex, command Command) Result {
 	claim := command.Claim
 	if claim == nil {
@@ -94,7 +94,7 @@
 	return Result{Kind: ResultAccepted, Index: index, Epoch: claim.Epoch}
 }
 
-// Epoch returns the highest epoch of a failure domain, 0 when nobody led it yet.
+// Epoch returns the highest epoch of a failure domain, or 0 if it had no lead yet.
 func (machine *Machine) Epoch(domain identifier.FailureDomain) identifier.Epoch {
 	machine.prepare()
 	if highest := machine.epochs.Get(domain); highest != nil {
@@ -103,8 +103,8 @@
 	return 0
 }
 
-// fenced tells whether epoch is below the highest one of a failure domain, and
-// remembers the highest.
+// fenced reports whether epoch is below the highest one of a failure domain. If it isn't,
+// it becomes the highest.
 func (machine *Machine) fenced(domain identifier.FailureDomain, epoch identifier.Epoch) bool {
 	highest := machine.epochs.Get(domain)
 	if highest != nil && epoch < *highest {
@@ -114,7 +114,7 @@
 	return false
 }
 
-// allotment returns a failure domain's part of a batch.
+// allotment returns the failure domain's part of a batch.
 func (plan *Plan) allotment(domain identifier.FailureDomain, batch int) (Allotment, bool) {
 	for _, allotment := range plan.Allotments {
 		if allotment.FailureDomain == domain && allotment.Batch == batch {
@@ -124,8 +124,8 @@
 	return Allotment{}, false
 }
 
-// lastState tells the truth of an intent whose tasks all have an outcome.
-func lastState(record *Record, cancelled bool) State {
+// finalState returns the state of an intent whose tasks all have an outcome.
+func finalState(record *Record, cancelled bool) State {
 	tally := record.Tally()
 	if tally[OutcomeSucceeded] == record.Spec.Tasks() {
 		return StateComplete
@@ -136,7 +136,7 @@
 	return StateFailed
 }
 
-// invalidSpec returns why an intent can't be created, or nothing.
+// invalidSpec returns why an intent can't be created, or an empty text if it can.
 func invalidSpec(command Command) string {
 	switch {
 	case command.Name == "":
--- a/pkg/planner/proposer.go
+++ b/pkg/planner/proposer.go
@@ -12,46 +12,46 @@
 
 // Confidences of an estimate, in per cent.
 const (
-	confidenceUnseen  = 50
-	confidenceLearned = 80
-	confidenceQueued  = 20
+	confidenceUnlearned = 50
+	confidenceLearned   = 80
+	confidenceQueued    = 20
 )
 
-// DefaultConfirmWithin is how long a plan may be confirmed.
+// DefaultConfirmWithin is the time after which an unconfirmed plan expires.
 const DefaultConfirmWithin = 10 * time.Minute
 
 // Proposer makes plans. Set the exported fields before use.
 type Proposer struct {
-	// ConfirmWithin is the time from a plan to the end of its confirmation.
+	// ConfirmWithin is how long a plan can be confirmed.
 	ConfirmWithin time.Duration
-	// Pictures are those of all failure domains that can be reached, in order.
+	// Pictures are those of all reachable failure domains, in order.
 	Pictures []Picture
 	// Quota is that of the intent's team over all failure domains.
 	Quota placer.Quota
-	// Correct returns what was learned of a kind of batch; nil learned nothing.
+	// Correct returns the learned correction for a kind of batch; nil means no corrections.
 	Correct func(key guarder.KindKey) guarder.Correction
 }
 
-// draft is the state of one proposal.
+// draft is the state of a plan in the making.
 type draft struct {
-	plan     Plan
-	spec     Spec
-	pictures []Picture
-	starts   time.Duration
-	ends     time.Duration
-	queued   bool
-	learned  bool
+	plan       Plan
+	spec       Spec
+	pictures   []Picture
+	startDelay time.Duration
+	endDelay   time.Duration
+	queued     bool
+	learned    bool
 }
 
-// Propose answers a spec at wall with a plan, or with all reasons for which it can
-// never run and the nearest thing that would. A plan without either is none yet:
-// ask again soon.
+// Propose returns a plan for a spec, at wall, or all reasons for which it can never run
+// and the nearest spec that would run. A plan without allotments and refusals means that
+// there is none yet: call it again soon.
 func (proposer *Proposer) Propose(wall WallTime, spec Spec) Plan {
-	draft := &draft{spec: spec, pictures: proposer.allowed(spec), learned: true}
+	draft := &draft{spec: spec, pictures: proposer.allowedPictures(spec), learned: true}
 	draft.plan.Quota = proposer.Quota
-	declared := proposer.corrected(draft)
-	if proposer.refuse(draft, declared) {
-		return draft.answer()
+	declared := proposer.correctedDeclarations(draft)
+	if proposer.collectRefusals(draft, declared) {
+		return draft.result()
 	}
 	for number, batch := range spec.Batches {
 		batch.Need = declared[number].Need
@@ -62,9 +62,9 @@
 	return draft.plan
 }
 
-// answer returns a refusal, or, while not all workers may be known, a plan without
-// allotments that says so: it is too early to say never.
-func (draft *draft) answer() Plan {
+// result returns the refusals. While some workers may still be unknown, it returns a plan
+// without allotments and with that reason instead, since the spec may fit later.
+func (draft *draft) result() Plan {
 	for _, picture := range draft.pictures {
 		if picture.Settling {
 			return Plan{Quota: draft.plan.Quota, Queued: "not all workers of " + string(picture.FailureDomain) + " are known yet"}
@@ -73,8 +73,9 @@
 	return draft.plan
 }
 
-// Outrun tells why an unconfirmed plan no longer holds, or nothing: it can't run
-// any more, or it would start or end far later than it says.
+// Outrun returns why an unconfirmed plan no longer holds, and a new plan: the old one can't
+// run any more, loses a failure domain, can't start at once as it said, or would end far
+// later than it says. If it still holds, it is returned with an empty reason.
 func (proposer *Proposer) Outrun(wall WallTime, spec Spec, plan Plan) (string, Plan) {
 	fresh := proposer.Propose(wall, spec)
 	if len(fresh.Refusals) > 0 {
@@ -98,8 +99,8 @@
 	return "", plan
 }
 
-// allowed returns copies of the pictures in which the spec may run.
-func (proposer *Proposer) allowed(spec Spec) []Picture {
+// allowedPictures returns copies of the pictures in which the spec may run.
+func (proposer *Proposer) allowedPictures(spec Spec) []Picture {
 	var pictures []Picture
 	for _, picture := range proposer.Pictures {
 		if len(spec.MayRun) == 0 || slices.Contains(spec.MayRun, picture.FailureDomain) {
@@ -110,8 +111,9 @@
 	return pictures
 }
 
-// corrected returns the declarations with what was learned, and notes it in the plan.
-func (proposer *Proposer) corrected(draft *draft) []guarder.Declaration {
+// correctedDeclarations returns the declarations with the learned corrections applied, and
+// records these corrections in the plan.
+func (proposer *Proposer) correctedDeclarations(draft *draft) []guarder.Declaration {
 	var declared []guarder.Declaration
 	for number, batch := range draft.spec.Batches {
 		correction := guarder.Neutral
@@ -128,18 +130,18 @@
 	return declared
 }
 
-// allot splits a batch over the failure domains, by what fits now or, if not all
-// fits now, by what would fit in all.
+// allot splits a batch over the failure domains, in proportion to how many tasks fit now
+// or, if not all fit now, to how many would fit if nothing ran.
 func (proposer *Proposer) allot(draft *draft, number int, batch Batch) {
 	weights := make([]int, len(draft.pictures))
 	sum := 0
 	for position := range draft.pictures {
-		weights[position] = draft.pictures[position].countNow(batch.Need)
+		weights[position] = draft.pictures[position].fitNow(batch.Need)
 		sum += weights[position]
 	}
 	if sum < batch.Count {
 		for position := range draft.pictures {
-			weights[position] = draft.pictures[position].countEmpty(batch.Need)
+			weights[position] = draft.pictures[position].fitEmpty(batch.Need)
 		}
 	}
 	from := 0
@@ -153,12 +155,12 @@
 			From: from, To: from + count, Racks: picture.byRack(batch.Need, count),
 		})
 		from += count
-		draft.weigh(picture, batch, count, proposer.allowedAtOnce(draft, batch, count))
+		draft.estimateBatch(picture, batch, count, proposer.allowedAtOnce(draft, batch, count))
 	}
 }
 
-// allowedAtOnce returns how many of count tasks the team's quota lets run at once in
-// a failure domain that has this part of the batch.
+// allowedAtOnce returns how many of the count tasks allotted to a failure domain may run at
+// once under the team's quota.
 func (proposer *Proposer) allowedAtOnce(draft *draft, batch Batch, count int) int {
 	limit := proposer.Quota.Limit
 	allowed := batch.Count
@@ -180,37 +182,39 @@
 	return max(allowed*count/batch.Count, 1)
 }
 
-// weigh estimates when a part of a batch starts and ends, and what it displaces.
-func (draft *draft) weigh(picture *Picture, batch Batch, count, allowed int) {
-	now := picture.countNow(batch.Need)
-	total := max(picture.countEmpty(batch.Need), 1)
+// estimateBatch estimates when a failure domain's part of a batch starts and ends, and what
+// it preempts.
+func (draft *draft) estimateBatch(picture *Picture, batch Batch, count, allowed int) {
+	now := picture.fitNow(batch.Need)
+	total := max(picture.fitEmpty(batch.Need), 1)
 	if allowed < count {
 		now, total = min(now, allowed), min(total, allowed)
 	}
 	wait := time.Duration(0)
 	if now == 0 {
-		wait = max(time.Duration(picture.aheadOf(draft.spec.Urgency))*time.Second/time.Duration(max(int64(picture.capacity().MilliCPU), 1)), time.Second)
+		wait = max(time.Duration(picture.workAhead(draft.spec.Urgency))*time.Second/time.Duration(max(int64(picture.capacity().MilliCPU), 1)), time.Second)
 	}
 	if short := min(count, allowed) - now; short > 0 {
-		draft.displace(picture, batch.Need, short)
+		draft.estimatePreemptions(picture, batch.Need, short)
 	}
-	if now == 0 && picture.below(draft.spec.Urgency).Running == 0 {
+	if now == 0 && picture.preemptible(draft.spec.Urgency).Running == 0 {
 		draft.queued = true
 	}
 	waves := (count + total - 1) / total
 	if now < count {
 		waves = max(waves, (count+max(now, total/2)-1)/max(now, total/2, 1))
 	}
-	draft.starts = max(draft.starts, wait)
-	draft.ends = max(draft.ends, wait+time.Duration(waves)*batch.RunTime)
+	draft.startDelay = max(draft.startDelay, wait)
+	draft.endDelay = max(draft.endDelay, wait+time.Duration(waves)*batch.RunTime)
 	draft.plan.Charged.Limit = draft.plan.Charged.Limit.Add(batch.Need.Times(min(count, total)))
 	draft.plan.Charged.TasksInFlight += min(count, total)
-	picture.take(batch.Need, count)
+	picture.reserve(batch.Need, count)
 }
 
-// displace estimates how many less urgent tasks make room for short tasks.
-func (draft *draft) displace(picture *Picture, need identifier.Resources, short int) {
-	below := picture.below(draft.spec.Urgency)
+// estimatePreemptions estimates how many less urgent tasks are preempted to start short more
+// tasks.
+func (draft *draft) estimatePreemptions(picture *Picture, need identifier.Resources, short int) {
+	below := picture.preemptible(draft.spec.Urgency)
 	if below.Running == 0 || below.Used.MilliCPU == 0 {
 		return
 	}
@@ -219,19 +223,19 @@
 	draft.plan.Displaces = append(draft.plan.Displaces, Displaced{FailureDomain: picture.FailureDomain, Tasks: int(tasks)})
 }
 
-// estimate fills in when the plan starts and ends, with what confidence.
+// estimate sets the start, the end and the confidence of the plan.
 func (proposer *Proposer) estimate(draft *draft, wall WallTime) {
 	plan := &draft.plan
-	plan.StartsAt = wall.Add(draft.starts)
-	plan.EndsAt = wall.Add(draft.ends)
+	plan.StartsAt = wall.Add(draft.startDelay)
+	plan.EndsAt = wall.Add(draft.endDelay)
 	plan.Confirmable = wall.Add(proposer.ConfirmWithin)
-	plan.Confidence = confidenceUnseen
+	plan.Confidence = confidenceUnlearned
 	if draft.learned {
 		plan.Confidence = confidenceLearned
 	}
 	if draft.queued {
 		plan.Confidence = confidenceQueued
-		plan.Queued = fmt.Sprintf("no worker has room now; a first start is expected in %s", draft.starts)
+		plan.Queued = fmt.Sprintf("no worker has room now; a first start is expected in %s", draft.startDelay)
 	}
 	if !proposer.Quota.Allows(plan.Charged.Limit, plan.Charged.TasksInFlight-1, identifier.Resources{}) {
 		plan.Confidence = min(plan.Confidence, confidenceQueued)
--- a/pkg/planner/quota.go
+++ b/pkg/planner/quota.go
@@ -5,10 +5,10 @@
 	"github.com/stoathitch/stoathitch/pkg/placer"
 )
 
-// DivideQuota splits a team's quota between failure domains by their capacities, so
-// that each can keep it while it is cut off from the others. A limit that is set
-// gives every failure domain at least one, since zero means no limit; the parts may
-// then exceed a limit that is smaller than the number of failure domains.
+// DivideQuota splits a team's quota between failure domains by their capacities, so that
+// each can enforce its part while it is cut off from the others. Each part of a limit that
+// is set is at least 1, since 0 means no limit; the parts may then exceed a limit that is
+// smaller than the number of failure domains.
 func DivideQuota(quota placer.Quota, capacities []identifier.Resources) []placer.Quota {
 	cpu := divide(int64(quota.Limit.MilliCPU), capacities, func(capacity identifier.Resources) int64 { return int64(capacity.MilliCPU) })
 	memory := divide(int64(quota.Limit.Memory), capacities, func(capacity identifier.Resources) int64 { return int64(capacity.Memory) })
@@ -29,7 +29,8 @@
 	return parts
 }
 
-// divide splits a limit by weights; what is left over goes to the first ones.
+// divide splits a limit by weights; the remainder goes to the first capacity with a weight,
+// or to the first one if none has any.
 func divide(limit int64, capacities []identifier.Resources, weigh func(identifier.Resources) int64) []int64 {
 	parts := make([]int64, len(capacities))
 	if limit == 0 || len(capacities) == 0 {
--- a/pkg/planner/quota_test.go
+++ b/pkg/planner/quota_test.go
@@ -9,9 +9,10 @@
 	"github.com/stoathitch/stoathitch/pkg/placer"
 )
 
-// Symptom: a team runs more than its quota, or without any limit in one failure
-// domain. Sequence: a quota is divided between failure domains of any size, one of
-// which has nothing. Cause: rounding, or a part of zero, which means no limit.
+// TestDividedQuotaKeepsTheLimit guards against a team that runs more than its quota, or
+// without any limit in one failure domain. Rounding, or a part of 0, which means no limit,
+// can cause it when a quota is divided between failure domains of any size, some without
+// capacity.
 func TestDividedQuotaKeepsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quota := placer.Quota{
--- a/pkg/planner/rack.go
+++ b/pkg/planner/rack.go
@@ -4,33 +4,33 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// RackNoticed says that half of a rack's workers or more are lost or in quarantine,
-// or that this is over: one cause, such as a switch, rather than many.
-type RackNoticed struct {
+// RackStatusChanged reports that at least half of a rack's workers are lost or in quarantine,
+// or that this is over. It points to a common cause, such as a switch.
+type RackStatusChanged struct {
 	Rack identifier.RackID
-	// Out of Workers are lost or in quarantine.
-	Out     int
-	Workers int
-	// Over tells that fewer than half are out again.
-	Over bool
+	// Unavailable is the number of workers that are lost or in quarantine, out of Workers.
+	Unavailable int
+	Workers     int
+	// Recovered reports whether fewer than half are unavailable again.
+	Recovered bool
 }
 
-func (RackNoticed) isOutput() {}
+func (RackStatusChanged) isOutput() {}
 
-// leastRack is the number of workers from which a rack is noticed as one.
-const leastRack = 3
+// minRackWorkers is the minimum number of workers of a rack that is reported.
+const minRackWorkers = 3
 
 // rackCount counts the workers of a rack.
 type rackCount struct {
-	rack    identifier.RackID
-	out     int
-	workers int
+	rack        identifier.RackID
+	unavailable int
+	workers     int
 }
 
-// noticeRacks compares the racks with what was noticed before.
-func (driver *Driver[P]) noticeRacks() {
+// reportRacks emits the racks whose status has changed.
+func (driver *Driver[P]) reportRacks() {
 	for _, count := range driver.countRacks() {
-		bad := count.workers >= leastRack && 2*count.out >= count.workers
+		bad := count.workers >= minRackWorkers && 2*count.unavailable >= count.workers
 		if bad == driver.badRacks[count.rack] {
 			continue
 		}
@@ -38,15 +38,15 @@
 			driver.badRacks = make(map[identifier.RackID]bool)
 		}
 		driver.badRacks[count.rack] = bad
-		driver.emit(RackNoticed{Rack: count.rack, Out: count.out, Workers: count.workers, Over: !bad})
+		driver.emit(RackStatusChanged{Rack: count.rack, Unavailable: count.unavailable, Workers: count.workers, Recovered: !bad})
 	}
 }
 
-// countRacks counts by rack, in the order in which the racks were first seen.
+// countRacks counts the workers by rack, in the order in which the racks first appear.
 func (driver *Driver[P]) countRacks() []rackCount {
 	var counts []rackCount
 	positions := make(map[identifier.RackID]int)
-	driver.workers.Each(func(_ identifier.WorkerID, worker *driveWorker) bool {
+	driver.workers.Each(func(_ identifier.WorkerID, worker *driverWorker) bool {
 		position, known := positions[worker.worker.Rack]
 		if !known {
 			position = len(counts)
@@ -55,7 +55,7 @@
 		}
 		counts[position].workers++
 		if worker.lost || worker.quarantinedUntil != 0 {
-			counts[position].out++
+			counts[position].unavailable++
 		}
 		return true
 	})
--- a/pkg/planner/record.go
+++ b/pkg/planner/record.go
@@ -10,7 +10,7 @@
 
 //go:generate enumer -type=State -transform=kebab -trimprefix=State -text
 
-// State is where an intent stands.
+// State is the phase of an intent.
 type State int
 
 // The states.
@@ -21,17 +21,17 @@
 	StateCreated
 	// StatePlanned waits for a confirmation.
 	StatePlanned
-	// StateConfirmed may start.
+	// StateConfirmed may start tasks.
 	StateConfirmed
 	// StateRunning has started tasks.
 	StateRunning
 	// StateCancelling waits for running tasks to stop.
 	StateCancelling
-	// StateImpossible can never run; nothing ran.
+	// StateImpossible means that the intent can never run; nothing ran.
 	StateImpossible
-	// StateRejected was refused by an operator; nothing ran.
+	// StateRejected means that an operator rejected the intent; nothing ran.
 	StateRejected
-	// StateCancelled was cancelled; its tally tells what ran.
+	// StateCancelled means that the intent was cancelled; its tally shows what ran.
 	StateCancelled
 	// StateComplete means that every task succeeded.
 	StateComplete
@@ -39,19 +39,19 @@
 	StateFailed
 )
 
-// Ended tells whether the state is a last one.
+// Ended reports whether the state is final.
 func (state State) Ended() bool { return state >= StateImpossible }
 
 // Bounds of what a record keeps.
 const (
-	// firstSteps and lastSteps are the steps kept when there are more.
+	// firstSteps and lastSteps are the numbers of first and last steps that are kept.
 	firstSteps = 24
 	lastSteps  = 72
-	// keptChanges bounds the changes kept to name the winner of a conflict.
-	keptChanges = 16
+	// maxChanges bounds the changes that are kept to identify the winner of a conflict.
+	maxChanges = 16
 )
 
-// Step is one step of an intent's explanation.
+// Step is one step of an intent's history, with the reason for it.
 type Step struct {
 	Index  identifier.LogIndex `cbor:"1,keyasint,omitempty" json:"index"`
 	Wall   WallTime            `cbor:"2,keyasint,omitempty" json:"wall"`
@@ -59,7 +59,7 @@
 	Reason string              `cbor:"4,keyasint,omitempty" json:"reason"`
 }
 
-// ClaimMark is up to where a failure domain has claimed a batch.
+// ClaimMark records that a failure domain has claimed a batch up to, not including, To.
 type ClaimMark struct {
 	FailureDomain identifier.FailureDomain `cbor:"1,keyasint,omitempty"`
 	Batch         int                      `cbor:"2,keyasint,omitempty"`
@@ -69,26 +69,26 @@
 	Epoch identifier.Epoch `cbor:"5,keyasint,omitempty"`
 }
 
-// Record is all that is known of an intent.
+// Record is the state and history of an intent.
 type Record struct {
 	Name     identifier.IntentName `cbor:"1,keyasint,omitempty"`
 	Spec     Spec                  `cbor:"2,keyasint,omitempty"`
 	State    State                 `cbor:"3,keyasint,omitempty"`
 	Revision uint64                `cbor:"4,keyasint,omitempty"`
 	Plan     *Plan                 `cbor:"5,keyasint,omitempty"`
-	// Plans counts the plans made.
+	// Plans is the number of plans made so far.
 	Plans   uint64      `cbor:"6,keyasint,omitempty"`
 	Changes []Change    `cbor:"7,keyasint,omitempty"`
 	Steps   []Step      `cbor:"8,keyasint,omitempty"`
 	Dropped int         `cbor:"9,keyasint,omitempty"`
 	Claims  []ClaimMark `cbor:"10,keyasint,omitempty"`
-	// Ranges are the outcomes in order, neither overlapping nor mergeable.
+	// Ranges are the outcomes by batch and index. They don't overlap and can't be merged further.
 	Ranges []Range `cbor:"11,keyasint,omitempty"`
 }
 
-// forgetRacks drops the racks of an ended intent's plan, the bulk of a record that
-// spans many failure domains. The plan itself may be shared with an answer.
-func (record *Record) forgetRacks() {
+// dropRacks removes the racks from the plan of an ended intent. They are the bulk of a
+// record that spans many failure domains. The plan is copied, since an answer may share it.
+func (record *Record) dropRacks() {
 	if record.Plan == nil {
 		return
 	}
@@ -100,8 +100,8 @@
 	record.Plan = &plan
 }
 
-// Tally counts the tasks by outcome.
-type Tally [outcomes]int
+// Tally counts tasks by outcome.
+type Tally [outcomeCount]int
 
 // Sum returns the number of tasks that have an outcome.
 func (tally Tally) Sum() int {
@@ -112,7 +112,7 @@
 	return sum
 }
 
-// String returns the outcomes that occurred.
+// String lists the outcomes with a count above 0.
 func (tally Tally) String() string {
 	text := ""
 	for outcome, count := range tally {
@@ -123,7 +123,7 @@
 	return text[:max(len(text)-1, 0)]
 }
 
-// Tally returns how many tasks ended how.
+// Tally returns the number of tasks by outcome.
 func (record *Record) Tally() Tally {
 	var tally Tally
 	for _, ended := range record.Ranges {
@@ -132,8 +132,8 @@
 	return tally
 }
 
-// explain adds a step and drops one from the middle when there are too many.
-func (record *Record) explain(step Step) {
+// addStep appends a step and drops one from the middle if there are too many.
+func (record *Record) addStep(step Step) {
 	if len(record.Steps) >= firstSteps+lastSteps {
 		record.Steps = slices.Delete(record.Steps, firstSteps, firstSteps+1)
 		record.Dropped++
@@ -141,9 +141,9 @@
 	record.Steps = append(record.Steps, step)
 }
 
-// claimed returns how far a failure domain has claimed a batch that it has been
-// allotted from an index on.
-func (record *Record) claimed(domain identifier.FailureDomain, batch, from int) *ClaimMark {
+// claimMark returns the failure domain's claim on a batch that it is allotted from index
+// from on. If there is none yet, it adds an empty one.
+func (record *Record) claimMark(domain identifier.FailureDomain, batch, from int) *ClaimMark {
 	for position := range record.Claims {
 		mark := &record.Claims[position]
 		if mark.FailureDomain == domain && mark.Batch == batch {
@@ -154,7 +154,7 @@
 	return &record.Claims[len(record.Claims)-1]
 }
 
-// settle adds outcomes of tasks that have none yet: the first one stands.
+// settle sets the outcome of those tasks that have none yet.
 func (record *Record) settle(ended Range) {
 	if ended.Batch < 0 || ended.Batch >= len(record.Spec.Batches) {
 		return
@@ -177,7 +177,7 @@
 	record.Ranges = mergeRanges(append(record.Ranges, added...))
 }
 
-// mergeRanges sorts ranges that don't overlap and joins neighbours.
+// mergeRanges sorts ranges that don't overlap and merges adjacent ones of equal outcome.
 func mergeRanges(ranges []Range) []Range {
 	slices.SortFunc(ranges, func(one, other Range) int {
 		return cmp.Or(cmp.Compare(one.Batch, other.Batch), cmp.Compare(one.From, other.From))
--- a/pkg/planner/refuse.go
+++ b/pkg/planner/refuse.go
@@ -9,11 +9,12 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// refuse collects every reason for which the spec can never run.
-func (proposer *Proposer) refuse(draft *draft, declared []guarder.Declaration) bool {
+// collectRefusals adds every reason for which the spec can never run, and the nearest spec
+// that would run. It reports whether there is a refusal.
+func (proposer *Proposer) collectRefusals(draft *draft, declared []guarder.Declaration) bool {
 	nearest := draft.spec
 	nearest.Batches = slices.Clone(draft.spec.Batches)
-	nearest.MayRun = proposer.known(draft)
+	nearest.MayRun = proposer.knownDomains(draft)
 	pictures := draft.pictures
 	if len(pictures) == 0 {
 		pictures = proposer.Pictures
@@ -26,7 +27,7 @@
 		reduced := proposer.withinQuota(draft, number, need)
 		fitting, fits := nearestWorker(pictures, need)
 		if !fits {
-			draft.refuse(fmt.Sprintf("batch %d: a task needs %s, no worker has more than %s", number, show(need), show(fitting)))
+			draft.addRefusal(fmt.Sprintf("batch %d: a task needs %s, no worker has more than %s", number, formatResources(need), formatResources(fitting)))
 		}
 		reduced = reduced.Min(fitting)
 		if reduced != need {
@@ -42,8 +43,8 @@
 	return true
 }
 
-// clipCorrection takes a correction back that no worker or quota could hold: what
-// was declared may run all the same.
+// clipCorrection reverts a correction that no worker or quota could hold, since the declared
+// need may still run.
 func (proposer *Proposer) clipCorrection(pictures []Picture, declared identifier.Resources, corrected *identifier.Resources) {
 	_, fits := nearestWorker(pictures, *corrected)
 	if !fits || !proposer.Quota.Allows(identifier.Resources{}, 0, *corrected) {
@@ -51,8 +52,9 @@
 	}
 }
 
-// known returns the failure domains of the spec that exist, and refuses when none does.
-func (proposer *Proposer) known(draft *draft) []identifier.FailureDomain {
+// knownDomains returns the failure domains of the spec that exist, and adds a refusal if
+// none does.
+func (proposer *Proposer) knownDomains(draft *draft) []identifier.FailureDomain {
 	var known, unknown []identifier.FailureDomain
 	for _, domain := range draft.spec.MayRun {
 		exists := slices.ContainsFunc(proposer.Pictures, func(picture Picture) bool { return picture.FailureDomain == domain })
@@ -66,19 +68,19 @@
 		return known
 	}
 	for _, domain := range unknown {
-		draft.refuse(fmt.Sprintf("no failure domain %s is known", domain))
+		draft.addRefusal(fmt.Sprintf("no failure domain %s is known", domain))
 	}
 	return nil
 }
 
-// withinQuota returns what of a need the team's quota allows, and refuses when it
-// is less.
+// withinQuota returns a need reduced to the limits of the team's quota, and adds a refusal
+// if that is less than the need.
 func (proposer *Proposer) withinQuota(draft *draft, number int, need identifier.Resources) identifier.Resources {
 	if proposer.Quota.Allows(identifier.Resources{}, 0, need) {
 		return need
 	}
 	limit := proposer.Quota.Limit
-	draft.refuse(fmt.Sprintf("batch %d: a task needs %s, the quota of %s is %s", number, show(need), draft.spec.Team, show(limit)))
+	draft.addRefusal(fmt.Sprintf("batch %d: a task needs %s, the quota of %s is %s", number, formatResources(need), draft.spec.Team, formatResources(limit)))
 	if limit.MilliCPU > 0 {
 		need.MilliCPU = min(need.MilliCPU, limit.MilliCPU)
 	}
@@ -91,12 +93,12 @@
 	return need
 }
 
-func (draft *draft) refuse(reason string) {
+func (draft *draft) addRefusal(reason string) {
 	draft.plan.Refusals = append(draft.plan.Refusals, reason)
 }
 
-// nearestWorker returns the part of a need that the worker offers which comes
-// nearest to it, and whether that is all of it.
+// nearestWorker returns the largest part of a need that a single worker's capacity covers,
+// and whether that is all of it.
 func nearestWorker(pictures []Picture, need identifier.Resources) (identifier.Resources, bool) {
 	var nearest identifier.Resources
 	best := int64(-1)
@@ -106,7 +108,7 @@
 				return need, true
 			}
 			part := need.Min(room.Capacity)
-			if near := nearness(part, need); near > best {
+			if near := coverage(part, need); near > best {
 				nearest, best = part, near
 			}
 		}
@@ -114,8 +116,9 @@
 	return nearest, false
 }
 
-// nearness is the product of the shares of a need that a part covers.
-func nearness(part, need identifier.Resources) int64 {
+// coverage returns the product, over all resources, of the share of a need that a part
+// covers, in thousandths.
+func coverage(part, need identifier.Resources) int64 {
 	const whole = 1000
 	near := int64(1)
 	for _, pair := range [][2]int64{
@@ -132,8 +135,8 @@
 	return near
 }
 
-// show returns a need as text.
-func show(need identifier.Resources) string {
+// formatResources lists the resources of a need as text.
+func formatResources(need identifier.Resources) string {
 	var parts []string
 	if need.MilliCPU > 0 {
 		parts = append(parts, fmt.Sprintf("%d milli-cpu", need.MilliCPU))
--- a/pkg/planner/seed_test.go
+++ b/pkg/planner/seed_test.go
@@ -1,4 +1,4 @@
 package planner
 
-// The random tests draw from a fixed seed, so that CI has one verdict.
+// The random tests draw from a fixed seed, so that CI results are reproducible.
 import _ "github.com/stoathitch/stoathitch/pkg/seeder"
--- a/pkg/planner/snapshot.go
+++ b/pkg/planner/snapshot.go
@@ -8,7 +8,7 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// snapshotVersion is that of the format which Snapshot writes.
+// snapshotVersion is the version of the format that Snapshot writes.
 const snapshotVersion = 1
 
 // snapshot is the durable form of a Machine.
@@ -32,8 +32,8 @@
 	Epoch         identifier.Epoch         `cbor:"2,keyasint,omitempty"`
 }
 
-// Snapshot returns the whole state, the same bytes on every keeper that has
-// applied the same entries.
+// Snapshot encodes the whole state. Every keeper that has applied the same entries returns
+// the same bytes.
 func (machine *Machine) Snapshot() []byte {
 	machine.prepare()
 	state := snapshot{Version: snapshotVersion, Applied: machine.applied, Ended: machine.ended.Keys()}
@@ -52,13 +52,13 @@
 	state.Learned = machine.learned.All()
 	data, err := cbor.Marshal(state)
 	if err != nil {
-		// Only a type that CBOR can't hold fails here, which no input can bring about.
+		// Encoding fails only for a type that CBOR can't represent, which no input can cause.
 		panic(failure("snapshot", KindEncoding, err))
 	}
 	return data
 }
 
-// Restore replaces the state by that of a snapshot.
+// Restore replaces the state with that of a snapshot.
 func (machine *Machine) Restore(data []byte) error {
 	var state snapshot
 	if err := cbor.Unmarshal(data, &state); err != nil {
@@ -72,7 +72,7 @@
 	machine.applied = state.Applied
 	for _, record := range state.Records {
 		machine.records.Put(record.Name, &record)
-		machine.changed = max(machine.changed, record.changedAt())
+		machine.lastChange = max(machine.lastChange, record.changedAt())
 	}
 	for _, known := range state.Answers {
 		machine.answers.Put(known.Request, &known.Answer)
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// EncodeCommand returns the bytes of a command as they stand in the log.
+// EncodeCommand encodes a command for the log.
 func EncodeCommand(command Command) ([]byte, error) {
 	data, err := cbor.Marshal(command)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return data, nil
 }
 
-// DecodeCommand reads a command from the log.
+// DecodeCommand decodes a command of the log.
 func DecodeCommand(data []byte) (Command, error) {
 	var command Command
 	if err := cbor.Unmarshal(data, &command); err != nil {
--- a/pkg/planner/spec.go
+++ b/pkg/planner/spec.go
@@ -8,32 +8,32 @@
 	"github.com/stoathitch/stoathitch/pkg/placer"
 )
 
-// OperatorID names who sent a command.
+// OperatorID identifies the sender of a command.
 type OperatorID string
 
-// WallTime is a wall-clock reading in milliseconds since 1970. It is carried for
-// display only: nothing is decided by it.
+// WallTime is a wall-clock reading in milliseconds since 1970. It is kept for display only;
+// no decision depends on it.
 type WallTime int64
 
-// Add returns the reading that lies interval later.
+// Add returns the reading interval later.
 func (wall WallTime) Add(interval time.Duration) WallTime {
 	return wall + WallTime(interval/time.Millisecond)
 }
 
-// Batch is a number of equal tasks.
+// Batch is a number of identical tasks.
 type Batch struct {
-	// Kind names what the tasks do; declarations of one kind are corrected together.
+	// Kind names what the tasks do. Corrections are learned for each kind of a team.
 	Kind    guarder.Kind         `cbor:"1,keyasint,omitempty" json:"kind"`
 	Count   int                  `cbor:"2,keyasint,omitempty" json:"count"`
 	Need    identifier.Resources `cbor:"3,keyasint,omitempty" json:"need"`
 	RunTime time.Duration        `cbor:"4,keyasint,omitempty" json:"run-time"`
-	// Repeatable tells whether a task may be run again after it may have run.
+	// Repeatable reports whether a task that may have run already may run again.
 	Repeatable     bool `cbor:"5,keyasint,omitempty" json:"repeatable"`
 	Checkpointable bool `cbor:"6,keyasint,omitempty" json:"checkpointable"`
 }
 
-// Declaration returns what the guarder needs of a batch. A task that must not be
-// run again is never resumed from a checkpoint either.
+// Declaration returns the declared need and run time. A task that must not run again is
+// never resumed from a checkpoint either.
 func (batch Batch) Declaration() guarder.Declaration {
 	return guarder.Declaration{
 		Need:           batch.Need,
@@ -42,7 +42,7 @@
 	}
 }
 
-// Spec is what an operator states of an intent.
+// Spec is the content of an intent as stated by an operator.
 type Spec struct {
 	Team    identifier.TeamID          `cbor:"1,keyasint,omitempty" json:"team"`
 	Urgency placer.Urgency             `cbor:"2,keyasint,omitempty" json:"urgency"`
@@ -75,21 +75,21 @@
 	Count int               `cbor:"2,keyasint,omitempty" json:"count"`
 }
 
-// Displaced counts the tasks that are expected to be preempted.
+// Displaced is the number of tasks that are expected to be preempted in a failure domain.
 type Displaced struct {
 	FailureDomain identifier.FailureDomain `cbor:"1,keyasint,omitempty" json:"failure-domain"`
 	Tasks         int                      `cbor:"2,keyasint,omitempty" json:"tasks"`
 }
 
-// AppliedCorrection says that a batch's declaration was corrected.
+// AppliedCorrection records that a batch's declaration was corrected.
 type AppliedCorrection struct {
 	Batch      int                `cbor:"1,keyasint,omitempty" json:"batch"`
 	Correction guarder.Correction `cbor:"2,keyasint,omitempty" json:"correction"`
 }
 
-// Plan is the system's answer to a Spec.
+// Plan is the system's proposal for a Spec.
 type Plan struct {
-	// Number counts the plans of an intent; the first is 1. It is set by Apply.
+	// Number counts the plans of an intent, starting at 1. Apply sets it.
 	Number      uint64              `cbor:"1,keyasint,omitempty" json:"number"`
 	Allotments  []Allotment         `cbor:"2,keyasint,omitempty" json:"allotments,omitempty"`
 	StartsAt    WallTime            `cbor:"3,keyasint,omitempty" json:"starts-at,omitempty"`
@@ -100,12 +100,12 @@
 	Quota       placer.Quota        `cbor:"8,keyasint,omitempty" json:"quota,omitzero"`
 	Confirmable WallTime            `cbor:"9,keyasint,omitempty" json:"confirm-until,omitempty"`
 	Corrections []AppliedCorrection `cbor:"10,keyasint,omitempty" json:"corrections,omitempty"`
-	// Queued is the reason for which nothing can start at once; empty if some can.
+	// Queued is the reason for which nothing can start at once; empty if something can.
 	Queued string `cbor:"11,keyasint,omitempty" json:"queued,omitempty"`
 	// Limited says how the team's quota slows the intent down; empty if it doesn't.
 	Limited string `cbor:"14,keyasint,omitempty" json:"limited,omitempty"`
-	// Refusals are all reasons for which the intent can never run; none if it can.
+	// Refusals are all reasons for which the intent can never run; empty if it can.
 	Refusals []string `cbor:"12,keyasint,omitempty" json:"refusals,omitempty"`
-	// Nearest is the nearest thing that would run, when there are Refusals.
+	// Nearest is the nearest spec that would run, if there are Refusals.
 	Nearest *Spec `cbor:"13,keyasint,omitempty" json:"nearest,omitempty"`
 }
--- a/pkg/planner/sweep.go
+++ b/pkg/planner/sweep.go
@@ -8,58 +8,60 @@
 	"github.com/stoathitch/stoathitch/pkg/placer"
 )
 
-// sweep looks at everything that runs: charges that fade, crowded workers, tasks
-// beyond their declaration, quarantines that end, workers that stay away.
+// sweep checks all running tasks and workers: it updates charges, marks tasks on
+// overcommitted workers, stops tasks whose checkpoint takes too long, applies the guarder's
+// actions, ends quarantines, removes workers that stay lost and reports racks.
 func (driver *Driver[P]) sweep(now identifier.Moment) {
 	driver.sweepAt = now.Add(driver.Settings.SweepInterval)
-	driver.changed = true
-	driver.tasks.Each(func(task identifier.TaskID, _ *driveTask) bool {
+	driver.placementPending = true
+	driver.tasks.Each(func(task identifier.TaskID, _ *driverTask) bool {
 		driver.Placer.Recharge(task, driver.Guarder.Charge(now, task))
 		return true
 	})
-	driver.tasks.Each(func(task identifier.TaskID, running *driveTask) bool {
+	driver.tasks.Each(func(task identifier.TaskID, running *driverTask) bool {
 		driver.Guarder.Crowded(task, driver.Placer.Overcommitted(running.worker))
 		return true
 	})
-	driver.tasks.Each(func(task identifier.TaskID, running *driveTask) bool {
-		late := now.Sub(running.leavingSince) > driver.Settings.CheckpointWithin
-		if running.leaving != leavingNot && !running.stopping && late {
-			driver.stop(task, running.leaving, running.reason+"; its checkpoint took too long")
+	driver.tasks.Each(func(task identifier.TaskID, running *driverTask) bool {
+		late := now.Sub(running.checkpointOrderedAt) > driver.Settings.CheckpointWithin
+		if running.stopCause != stopCauseNone && !running.stopping && late {
+			driver.stop(task, running.stopCause, running.reason+"; its checkpoint took too long")
 		}
 		return true
 	})
 	for _, action := range driver.Guarder.Actions(now) {
-		driver.act(now, action)
+		driver.applyGuarderAction(now, action)
 	}
-	driver.workers.Each(func(id identifier.WorkerID, worker *driveWorker) bool {
+	driver.workers.Each(func(id identifier.WorkerID, worker *driverWorker) bool {
 		driver.sweepWorker(now, id, worker)
 		return true
 	})
-	driver.noticeRacks()
-	driver.intents.Each(func(_ identifier.IntentName, intent *driven) bool {
+	driver.reportRacks()
+	driver.intents.Each(func(_ identifier.IntentName, intent *driverIntent) bool {
 		driver.explainWaiting(now, intent)
 		return true
 	})
 }
 
-// act carries an act of the guarder out, unless the task is leaving anyway.
-func (driver *Driver[P]) act(now identifier.Moment, action guarder.Action) {
+// applyGuarderAction carries out an action of the guarder, unless the task is already being
+// stopped or preempted.
+func (driver *Driver[P]) applyGuarderAction(now identifier.Moment, action guarder.Action) {
 	running := driver.tasks.Get(action.Task)
-	if running == nil || running.stopping || running.leaving == leavingPreempted {
+	if running == nil || running.stopping || running.stopCause == stopCausePreempted {
 		return
 	}
-	driver.note(now, running.batch.intent, fmt.Sprintf("%s: a task %s", action.Act, action.Reason))
+	driver.recordNote(now, running.batch.intent, fmt.Sprintf("%s: a task %s", action.Act, action.Reason))
 	switch action.Act {
 	case guarder.ActThrottle:
 		driver.emit(ThrottleTask{TaskOrder{Worker: running.worker, Task: action.Task, Number: running.number, Reason: action.Reason}})
 	case guarder.ActCheckpoint:
-		driver.checkpoint(now, action.Task, leavingGuarded, action.Reason)
+		driver.checkpoint(now, action.Task, stopCauseGuarder, action.Reason)
 	case guarder.ActStop:
-		driver.stop(action.Task, leavingGuarded, action.Reason)
+		driver.stop(action.Task, stopCauseGuarder, action.Reason)
 	}
 }
 
-func (driver *Driver[P]) sweepWorker(now identifier.Moment, id identifier.WorkerID, worker *driveWorker) {
+func (driver *Driver[P]) sweepWorker(now identifier.Moment, id identifier.WorkerID, worker *driverWorker) {
 	if worker.quarantinedUntil != 0 && worker.quarantinedUntil.Due(now) {
 		worker.quarantinedUntil = 0
 		worker.failures = driver.Settings.FailuresToQuarantine - 1
@@ -71,16 +73,17 @@
 	}
 }
 
-// judge counts a worker's failures in a row. A failure counts only when the batch
-// has succeeded somewhere, so that a bad batch does not empty the failure domain.
-func (driver *Driver[P]) judge(now identifier.Moment, id identifier.WorkerID, batch *drivenBatch, succeeded bool) {
+// recordWorkerResult counts a worker's consecutive failures. A failure counts only if the
+// batch has succeeded somewhere, so that a bad batch does not quarantine the whole failure
+// domain.
+func (driver *Driver[P]) recordWorkerResult(now identifier.Moment, id identifier.WorkerID, batch *driverBatch, succeeded bool) {
 	worker := driver.workers.Get(id)
 	switch {
 	case worker == nil:
 		return
 	case succeeded:
 		worker.failures = 0
-		worker.quarantine = 0
+		worker.quarantineLength = 0
 		return
 	case batch.succeeded == 0:
 		return
@@ -89,16 +92,17 @@
 	if worker.failures < driver.Settings.FailuresToQuarantine || worker.quarantinedUntil != 0 || !driver.mayQuarantine() {
 		return
 	}
-	worker.quarantine = min(max(2*worker.quarantine, driver.Settings.Quarantine), 8*driver.Settings.Quarantine)
-	worker.quarantinedUntil = now.Add(worker.quarantine)
+	worker.quarantineLength = min(max(2*worker.quarantineLength, driver.Settings.Quarantine), 8*driver.Settings.Quarantine)
+	worker.quarantinedUntil = now.Add(worker.quarantineLength)
 	driver.Placer.SetUsable(id, false)
-	driver.note(now, batch.intent, fmt.Sprintf("worker %s failed %d tasks in a row and gets no new ones for %s", id, worker.failures, worker.quarantine))
+	driver.recordNote(now, batch.intent, fmt.Sprintf("worker %s failed %d tasks in a row and gets no new ones for %s", id, worker.failures, worker.quarantineLength))
 }
 
-// mayQuarantine bounds the quarantined share of workers.
+// mayQuarantine reports whether one more worker may be quarantined. It bounds the share of
+// quarantined workers, but always allows one.
 func (driver *Driver[P]) mayQuarantine() bool {
 	quarantined := 0
-	driver.workers.Each(func(_ identifier.WorkerID, worker *driveWorker) bool {
+	driver.workers.Each(func(_ identifier.WorkerID, worker *driverWorker) bool {
 		if worker.quarantinedUntil != 0 {
 			quarantined++
 		}
@@ -107,8 +111,8 @@
 	return (quarantined+1)*1000 <= max(driver.workers.Len()*driver.Settings.QuarantinedPermille, 1000)
 }
 
-// explainWaiting notes when what holds a batch up has changed.
-func (driver *Driver[P]) explainWaiting(now identifier.Moment, intent *driven) {
+// explainWaiting adds a note when the reason that a batch is blocked has changed.
+func (driver *Driver[P]) explainWaiting(now identifier.Moment, intent *driverIntent) {
 	for _, batch := range intent.batches {
 		waiting, blocked := driver.Placer.Waiting(batch.group)
 		if blocked == batch.blocked {
@@ -116,7 +120,7 @@
 		}
 		batch.blocked = blocked
 		if blocked != placer.BlockedNot {
-			driver.note(now, intent, fmt.Sprintf("batch %d waits with %d tasks: blocked %s", batch.number, waiting, blocked))
+			driver.recordNote(now, intent, fmt.Sprintf("batch %d waits with %d tasks: blocked %s", batch.number, waiting, blocked))
 		}
 	}
 }
--- a/pkg/planner/work.go
+++ b/pkg/planner/work.go
@@ -6,15 +6,15 @@
 	"github.com/stoathitch/stoathitch/pkg/placer"
 )
 
-// announce takes a worker's process in. Its clock is a new one; leases of the
-// process before it stay until they run out.
-func (driver *Driver[P]) announce(now identifier.Moment, announced WorkerAnnounced) {
+// handleWorkerAnnounced adds a worker's process. Its clock starts anew; leases of the
+// worker's earlier process stay until they expire.
+func (driver *Driver[P]) handleWorkerAnnounced(now identifier.Moment, announced WorkerAnnounced) {
 	driver.Granter.Forget(announced.Worker.ID)
 	driver.Granter.Heartbeat(now, announced.Worker.ID, announced.Reading)
 	driver.Placer.AddWorker(announced.Worker)
 	known := driver.workers.Get(announced.Worker.ID)
 	if known == nil {
-		known = &driveWorker{}
+		known = &driverWorker{}
 		driver.workers.Put(announced.Worker.ID, known)
 	}
 	known.worker = announced.Worker
@@ -23,12 +23,12 @@
 	driver.Placer.SetUsable(announced.Worker.ID, known.usable())
 }
 
-func (worker *driveWorker) usable() bool {
+func (worker *driverWorker) usable() bool {
 	return !worker.lost && !worker.silent && worker.quarantinedUntil == 0
 }
 
-// heartbeat renews the leases of what the worker runs and takes its reports.
-func (driver *Driver[P]) heartbeat(now identifier.Moment, beat WorkerHeartbeat) {
+// handleHeartbeat renews the leases of the worker's running tasks and handles its reports.
+func (driver *Driver[P]) handleHeartbeat(now identifier.Moment, beat WorkerHeartbeat) {
 	worker := driver.workers.Get(beat.Worker)
 	if worker == nil || worker.lost {
 		return
@@ -59,8 +59,8 @@
 	return running != nil && running.worker == worker
 }
 
-// renew prolongs one lease, adopts it from a former lead, or stops the task. A
-// task that was told to stop is not renewed, so it ends even if it ignores that.
+// renew extends a lease, adopts it from a former lead, or stops the task. A task that was
+// ordered to stop is not renewed, so it ends even if it ignores the order.
 func (driver *Driver[P]) renew(now identifier.Moment, worker identifier.WorkerID, running RunningTask) (leaser.Grant, bool) {
 	known := driver.tasks.Get(running.Task)
 	if known == nil && driver.quiet {
@@ -82,8 +82,8 @@
 	return grant, true
 }
 
-// adopt takes over a task that a former lead started. Without it a change of the
-// lead would cost all work in progress.
+// adopt takes over a task that a former lead started. Otherwise a change of the lead would
+// lose all work in progress.
 func (driver *Driver[P]) adopt(now identifier.Moment, worker identifier.WorkerID, running RunningTask) (leaser.Grant, bool) {
 	name, number, index, valid := splitTask(running.Task)
 	intent := driver.intents.Get(name)
@@ -91,7 +91,7 @@
 		return leaser.Grant{}, false
 	}
 	batch := intent.batch(number)
-	if batch == nil || index < batch.from || index >= batch.former || batch.state(index) != indexOpen {
+	if batch == nil || index < batch.from || index >= batch.formerClaimed || batch.state(index) != taskOpen {
 		return leaser.Grant{}, false
 	}
 	grant, err := driver.Granter.Adopt(now, running.Task, worker, running.Number)
@@ -99,12 +99,12 @@
 		return leaser.Grant{}, false
 	}
 	driver.Placer.Occupy(now, batch.group, running.Task, worker)
-	driver.begin(now, batch, index, worker, running.Number)
-	driver.note(now, intent, "the lead changed: a running task goes on")
+	driver.recordStart(now, batch, index, worker, running.Number)
+	driver.recordNote(now, intent, "the lead changed: a running task goes on")
 	return grant, true
 }
 
-func (intent *driven) batch(number int) *drivenBatch {
+func (intent *driverIntent) batch(number int) *driverBatch {
 	for _, batch := range intent.batches {
 		if batch.number == number {
 			return batch
@@ -113,20 +113,21 @@
 	return nil
 }
 
-// begin records that a task has a lease on a worker.
-func (driver *Driver[P]) begin(now identifier.Moment, batch *drivenBatch, index int, worker identifier.WorkerID, number leaser.Number) {
+// recordStart records that a task has a lease on a worker.
+func (driver *Driver[P]) recordStart(now identifier.Moment, batch *driverBatch, index int, worker identifier.WorkerID, number leaser.Number) {
 	task := NameTask(batch.intent.name, batch.number, index)
-	batch.setState(index, indexRunning)
+	batch.setState(index, taskRunning)
 	batch.intent.started = true
 	driver.scheduleFlush(now, batch.intent)
-	driver.tasks.Put(task, &driveTask{batch: batch, index: index, worker: worker, number: number, startedAt: now})
-	declared := driver.declaration(batch)
-	declared.Checkpointable = declared.Checkpointable && !batch.saved[index].guarded
+	driver.tasks.Put(task, &driverTask{batch: batch, index: index, worker: worker, number: number, startedAt: now})
+	declared := driver.correctedDeclaration(batch)
+	declared.Checkpointable = declared.Checkpointable && !batch.checkpoints[index].byGuarder
 	driver.Guarder.Watch(now, task, declared)
 }
 
-// lose stops placing on a worker. What it ran may run on until the leases end.
-func (driver *Driver[P]) lose(now identifier.Moment, id identifier.WorkerID) {
+// handleWorkerLost stops placing tasks on a worker. Its tasks may continue to run until
+// their leases end.
+func (driver *Driver[P]) handleWorkerLost(now identifier.Moment, id identifier.WorkerID) {
 	worker := driver.workers.Get(id)
 	if worker == nil || worker.lost {
 		return
@@ -137,24 +138,24 @@
 	driver.Placer.SetUsable(id, false)
 }
 
-// place starts and preempts what the placer decides.
+// place carries out the placer's decisions.
 func (driver *Driver[P]) place(now identifier.Moment) {
 	for _, decision := range driver.Placer.Place(now) {
 		switch decision.Kind {
 		case placer.DecisionStart:
 			driver.start(now, decision)
 		case placer.DecisionCheckpoint:
-			driver.checkpoint(now, decision.Task, leavingPreempted, "preempted for "+string(decision.For.Intent))
-			driver.note(now, driver.intents.Get(decision.Group.Intent), "checkpointed, preempted for "+string(decision.For.Intent))
+			driver.checkpoint(now, decision.Task, stopCausePreempted, "preempted for "+string(decision.For.Intent))
+			driver.recordNote(now, driver.intents.Get(decision.Group.Intent), "checkpointed, preempted for "+string(decision.For.Intent))
 		case placer.DecisionStop:
-			driver.stop(decision.Task, leavingPreempted, "preempted for "+string(decision.For.Intent))
-			driver.note(now, driver.intents.Get(decision.Group.Intent), "stopped, preempted for "+string(decision.For.Intent))
+			driver.stop(decision.Task, stopCausePreempted, "preempted for "+string(decision.For.Intent))
+			driver.recordNote(now, driver.intents.Get(decision.Group.Intent), "stopped, preempted for "+string(decision.For.Intent))
 		}
 	}
 }
 
-// start leases a task to the worker that the placer chose. A worker that has been
-// silent for too long gets none until it is heard again.
+// start grants a lease to the worker that the placer chose. A worker that has been silent
+// for too long gets none until its next heartbeat.
 func (driver *Driver[P]) start(now identifier.Moment, decision placer.Decision) {
 	intent := driver.intents.Get(decision.Group.Intent)
 	batch := intent.batch(decision.Group.Batch)
@@ -163,20 +164,20 @@
 	if err != nil {
 		driver.Placer.End(decision.Task)
 		driver.Placer.Enqueue(now, decision.Group, decision.Task)
-		driver.hush(now, decision.Worker)
+		driver.markSilent(now, decision.Worker)
 		return
 	}
-	resume := batch.resumes(index)
-	driver.begin(now, batch, index, decision.Worker, grant.Number)
-	declared := driver.declaration(batch)
+	resume := batch.hasCheckpoint(index)
+	driver.recordStart(now, batch, index, decision.Worker, grant.Number)
+	declared := driver.correctedDeclaration(batch)
 	driver.emit(StartTask{
 		Worker: decision.Worker, Grant: grant, Intent: intent.name, Batch: batch.number, Index: index,
 		Need: declared.Need, RunTime: declared.RunTime, Resume: resume,
 	})
 }
 
-// hush takes a worker out of use until its next heartbeat.
-func (driver *Driver[P]) hush(now identifier.Moment, id identifier.WorkerID) {
+// markSilent excludes a worker from placement until its next heartbeat.
+func (driver *Driver[P]) markSilent(now identifier.Moment, id identifier.WorkerID) {
 	worker := driver.workers.Get(id)
 	if worker == nil || driver.Granter.Heard(now, id) {
 		return
@@ -185,26 +186,26 @@
 	driver.Placer.SetUsable(id, false)
 }
 
-// stop tells a worker to stop a task.
-func (driver *Driver[P]) stop(task identifier.TaskID, why leaving, reason string) {
+// stop orders a worker to stop a task.
+func (driver *Driver[P]) stop(task identifier.TaskID, why stopCause, reason string) {
 	running := driver.tasks.Get(task)
-	if running == nil || running.leaving == leavingCancelled {
+	if running == nil || running.stopCause == stopCauseCancelled {
 		return
 	}
-	running.leaving = why
+	running.stopCause = why
 	running.stopping = true
 	running.reason = reason
 	driver.emit(StopTask{TaskOrder{Worker: running.worker, Task: task, Number: running.number, Reason: reason}})
 }
 
-// checkpoint tells a worker to save a task's progress and stop it.
-func (driver *Driver[P]) checkpoint(now identifier.Moment, task identifier.TaskID, why leaving, reason string) {
+// checkpoint orders a worker to save a task's progress and stop it.
+func (driver *Driver[P]) checkpoint(now identifier.Moment, task identifier.TaskID, why stopCause, reason string) {
 	running := driver.tasks.Get(task)
 	if running == nil || running.stopping {
 		return
 	}
-	running.leaving = why
-	running.leavingSince = now
+	running.stopCause = why
+	running.checkpointOrderedAt = now
 	running.reason = reason
 	driver.emit(CheckpointTask{TaskOrder{Worker: running.worker, Task: task, Number: running.number, Reason: reason}})
 }
--- a/pkg/planner/world_test.go
+++ b/pkg/planner/world_test.go
@@ -18,21 +18,22 @@
 
 var testCapacity = identifier.Resources{MilliCPU: 8000, Memory: 16 << 30}
 
-// failer is what the world needs of a test.
-type failer interface {
+// testingT is the part of testing.T and rapid.T that the world uses.
+type testingT interface {
 	Fatalf(format string, args ...any)
 	Logf(format string, args ...any)
 }
 
-// world is one failure domain: the log, a driver, and workers that hold leases by
-// their own clocks. It knows what really ran, against which every word is checked.
+// world simulates one failure domain: the log, a driver, and workers that hold leases by
+// their own clocks. It records what really ran, and every reported outcome is checked
+// against that.
 type world struct {
-	t       failer
-	real    identifier.Moment
-	machine *Machine
-	index   identifier.LogIndex
-	driver  *Driver[placer.ScoredSample]
-	// shadow gets the same inputs and must say the same.
+	t        testingT
+	realTime identifier.Moment
+	machine  *Machine
+	index    identifier.LogIndex
+	driver   *Driver[placer.ScoredSample]
+	// shadow gets the same inputs and must return the same outputs.
 	shadow  *Driver[placer.ScoredSample]
 	epoch   identifier.Epoch
 	offset  identifier.Moment
@@ -44,15 +45,15 @@
 	assigned  map[identifier.IntentName]State
 	ended     map[identifier.IntentName]bool
 
-	// logFirst tells that the driver hears of the log before it hears the workers.
+	// logFirst makes the driver receive changes of the log before messages of workers.
 	logFirst bool
-	// silent tells that workers send no usage reports.
-	silent bool
-	// reports holds the last report that the driver got of each run.
+	// withoutReports stops workers from sending usage reports.
+	withoutReports bool
+	// reports holds the last report of each run that the driver received.
 	reports map[RunningTask]identifier.Resources
-	// trace holds what the driver had done, a line each.
+	// trace holds a line for each output of the driver.
 	trace []string
-	// behave says how a task runs that starts: for how long, its end and its use.
+	// behave returns how long a starting task runs, how it ends and what it uses.
 	behave func(start StartTask) (time.Duration, TaskEnd, identifier.Resources)
 }
 
@@ -64,27 +65,27 @@
 	offset    identifier.Moment
 	holder    *leaser.Holder
 	running   []*fakeRun
-	// words are ends of tasks that wait for a connection.
-	words []Input
+	// undelivered holds reports of ended tasks that wait for a connection.
+	undelivered []Input
 }
 
 // fakeRun is one real run of a task.
 type fakeRun struct {
-	task   identifier.TaskID
-	number leaser.Number
-	begun  identifier.Moment
-	endsAt identifier.Moment
-	end    TaskEnd
-	used   identifier.Resources
-	over   bool
-	// stopped tells that the run was cut off by an order, the lease or a death.
+	task      identifier.TaskID
+	number    leaser.Number
+	startedAt identifier.Moment
+	endsAt    identifier.Moment
+	end       TaskEnd
+	used      identifier.Resources
+	ended     bool
+	// stopped reports whether the run was cut short by an order, its lease or a death.
 	stopped bool
 	need    identifier.Resources
 }
 
-func newWorld(t failer, workers int) *world {
+func newWorld(t testingT, workers int) *world {
 	world := &world{
-		t: t, machine: &Machine{}, real: 1,
+		t: t, machine: &Machine{}, realTime: 1,
 		runs:     map[identifier.TaskID][]*fakeRun{},
 		assigned: map[identifier.IntentName]State{},
 		ended:    map[identifier.IntentName]bool{},
@@ -101,15 +102,15 @@
 			offset: identifier.Moment(number+1) * identifier.Moment(time.Hour),
 		})
 	}
-	world.lead()
+	world.replaceLead()
 	for _, worker := range world.workers {
 		world.boot(worker)
 	}
 	return world
 }
 
-// lead makes a new host the lead; what the former one had under way is lost.
-func (world *world) lead() {
+// replaceLead makes a new host the lead. Messages on their way to the former one are lost.
+func (world *world) replaceLead() {
 	world.epoch++
 	world.apply(Command{Kind: CommandLead, Claim: &Claim{FailureDomain: testDomain, Epoch: world.epoch}})
 	world.offset += identifier.Moment(17 * time.Minute)
@@ -130,9 +131,11 @@
 	}
 }
 
-func (world *world) now() identifier.Moment { return world.real + world.offset }
+func (world *world) now() identifier.Moment { return world.realTime + world.offset }
 
-func (world *world) local(worker *fakeWorker) identifier.Moment { return world.real + worker.offset }
+func (world *world) workerClock(worker *fakeWorker) identifier.Moment {
+	return world.realTime + worker.offset
+}
 
 // boot starts a worker's process.
 func (world *world) boot(worker *fakeWorker) {
@@ -144,17 +147,17 @@
 
 func (world *world) connect(worker *fakeWorker) {
 	worker.connected = true
-	world.inbox = append(world.inbox, WorkerAnnounced{Worker: worker.worker, Reading: leaser.HolderMoment(world.local(worker))})
+	world.inbox = append(world.inbox, WorkerAnnounced{Worker: worker.worker, Reading: leaser.HolderMoment(world.workerClock(worker))})
 	world.deliver(worker)
 }
 
-// kill ends a worker's process with its tasks.
+// kill ends a worker's process together with its tasks.
 func (world *world) kill(worker *fakeWorker) {
 	for _, run := range worker.running {
-		run.over, run.stopped = true, true
+		run.ended, run.stopped = true, true
 	}
 	worker.running = nil
-	worker.words = nil
+	worker.undelivered = nil
 	worker.alive = false
 	world.cut(worker)
 }
@@ -169,7 +172,7 @@
 // apply applies a command of an operator or a driver.
 func (world *world) apply(command Command) Result {
 	world.index++
-	command.Wall = WallTime(world.real / identifier.Moment(time.Millisecond))
+	command.Wall = WallTime(world.realTime / identifier.Moment(time.Millisecond))
 	result := world.machine.Apply(world.index, command)
 	if world.driver != nil && command.Kind == CommandClaim && command.Claim.Epoch == world.epoch {
 		world.inbox = append(world.inbox, ClaimApplied{Name: command.Name, Claim: *command.Claim, Accepted: result.Kind == ResultAccepted})
@@ -177,16 +180,16 @@
 	return result
 }
 
-// propose answers an intent with a plan.
+// propose adds a plan to an intent.
 func (world *world) propose(name identifier.IntentName) Result {
 	record := world.machine.Get(name)
 	proposer := &Proposer{ConfirmWithin: DefaultConfirmWithin, Pictures: []Picture{world.driver.Picture(world.now())}, Correct: world.machine.Correction}
-	plan := proposer.Propose(WallTime(world.real), record.Spec)
+	plan := proposer.Propose(WallTime(world.realTime), record.Spec)
 	return world.apply(Command{Kind: CommandPlan, Name: name, Revision: record.Revision, Plan: &plan, Operator: "system"})
 }
 
-// tell lets the driver know what the log says of each intent.
-func (world *world) tell() {
+// notifyDriver sends the driver the changes of each intent in the log.
+func (world *world) notifyDriver() {
 	for _, name := range world.machine.Names() {
 		record := world.machine.Get(name)
 		if record.State.Ended() && world.assigned[name] != StateNone && !world.ended[name] {
@@ -205,13 +208,13 @@
 	}
 }
 
-// step lets time pass, the workers act, the log advance, and the driver tick.
+// step advances time, lets the workers run, applies commands and ticks the driver.
 func (world *world) step(wait time.Duration, applied int, beats bool) {
-	world.real = world.real.Add(wait)
+	world.realTime = world.realTime.Add(wait)
 	for _, worker := range world.workers {
-		world.act(worker)
+		world.advanceTasks(worker)
 		if beats && worker.alive && worker.connected {
-			world.beat(worker)
+			world.sendHeartbeat(worker)
 		}
 	}
 	for range min(applied, len(world.proposals)) {
@@ -219,35 +222,35 @@
 		world.proposals = world.proposals[1:]
 		world.apply(command)
 	}
-	heard := world.inbox
+	received := world.inbox
 	world.inbox = nil
-	world.tell()
-	inputs := append(heard, world.inbox...)
+	world.notifyDriver()
+	inputs := append(received, world.inbox...)
 	if world.logFirst {
-		inputs = append(world.inbox, heard...)
+		inputs = append(world.inbox, received...)
 	}
 	world.inbox = nil
-	world.noteReports(inputs)
+	world.recordReports(inputs)
 	outputs := world.driver.Tick(world.now(), inputs)
 	world.checkTick(inputs, outputs)
 	for _, output := range outputs {
-		world.carryOut(output)
+		world.execute(output)
 	}
 }
 
-// act ends tasks that are done, and stops those whose lease is over.
-func (world *world) act(worker *fakeWorker) {
+// advanceTasks ends tasks that are done, and stops those whose lease has ended.
+func (world *world) advanceTasks(worker *fakeWorker) {
 	if !worker.alive {
 		return
 	}
 	for _, run := range append([]*fakeRun(nil), worker.running...) {
 		held := worker.holder.Get(run.task)
-		over := held == nil || held.EndsAt.Due(world.local(worker))
-		if run.endsAt.Due(world.real) && !over {
+		over := held == nil || held.EndsAt.Due(world.workerClock(worker))
+		if run.endsAt.Due(world.realTime) && !over {
 			world.finish(worker, run, run.end)
 		}
 	}
-	for _, task := range worker.holder.RanOut(world.local(worker)) {
+	for _, task := range worker.holder.RanOut(world.workerClock(worker)) {
 		if run := worker.find(task); run != nil {
 			run.stopped = true
 			world.finish(worker, run, EndStopped)
@@ -264,9 +267,9 @@
 	return nil
 }
 
-// finish ends a run; the word of it waits while the worker is cut off.
+// finish ends a run. The report of it waits while the worker is cut off.
 func (world *world) finish(worker *fakeWorker, run *fakeRun, end TaskEnd) {
-	run.over = true
+	run.ended = true
 	if !run.stopped {
 		run.end = end
 	}
@@ -277,22 +280,22 @@
 		}
 	}
 	worker.holder.Release(run.task)
-	worker.words = append(worker.words, TaskEnded{Worker: worker.worker.ID, Task: run.task, Number: run.number, End: end})
+	worker.undelivered = append(worker.undelivered, TaskEnded{Worker: worker.worker.ID, Task: run.task, Number: run.number, End: end})
 	world.deliver(worker)
 }
 
 func (world *world) deliver(worker *fakeWorker) {
 	if worker.connected {
-		world.inbox = append(world.inbox, worker.words...)
-		worker.words = nil
+		world.inbox = append(world.inbox, worker.undelivered...)
+		worker.undelivered = nil
 	}
 }
 
-func (world *world) beat(worker *fakeWorker) {
-	beat := WorkerHeartbeat{Worker: worker.worker.ID, Reading: leaser.HolderMoment(world.local(worker))}
+func (world *world) sendHeartbeat(worker *fakeWorker) {
+	beat := WorkerHeartbeat{Worker: worker.worker.ID, Reading: leaser.HolderMoment(world.workerClock(worker))}
 	for _, run := range worker.running {
 		beat.Running = append(beat.Running, RunningTask{Task: run.task, Number: run.number})
-		if world.silent {
+		if world.withoutReports {
 			continue
 		}
 		beat.Reports = append(beat.Reports, guarder.Report{Task: run.task, Used: run.used, Age: 200 * time.Millisecond})
@@ -300,7 +303,7 @@
 	world.inbox = append(world.inbox, beat)
 }
 
-func (world *world) noteReports(inputs []Input) {
+func (world *world) recordReports(inputs []Input) {
 	for _, input := range inputs {
 		beat, is := input.(WorkerHeartbeat)
 		if !is {
@@ -321,13 +324,13 @@
 	return nil
 }
 
-func (world *world) carryOut(output Output) {
+func (world *world) execute(output Output) {
 	world.trace = append(world.trace, showOutput(output))
 	switch output := output.(type) {
 	case Propose:
 		world.proposals = append(world.proposals, output.Command)
 	case StartTask:
-		world.checkRoom(output)
+		world.checkCapacity(output)
 		if worker := world.worker(output.Worker); worker.alive && worker.connected {
 			world.start(worker, output)
 		}
@@ -335,7 +338,7 @@
 		worker := world.worker(output.Worker)
 		for _, grant := range output.Grants {
 			if worker.alive && worker.connected {
-				_ = worker.holder.Renew(world.local(worker), grant)
+				_ = worker.holder.Renew(world.workerClock(worker), grant)
 			}
 		}
 	case ThrottleTask:
@@ -363,10 +366,10 @@
 	}
 }
 
-// start runs a task for real, and checks that it may.
+// start runs a task on a worker and checks that it may start.
 func (world *world) start(worker *fakeWorker, start StartTask) {
 	task := start.Grant.Task
-	if err := worker.holder.Accept(world.local(worker), start.Grant); err != nil {
+	if err := worker.holder.Accept(world.workerClock(worker), start.Grant); err != nil {
 		world.inbox = append(world.inbox, TaskEnded{Worker: start.Worker, Task: task, Number: start.Grant.Number, End: EndRefused})
 		return
 	}
@@ -378,7 +381,7 @@
 		world.t.Fatalf("%s started after the driver was told that it is cancelled", task)
 	}
 	for _, former := range world.runs[task] {
-		if !former.over {
+		if !former.ended {
 			world.t.Fatalf("%s runs twice at once", task)
 		}
 		if !record.Spec.Batches[start.Batch].Repeatable {
@@ -391,7 +394,7 @@
 		world.inbox = append(world.inbox, TaskEnded{Worker: start.Worker, Task: task, Number: start.Grant.Number, End: EndRefused})
 		return
 	}
-	run := &fakeRun{task: task, number: start.Grant.Number, begun: world.real, endsAt: world.real.Add(runTime), end: end, used: used, need: start.Need}
+	run := &fakeRun{task: task, number: start.Grant.Number, startedAt: world.realTime, endsAt: world.realTime.Add(runTime), end: end, used: used, need: start.Need}
 	worker.running = append(worker.running, run)
 	world.runs[task] = append(world.runs[task], run)
 }
