--- a/pkg/replicator/doc.go
+++ b/pkg/replicator/doc.go
@@ -1,15 +1,15 @@
-// Package replicator decides how the keepers agree on one replicated log. It is
-// Raft as published (Ongaro 2014) with pre-vote, check-quorum, a leader lease,
-// single-server membership changes with learners, chunked snapshots, pipelined
-// appends and leadership transfer.
+// Package replicator implements the consensus by which the keepers agree on one replicated
+// log. It is Raft as published (Ongaro 2014) with pre-vote, check-quorum, a leader lease,
+// single-server membership changes with learners, chunked snapshots, pipelined appends and
+// leadership transfer.
 //
-// The package is pure: it has no clock, socket, disk, goroutine or global random
-// source. A caller feeds a Replicator with inputs through Tick and carries out the
-// outputs in their order. Messages that promise durability are held back inside
-// the Replicator until the caller reports the Persist that they rest on as
-// Persisted, so that a caller cannot send them too early by mistake.
+// The package is deterministic: it has no clock, socket, disk, goroutine or global random
+// source. A caller passes inputs to a Replicator through Tick and carries out the outputs in
+// their order. Messages that promise durability are withheld inside the Replicator until the
+// caller has reported the Persist that they depend on as Persisted, so a caller cannot send
+// them too early by mistake.
 //
-// docs/dev/REPLICATION.md has the design, the ways weighed and the proofs.
+// docs/dev/REPLICATION.md describes the design, the alternatives considered and the proofs.
 package replicator
 
 //go:generate enumer -type=Role -trimprefix=Role -transform=kebab -text
--- a/pkg/replicator/electing.go
+++ b/pkg/replicator/electing.go
@@ -6,12 +6,12 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// campaignShare divides the election timeout into the time that a campaign gets
-// before it is tried again.
-const campaignShare = 4
+// campaignTimeoutDivisor divides the election timeout; the result is the minimum time before
+// an unsuccessful campaign is retried.
+const campaignTimeoutDivisor = 4
 
-// follow makes this keeper a follower in term, of leader if it is known.
-func (replicator *Replicator) follow(term identifier.Term, leader identifier.HostID) {
+// becomeFollower makes this keeper a follower in term, of leader if the leader is known.
+func (replicator *Replicator) becomeFollower(term identifier.Term, leader identifier.HostID) {
 	wasLeader := replicator.role == RoleLeader
 	if term > replicator.hard.Term {
 		replicator.hard.Term = term
@@ -23,7 +23,7 @@
 	replicator.incoming = incomingSnapshot{}
 	replicator.setLeader(leader)
 	if wasLeader {
-		replicator.dropLeadership()
+		replicator.failPendingRequests()
 		replicator.resetElectionDeadline()
 	}
 }
@@ -42,7 +42,7 @@
 }
 
 func (replicator *Replicator) resetCampaignDeadline() {
-	timeout := replicator.Settings.ElectionTimeout / campaignShare
+	timeout := replicator.Settings.ElectionTimeout / campaignTimeoutDivisor
 	replicator.electionDeadline = replicator.now.Add(timeout + replicator.randomUpTo(timeout))
 }
 
@@ -50,9 +50,9 @@
 	return time.Duration(replicator.random.Int64N(int64(bound) + 1))
 }
 
-// startPreVote asks whether an election would succeed, without touching the term.
-// A keeper that is cut off asks in vain however long it lasts, so its term does not
-// grow, and on its return it can't unseat the leader by a higher one.
+// startPreVote asks the voters whether an election would succeed, without changing the term.
+// However long a keeper is partitioned, its pre-votes fail and its term does not grow, so on
+// its return it cannot depose the leader with a higher term.
 func (replicator *Replicator) startPreVote() {
 	replicator.setLeader("")
 	replicator.resetCampaignDeadline()
@@ -62,23 +62,23 @@
 	}
 	replicator.role = RolePreCandidate
 	replicator.votes = newVotes()
-	replicator.askForVotes(VoteRequest{CampaignTerm: replicator.hard.Term + 1, PreVote: true})
+	replicator.requestVotes(VoteRequest{CampaignTerm: replicator.hard.Term + 1, PreVote: true})
 }
 
-// startElection raises the term and asks for votes. The requests leave only after
-// the own vote and the log are synced: voters compare this log with theirs, and
-// it must not shrink after they did.
+// startElection raises the term and requests votes. The requests are sent only after the own
+// vote and the log are synced: voters compare this log with theirs, and it must not shrink
+// after they have done so.
 func (replicator *Replicator) startElection(transfer bool) {
-	replicator.follow(replicator.hard.Term+1, "")
+	replicator.becomeFollower(replicator.hard.Term+1, "")
 	replicator.role = RoleCandidate
 	replicator.hard.Vote = replicator.Self
 	replicator.selfVoteSequence = replicator.journal.sequence + 1
 	replicator.resetCampaignDeadline()
 	replicator.votes = newVotes()
-	replicator.askForVotes(VoteRequest{CampaignTerm: replicator.hard.Term, Transfer: transfer})
+	replicator.requestVotes(VoteRequest{CampaignTerm: replicator.hard.Term, Transfer: transfer})
 }
 
-func (replicator *Replicator) askForVotes(request VoteRequest) {
+func (replicator *Replicator) requestVotes(request VoteRequest) {
 	request.LastIndex = replicator.log.lastIndex()
 	request.LastTerm = replicator.log.lastTerm()
 	for _, member := range replicator.Members() {
@@ -89,21 +89,22 @@
 		if request.PreVote {
 			replicator.sendNow(member.Host, message)
 		} else {
-			replicator.sendDurably(member.Host, message)
+			replicator.sendAfterSync(member.Host, message)
 		}
 	}
 }
 
-// inLease tells whether this keeper has promised a leader not to vote yet.
+// inLease reports whether this keeper must still withhold its vote because of a promise to a
+// leader.
 func (replicator *Replicator) inLease() bool {
 	if replicator.role == RoleLeader {
-		return replicator.now.Before(replicator.quorumContactEnds())
+		return replicator.now.Before(replicator.stepDownDeadline())
 	}
-	return replicator.now.Before(replicator.heardLeaderAt.Add(replicator.Settings.ElectionTimeout))
+	return replicator.now.Before(replicator.lastLeaderContactAt.Add(replicator.Settings.ElectionTimeout))
 }
 
-// receiveVoteRequest votes whether or not this keeper or the candidate is a voter
-// by its own members: they may be older than the candidate's.
+// receiveVoteRequest votes even if its own member list has neither this keeper nor the
+// candidate as a voter: that list may be older than the candidate's.
 func (replicator *Replicator) receiveVoteRequest(from identifier.HostID, term identifier.Term, request *VoteRequest) {
 	if replicator.joining.abstains {
 		return
@@ -115,15 +116,15 @@
 		return
 	}
 	if term > replicator.hard.Term {
-		replicator.follow(term, "")
+		replicator.becomeFollower(term, "")
 	}
 	if request.PreVote {
 		granted := request.CampaignTerm > replicator.hard.Term && replicator.logIsCurrent(request)
 		replicator.replyVote(from, request, granted)
 		return
 	}
-	free := replicator.hard.Vote == "" || replicator.hard.Vote == from
-	granted := request.CampaignTerm == replicator.hard.Term && free && replicator.logIsCurrent(request)
+	voteAvailable := replicator.hard.Vote == "" || replicator.hard.Vote == from
+	granted := request.CampaignTerm == replicator.hard.Term && voteAvailable && replicator.logIsCurrent(request)
 	if granted {
 		replicator.hard.Vote = from
 		replicator.resetElectionDeadline()
@@ -131,8 +132,8 @@
 	replicator.replyVote(from, request, granted)
 }
 
-// logIsCurrent tells whether the candidate's log holds at least what this one
-// does, so that nothing committed is missing from it.
+// logIsCurrent reports whether the candidate's log is at least as up to date as this one, so
+// that it lacks no committed entry.
 func (replicator *Replicator) logIsCurrent(request *VoteRequest) bool {
 	if request.LastTerm != replicator.log.lastTerm() {
 		return request.LastTerm > replicator.log.lastTerm()
@@ -142,7 +143,7 @@
 
 func (replicator *Replicator) replyVote(to identifier.HostID, request *VoteRequest, granted bool) {
 	reply := VoteReply{CampaignTerm: request.CampaignTerm, PreVote: request.PreVote, Granted: granted}
-	replicator.sendDurably(to, Message{VoteReply: &reply})
+	replicator.sendAfterSync(to, Message{VoteReply: &reply})
 }
 
 func (replicator *Replicator) receiveVoteReply(from identifier.HostID, reply VoteReply) {
@@ -150,14 +151,14 @@
 	if reply.PreVote {
 		campaign++
 	}
-	asked := reply.PreVote && replicator.role == RolePreCandidate || !reply.PreVote && replicator.role == RoleCandidate
-	if asked && reply.Granted && reply.CampaignTerm == campaign {
+	requested := reply.PreVote && replicator.role == RolePreCandidate || !reply.PreVote && replicator.role == RoleCandidate
+	if requested && reply.Granted && reply.CampaignTerm == campaign {
 		replicator.votes.Put(from, &reply)
 	}
 }
 
-// tallyVotes moves a campaign on once a quorum of the voters has granted it. The
-// own vote counts once it is synced.
+// tallyVotes advances a campaign once a quorum of the voters has granted it. The own vote
+// counts once it is synced.
 func (replicator *Replicator) tallyVotes() {
 	if replicator.role != RolePreCandidate && replicator.role != RoleCandidate {
 		return
@@ -175,7 +176,7 @@
 		replicator.startElection(false)
 		return
 	}
-	replicator.lead()
+	replicator.becomeLeader()
 }
 
 func (replicator *Replicator) hasVoteOf(host identifier.HostID) bool {
--- a/pkg/replicator/errors.go
+++ b/pkg/replicator/errors.go
@@ -2,21 +2,22 @@
 
 import "fmt"
 
-// ErrorKind classifies what went wrong.
+// ErrorKind classifies an Error.
 type ErrorKind int
 
 const (
-	// ErrorInvalidSettings means that Settings contradict themselves.
+	// ErrorInvalidSettings means that Settings are out of bounds or contradict each other.
 	ErrorInvalidSettings ErrorKind = iota
-	// ErrorMalformedMessage means that bytes from a peer or the journal do not decode.
+	// ErrorMalformedMessage means that bytes from a peer or the journal cannot be decoded.
 	ErrorMalformedMessage
-	// ErrorInconsistentJournal means that restored records do not fit together.
+	// ErrorInconsistentJournal means that restored records contradict each other or that the
+	// leader contradicts a committed entry.
 	ErrorInconsistentJournal
-	// ErrorUnusableSnapshot means that the state machine refused a snapshot.
+	// ErrorUnusableSnapshot means that the state machine rejected a snapshot.
 	ErrorUnusableSnapshot
 )
 
-// Error is the only error type of this package.
+// Error is the only error type of this package; Operation names the failed step.
 type Error struct {
 	Operation string
 	Kind      ErrorKind
--- a/pkg/replicator/focused_fuzz_test.go
+++ b/pkg/replicator/focused_fuzz_test.go
@@ -9,11 +9,10 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// TestReadsAreNeverStale aims at the lease. Symptom: a read lacks what was accepted
-// before it began. Sequence: some directed links of the leader are cut, voters
-// restart, the leadership is handed over, all under reads and writes at every
-// keeper with clocks at the ends of the drift bound. Cause, where it happens: a
-// lease that outlives the promises that it rests on.
+// TestReadsAreNeverStale guards against reads that miss an entry accepted before they began.
+// Directed links of the leader are cut, voters restart and the leadership is transferred,
+// under reads and writes at every keeper and with clocks at the limits of the drift bound. A
+// failure means that a lease outlived the voters' promises that it depends on.
 func TestReadsAreNeverStale(t *testing.T) {
 	fixedChecks("100")
 	var total tally
@@ -24,11 +23,11 @@
 		workload := newWorkload(rapid.Uint64().Draw(t, "seed"), hosts, settings)
 		workload.runFor(3 * time.Second)
 		for range rapid.IntRange(1, 6).Draw(t, "rounds") {
-			workload.troubleTheLeader(t)
+			workload.disturbLeader(t)
 			workload.heal()
-			workload.busyFor(time.Duration(rapid.IntRange(0, 1500).Draw(t, "calm")) * time.Millisecond)
+			workload.runUnderLoad(time.Duration(rapid.IntRange(0, 1500).Draw(t, "calm")) * time.Millisecond)
 		}
-		workload.settle()
+		workload.verifyRecovery()
 		if len(workload.oracle.violations) > 0 {
 			t.Fatal(workload.oracle.violations)
 		}
@@ -37,9 +36,9 @@
 	t.Logf("%+v", total)
 }
 
-// troubleTheLeader cuts links of the leader, and may restart keepers and hand the
-// leadership over, under load.
-func (workload *workload) troubleTheLeader(t *rapid.T) {
+// disturbLeader cuts links of the leader and may restart keepers and transfer the leadership,
+// under load.
+func (workload *workload) disturbLeader(t *rapid.T) {
 	leader := workload.leader()
 	if leader == nil {
 		return
@@ -58,22 +57,21 @@
 		workload.jitter = time.Duration(rapid.SampledFrom([]int{0, 1500}).Draw(t, "late")) * time.Millisecond
 	}
 	for range rapid.IntRange(0, 2).Draw(t, "restarts") {
-		workload.busyFor(time.Duration(rapid.IntRange(0, 1200).Draw(t, "before")) * time.Millisecond)
+		workload.runUnderLoad(time.Duration(rapid.IntRange(0, 1200).Draw(t, "before")) * time.Millisecond)
 		keeper := workload.keepers[rapid.IntRange(0, len(workload.keepers)-1).Draw(t, "restarted")]
 		if keeper != leader {
 			workload.crash(keeper)
 			workload.start(keeper)
 		}
 	}
-	workload.busyFor(time.Duration(rapid.IntRange(0, 2500).Draw(t, "trouble")) * time.Millisecond)
+	workload.runUnderLoad(time.Duration(rapid.IntRange(0, 2500).Draw(t, "trouble")) * time.Millisecond)
 	workload.jitter = 0
 }
 
-// TestCrashesBetweenWriteAndSync aims at what leaves a keeper before its disk has
-// it. Symptom: two leaders of one term, or an accepted entry gone. Sequence:
-// keepers crash with unsynced votes and entries and come back without them, while
-// many messages are lost. Cause, where it happens: a vote or an acknowledgement
-// that was sent before it was durable.
+// TestCrashesBetweenWriteAndSync guards against two leaders in one term and lost accepted
+// entries. Keepers crash with unsynced votes and entries and come back without them, while
+// many messages are lost. A failure means that a vote or an acknowledgement was sent before
+// it was durable.
 func TestCrashesBetweenWriteAndSync(t *testing.T) {
 	fixedChecks("500")
 	var total tally
@@ -84,7 +82,7 @@
 		workload.sync = time.Duration(rapid.SampledFrom([]int{4, 50}).Draw(t, "sync")) * time.Millisecond
 		workload.lossShare = rapid.SampledFrom([]int{100, 400, 600}).Draw(t, "loss")
 		workload.crashShare = rapid.SampledFrom([]int{50, 200, 400}).Draw(t, "crashes")
-		workload.absence = time.Duration(rapid.SampledFrom([]int{100, 3000}).Draw(t, "absence")) * time.Millisecond
+		workload.maxDowntime = time.Duration(rapid.SampledFrom([]int{100, 3000}).Draw(t, "absence")) * time.Millisecond
 		for range rapid.IntRange(50, 300).Draw(t, "proposals") {
 			for _, keeper := range workload.keepers {
 				if keeper.alive && keeper.replicator.Role() == RoleLeader {
@@ -93,7 +91,7 @@
 			}
 			workload.runFor(200 * time.Millisecond)
 		}
-		workload.settle()
+		workload.verifyRecovery()
 		if len(workload.oracle.violations) > 0 {
 			t.Fatal(workload.oracle.violations)
 		}
--- a/pkg/replicator/following.go
+++ b/pkg/replicator/following.go
@@ -2,26 +2,26 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// hearLeader notes that from leads the current term and is alive.
-func (replicator *Replicator) hearLeader(from identifier.HostID, stamp Stamp) {
+// recordLeaderContact records that from leads the current term and is alive.
+func (replicator *Replicator) recordLeaderContact(from identifier.HostID, stamp Stamp) {
 	if replicator.role != RoleFollower || replicator.leader != from {
-		replicator.follow(replicator.hard.Term, from)
+		replicator.becomeFollower(replicator.hard.Term, from)
 	}
-	replicator.heardLeaderAt = replicator.now
+	replicator.lastLeaderContactAt = replicator.now
 	replicator.ackStamp = max(replicator.ackStamp, stamp)
 	replicator.resetElectionDeadline()
 }
 
-// receiveAppend makes the log agree with the leader's. Entries are acknowledged
-// once they are synced; a heartbeat at once, since the lease must not hang on a
-// slow disk.
+// receiveAppend makes the log match the leader's. Entries are acknowledged once they are
+// synced; a heartbeat is acknowledged at once, since the lease must not depend on a slow
+// disk.
 func (replicator *Replicator) receiveAppend(from identifier.HostID, message *Append) {
 	if replicator.role == RoleLeader {
 		return
 	}
-	replicator.hearLeader(from, message.Stamp)
+	replicator.recordLeaderContact(from, message.Stamp)
 	previous, entries := replicator.skipCompacted(message)
-	if !replicator.agreesAt(message) {
+	if !replicator.matchesPrevious(message) {
 		replicator.rejectAppend(message)
 		return
 	}
@@ -29,7 +29,7 @@
 		if replicator.log.matches(entry.Index, entry.Term) {
 			continue
 		}
-		replicator.takeEntries(entries[position:])
+		replicator.replaceEntries(entries[position:])
 		break
 	}
 	end := previous + identifier.LogIndex(len(entries))
@@ -40,8 +40,8 @@
 	}
 }
 
-// skipCompacted drops the entries that the own snapshot covers. They are committed,
-// so they are the same here.
+// skipCompacted drops the entries that the own snapshot covers. They are committed, so they
+// equal the leader's.
 func (replicator *Replicator) skipCompacted(message *Append) (identifier.LogIndex, []Entry) {
 	if message.PreviousIndex >= replicator.log.base {
 		return message.PreviousIndex, message.Entries
@@ -53,19 +53,19 @@
 	return replicator.log.base, message.Entries[covered:]
 }
 
-// agreesAt tells whether the log holds the entry before the append's. What the own
-// snapshot covers is committed, so it agrees.
-func (replicator *Replicator) agreesAt(message *Append) bool {
+// matchesPrevious reports whether the log holds the entry before the append's. An entry that
+// the own snapshot covers is committed, so it matches.
+func (replicator *Replicator) matchesPrevious(message *Append) bool {
 	if message.PreviousIndex < replicator.log.base {
 		return true
 	}
 	return replicator.log.matches(message.PreviousIndex, message.PreviousTerm)
 }
 
-// takeEntries replaces the log from the first of the entries on. A leader that
-// contradicts a committed entry shows that a keeper has lost what it had synced;
-// stopping keeps the accepted one.
-func (replicator *Replicator) takeEntries(entries []Entry) {
+// replaceEntries replaces the log from the first of the entries on. A leader that contradicts
+// a committed entry shows that a keeper has lost data that it had synced; halting preserves
+// the accepted entry.
+func (replicator *Replicator) replaceEntries(entries []Entry) {
 	first := entries[0].Index
 	if first <= replicator.hard.Commit {
 		replicator.halt(inconsistentJournal("the leader contradicts a committed entry"))
@@ -75,19 +75,18 @@
 		replicator.log.truncateFrom(first)
 		if replicator.memberships.lastIndex() >= first {
 			replicator.memberships.truncateFrom(first)
-			replicator.membershipMoved()
+			replicator.membershipUpdated()
 		}
 	}
-	replicator.journal.touched(first)
+	replicator.journal.markDirty(first)
 	replicator.log.append(entries...)
 	for _, entry := range entries {
 		replicator.recordMembership(entry)
 	}
 }
 
-// rejectAppend tells the leader where to look for agreement: past the whole run of
-// entries of a term that differs, so that it needs one round trip for each term
-// and not for each entry.
+// rejectAppend sends the leader a hint where the logs may match: before all entries of the
+// conflicting term, so that the leader needs one round trip per term and not per entry.
 func (replicator *Replicator) rejectAppend(message *Append) {
 	hint := replicator.log.lastIndex()
 	if message.PreviousIndex <= hint {
@@ -98,7 +97,7 @@
 	replicator.sendNow(replicator.leader, Message{AppendReply: &reply})
 }
 
-// durableMatch is what this keeper vouches for: equal to the leader's log and
+// durableMatch returns the last index up to which the log is both equal to the leader's and
 // synced.
 func (replicator *Replicator) durableMatch() identifier.LogIndex {
 	return min(replicator.verified, replicator.journal.durableIndex)
--- a/pkg/replicator/fuzz_test.go
+++ b/pkg/replicator/fuzz_test.go
@@ -14,13 +14,13 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// long lifts the fixed seed and the fixed number of checks, so that -rapid.checks
-// and -rapid.seed decide.
+// long disables the fixed seed and the fixed number of checks, so that -rapid.checks and
+// -rapid.seed apply.
 var long = flag.Bool("long", false, "fuzz with random seeds, as many checks as -rapid.checks says")
 
-// porcupineBudget bounds the search on one history. Many writes of unknown outcome
-// make it wide; such a history counts as undecided, and the oracle's own checks of
-// the run still hold.
+// porcupineBudget limits the linearizability search on one history. Many writes of unknown
+// outcome make the search wide; a history that exceeds it counts as undecided, and the
+// oracle's own checks of the run still apply.
 const porcupineBudget = 100 * time.Millisecond
 
 func TestMain(m *testing.M) {
@@ -32,7 +32,7 @@
 	os.Exit(m.Run())
 }
 
-// fixedChecks sets how many runs a test makes in CI.
+// fixedChecks sets the number of runs of a test in CI.
 func fixedChecks(count string) {
 	if !*long {
 		mustSet("rapid.checks", count)
@@ -45,7 +45,7 @@
 	}
 }
 
-// workload drives a simulation and records what its clients saw.
+// workload drives a simulation and records what its clients observed.
 type workload struct {
 	*simulation
 	handle     Handle
@@ -65,8 +65,8 @@
 	unknown bool
 }
 
-// registerModel is a register with a swap that returns the value before it. An
-// operation of unknown outcome may take effect at any time after its start.
+// registerModel is a register with a swap that returns the previous value. An operation of
+// unknown outcome may take effect at any time after its start.
 var registerModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -116,27 +116,28 @@
 
 func (workload *workload) read(keeper *keeper) {
 	handle := workload.begin(registerInput{})
-	workload.oracle.readRequested(handle)
+	workload.oracle.recordReadRequest(handle)
 	workload.input(keeper, ReadRequested{Handle: handle})
 }
 
-// readEverywhere also reaches leaders that were replaced and do not know it.
+// readEverywhere reads at every keeper, which includes leaders that were replaced without
+// noticing.
 func (workload *workload) readEverywhere() {
 	for _, keeper := range workload.keepers {
 		workload.read(keeper)
 	}
 }
 
-// busyFor lets every keeper be asked for reads, and every leader for writes, all
-// the time. These reads are held against the oracle alone.
-func (workload *workload) busyFor(duration time.Duration) {
+// runUnderLoad continually sends reads to every keeper and writes to every leader. These
+// reads are checked by the oracle alone.
+func (workload *workload) runUnderLoad(duration time.Duration) {
 	for until := workload.now + duration; workload.now < until; workload.runFor(7 * time.Millisecond) {
 		for _, keeper := range workload.keepers {
 			if keeper.alive && keeper.replicator.Role() == RoleLeader {
 				workload.propose(keeper, 1)
 			}
 			workload.handle++
-			workload.oracle.readRequested(workload.handle)
+			workload.oracle.recordReadRequest(workload.handle)
 			workload.input(keeper, ReadRequested{Handle: workload.handle})
 		}
 	}
@@ -148,7 +149,7 @@
 	case operation == nil || outcome.Kind == OutcomeUnknown:
 		return
 	case outcome.Kind != OutcomeAccepted:
-		// A refusal claims that nothing was appended: then it is no operation at all.
+		// A refusal guarantees that nothing was appended, so it is not an operation at all.
 		delete(workload.operations, outcome.Handle)
 	default:
 		operation.Return = int64(workload.now)
@@ -169,9 +170,8 @@
 	operation.Output = registerOutput{value: keeper.register.value}
 }
 
-// history returns the operations that matter. Reads that never ended do not, nor
-// do writes of unknown outcome that are not in the log at the end: they never took
-// effect.
+// history returns the relevant operations. Reads that never ended are excluded, and so are
+// writes of unknown outcome that are not in the log at the end: they never took effect.
 func (workload *workload) history() []porcupine.Operation {
 	tookEffect := make(map[uint64]bool)
 	for _, entry := range workload.oracle.committed {
@@ -194,14 +194,14 @@
 	return history
 }
 
-// settle ends all faults, waits until something new is accepted, and checks that
-// everybody ends with all of it.
-func (workload *workload) settle() {
+// verifyRecovery ends all faults, waits until a new proposal is accepted, and checks that
+// every keeper ends with all accepted entries.
+func (workload *workload) verifyRecovery() {
 	workload.heal()
 	workload.lossShare, workload.dupShare, workload.jitter, workload.crashShare = 0, 0, 0, 0
 	workload.sync = 4 * time.Millisecond
 	for _, keeper := range workload.keepers {
-		if keeper.alive && keeper.stopped {
+		if keeper.alive && keeper.paused {
 			workload.resume(keeper)
 		}
 		if !keeper.alive {
@@ -211,15 +211,15 @@
 	workload.runFor(10 * time.Second)
 	leader := workload.leader()
 	if leader == nil {
-		workload.oracle.violate("no leader 10 s after all faults ended")
+		workload.oracle.addViolation("no leader 10 s after all faults ended")
 		return
 	}
 	last := workload.propose(leader, 1)
 	workload.runFor(2 * time.Second)
 	if workload.oracle.acceptedAt[last] == 0 {
-		workload.oracle.violate("nothing accepted after all faults ended")
+		workload.oracle.addViolation("nothing accepted after all faults ended")
 	}
-	workload.oracle.settled(workload.keepers, leader.replicator.Members())
+	workload.oracle.checkConverged(workload.keepers, leader.replicator.Members())
 }
 
 func fuzzSettings(t *rapid.T) Settings {
@@ -233,7 +233,7 @@
 	return settings
 }
 
-// actions are the steps of the stateful fuzz. Each is followed by a drawn pause.
+// actions are the steps of the stateful fuzz test. Each is followed by a drawn pause.
 func (workload *workload) actions(t *rapid.T) map[string]func(*rapid.T) {
 	anyKeeper := func(t *rapid.T) *keeper {
 		return workload.keepers[rapid.IntRange(0, len(workload.keepers)-1).Draw(t, "keeper")]
@@ -261,7 +261,7 @@
 			short := time.Duration(rapid.IntRange(0, 20).Draw(t, "milliseconds")) * time.Millisecond
 			long := time.Duration(rapid.SampledFrom([]int{0, 0, 0, 1, 2, 5, 30}).Draw(t, "tenths")) * 100 * time.Millisecond
 			if rapid.IntRange(0, 3).Draw(t, "busy") == 0 {
-				workload.busyFor(short + long)
+				workload.runUnderLoad(short + long)
 			}
 			workload.runFor(short + long)
 			if len(workload.oracle.violations) > 0 {
@@ -280,10 +280,10 @@
 		},
 		"restart":       restart,
 		"restart again": restart,
-		"stop":          func(t *rapid.T) { leaderOrAny(t).stopped = true },
+		"stop":          func(t *rapid.T) { leaderOrAny(t).paused = true },
 		"continue": func(t *rapid.T) {
 			for _, keeper := range workload.keepers {
-				if keeper.alive && keeper.stopped {
+				if keeper.alive && keeper.paused {
 					workload.resume(keeper)
 				}
 			}
@@ -320,8 +320,8 @@
 	}
 }
 
-// TestAgreementUnderFaults mixes every fault with work. The oracle checks each
-// output; porcupine checks that what the clients saw is linearizable.
+// TestAgreementUnderFaults mixes all kinds of faults with work. The oracle checks each
+// output; porcupine checks that what the clients observed is linearizable.
 func TestAgreementUnderFaults(t *testing.T) {
 	fixedChecks("60")
 	var total tally
@@ -330,7 +330,7 @@
 		workload := newWorkload(rapid.Uint64().Draw(t, "seed"), hosts, fuzzSettings(t))
 		workload.runFor(3 * time.Second)
 		t.Repeat(workload.actions(t))
-		workload.settle()
+		workload.verifyRecovery()
 		if len(workload.oracle.violations) > 0 {
 			t.Fatal(workload.oracle.violations)
 		}
@@ -345,7 +345,7 @@
 	t.Logf("%+v", total)
 }
 
-// tally says how much a fuzz run has brought about.
+// tally counts what the runs of a fuzz test covered.
 type tally struct {
 	runs, ticks, leaderships, accepted, reads, installed, memberships, undecided int
 }
--- a/pkg/replicator/leading.go
+++ b/pkg/replicator/leading.go
@@ -9,38 +9,39 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// neverHeard is the stamp of a peer that has not answered in this term.
-const neverHeard identifier.Moment = math.MinInt64 / 2
+// neverResponded is the stamp of a peer that has not responded in this term.
+const neverResponded identifier.Moment = math.MinInt64 / 2
 
-// leadership is what a leader keeps beside its peers.
+// leadership is the state of a leader apart from its peers.
 type leadership struct {
 	since        identifier.Moment
 	firstIndex   identifier.LogIndex
 	heartbeatDue identifier.Moment
-	// roundWanted asks for a message to every peer in this tick.
-	roundWanted bool
-	// leaseGivenUp holds for the rest of the term once a transfer was tried: the
-	// other keeper may campaign at any later time without waiting for the lease.
+	// roundRequested makes this tick send a message to every peer.
+	roundRequested bool
+	// leaseGivenUp is set for the rest of the term once the target of a transfer was asked to
+	// campaign: the target may campaign at any later time without waiting for the lease.
 	leaseGivenUp     bool
 	transferTo       identifier.HostID
 	transferSent     bool
 	transferDeadline identifier.Moment
 }
 
-// peer is what a leader knows of another member.
+// peer is a leader's view of another member.
 type peer struct {
 	// match is the last index that the peer holds on its disk.
 	match identifier.LogIndex
-	// next is the index to be sent next.
+	// next is the next index to send.
 	next identifier.LogIndex
-	// windowStart is where next last jumped to; what lies before it was not sent.
+	// windowStart is where next was last reset to; entries before it were not sent since, so
+	// they do not count as in flight.
 	windowStart identifier.LogIndex
-	// stamp is when the newest message was sent that the peer has answered.
+	// stamp is the send time of the newest message that the peer has answered.
 	stamp identifier.Moment
-	// resetAt is when next was last moved back; rejections of what was sent before
-	// say nothing new.
+	// resetAt is when next was last moved back; rejections of messages sent before then are
+	// outdated.
 	resetAt identifier.Moment
-	// transfer is the snapshot under way, or nil.
+	// transfer is the snapshot in transfer to the peer, or nil.
 	transfer *outgoingSnapshot
 }
 
@@ -50,12 +51,12 @@
 
 func (replicator *Replicator) newPeer() *peer {
 	next := replicator.log.lastIndex() + 1
-	return &peer{next: next, windowStart: next, stamp: neverHeard, resetAt: neverHeard}
+	return &peer{next: next, windowStart: next, stamp: neverResponded, resetAt: neverResponded}
 }
 
-// lead starts the leadership with an entry of the new term: only once that is
-// committed does the leader know what else is.
-func (replicator *Replicator) lead() {
+// becomeLeader starts the leadership with an entry of the new term: the leader knows which
+// earlier entries are committed only once that one is.
+func (replicator *Replicator) becomeLeader() {
 	replicator.role = RoleLeader
 	replicator.leadership = leadership{
 		since:            replicator.now,
@@ -64,14 +65,14 @@
 		firstIndex:       replicator.log.lastIndex() + 1,
 	}
 	replicator.peers = tabulator.New[identifier.HostID, peer]()
-	replicator.alignPeers()
+	replicator.reconcilePeers()
 	replicator.setLeader(replicator.Self)
-	replicator.appendOwn(EntryNoOp, nil)
+	replicator.appendAsLeader(EntryNoOp, nil)
 }
 
-// dropLeadership reports what had been taken and not committed as unknown: the
-// next leader may hold it or not.
-func (replicator *Replicator) dropLeadership() {
+// failPendingRequests reports proposals that were appended and not committed as unknown,
+// since the next leader may or may not hold them, and refuses pending reads.
+func (replicator *Replicator) failPendingRequests() {
 	for _, index := range replicator.pending.Keys() {
 		proposal := replicator.pending.Get(index)
 		replicator.emit(ProposalOutcome{Handle: proposal.handle, Kind: OutcomeUnknown, LeaderHint: replicator.leader})
@@ -83,16 +84,16 @@
 	replicator.reads = nil
 }
 
-// appendOwn appends an entry of the leader's term and returns its index.
-func (replicator *Replicator) appendOwn(kind EntryKind, data []byte) identifier.LogIndex {
+// appendAsLeader appends an entry of the leader's term and returns its index.
+func (replicator *Replicator) appendAsLeader(kind EntryKind, data []byte) identifier.LogIndex {
 	entry := Entry{Index: replicator.log.lastIndex() + 1, Term: replicator.hard.Term, Kind: kind, Data: data}
-	replicator.journal.touched(entry.Index)
+	replicator.journal.markDirty(entry.Index)
 	replicator.log.append(entry)
 	replicator.recordMembership(entry)
 	return entry.Index
 }
 
-// quorumStamp is the newest moment such that a quorum of the voters has answered a
+// quorumStamp returns the latest moment such that a quorum of the voters has answered a
 // message sent at or after it.
 func (replicator *Replicator) quorumStamp() identifier.Moment {
 	var stamps []identifier.Moment
@@ -120,13 +121,13 @@
 	return values[len(values)-n]
 }
 
-// quorumContactEnds is when the leader must step down unless a quorum answers.
-func (replicator *Replicator) quorumContactEnds() identifier.Moment {
-	heard := max(replicator.leadership.since, replicator.quorumStamp())
-	return heard.Add(replicator.Settings.ElectionTimeout)
+// stepDownDeadline returns when the leader must step down unless a quorum responds before.
+func (replicator *Replicator) stepDownDeadline() identifier.Moment {
+	lastQuorumContact := max(replicator.leadership.since, replicator.quorumStamp())
+	return lastQuorumContact.Add(replicator.Settings.ElectionTimeout)
 }
 
-// holdsLease tells whether no other leader can have been elected yet.
+// holdsLease reports whether it is certain that no other leader has been elected yet.
 func (replicator *Replicator) holdsLease() bool {
 	if replicator.leadership.leaseGivenUp {
 		return false
@@ -134,27 +135,27 @@
 	return replicator.now.Before(replicator.quorumStamp().Add(replicator.Settings.leaseDuration()))
 }
 
-// expireLeadership steps down without a quorum, gives up a transfer that takes too
-// long and sends heartbeats.
+// expireLeadership steps down if no quorum responds, abandons a transfer that takes too long
+// and schedules heartbeats.
 func (replicator *Replicator) expireLeadership() {
-	if replicator.quorumContactEnds().Due(replicator.now) {
-		replicator.follow(replicator.hard.Term, "")
+	if replicator.stepDownDeadline().Due(replicator.now) {
+		replicator.becomeFollower(replicator.hard.Term, "")
 		return
 	}
 	replicator.expireTransfer()
 	if replicator.leadership.heartbeatDue.Due(replicator.now) {
-		replicator.leadership.roundWanted = true
+		replicator.leadership.roundRequested = true
 	}
 }
 
-// committedInTerm tells whether an entry of the leader's own term is committed.
+// committedInTerm reports whether an entry of the leader's own term is committed.
 func (replicator *Replicator) committedInTerm() bool {
 	return replicator.hard.Commit >= replicator.leadership.firstIndex
 }
 
-// advanceCommit commits what a quorum of the voters holds on disk. Entries of
-// earlier terms are committed only along with one of the own: a quorum that holds
-// an older one can still be overruled by a leader that lacks it.
+// advanceCommit commits the entries that enough voters hold on disk. Entries of earlier terms
+// are committed only together with one of the own term: an older entry that a quorum holds
+// can still be overwritten by a leader that lacks it.
 func (replicator *Replicator) advanceCommit() {
 	if replicator.role != RoleLeader {
 		return
@@ -170,14 +171,14 @@
 		}
 		matches = append(matches, replicator.peers.Get(member.Host).match)
 	}
-	agreed := nthLargest(matches, replicator.copiesWanted())
+	agreed := nthLargest(matches, replicator.requiredCopies())
 	if agreed > replicator.hard.Commit && replicator.log.matches(agreed, replicator.hard.Term) {
 		replicator.hard.Commit = agreed
 	}
 }
 
 func (replicator *Replicator) receiveAppendReply(from identifier.HostID, reply *AppendReply) {
-	peer := replicator.answeringPeer(from, reply.Stamp)
+	peer := replicator.respondingPeer(from, reply.Stamp)
 	if peer == nil || reply.Match > replicator.log.lastIndex() {
 		return
 	}
@@ -187,13 +188,13 @@
 		peer.transfer = nil
 	}
 	if reply.Rejected && !identifier.Moment(reply.Stamp).Before(peer.resetAt) {
-		peer.sendAgainFrom(max(peer.match+1, min(peer.next, reply.Hint+1)), replicator.now)
+		peer.resendFrom(max(peer.match+1, min(peer.next, reply.Hint+1)), replicator.now)
 	}
 }
 
-// answeringPeer returns the peer that answered a message of this leader's term,
-// with its stamp noted, or nil.
-func (replicator *Replicator) answeringPeer(from identifier.HostID, stamp Stamp) *peer {
+// respondingPeer records the stamp of a response and returns the peer that sent it, or nil if
+// this keeper does not lead or from is not a peer.
+func (replicator *Replicator) respondingPeer(from identifier.HostID, stamp Stamp) *peer {
 	if replicator.role != RoleLeader {
 		return nil
 	}
@@ -204,23 +205,24 @@
 	return peer
 }
 
-// peerReachable tries a peer at once that may have missed much.
-func (replicator *Replicator) peerReachable(host identifier.HostID) {
+// handlePeerReachable sends a heartbeat at once, since the peer may have missed many
+// messages.
+func (replicator *Replicator) handlePeerReachable(host identifier.HostID) {
 	if replicator.role == RoleLeader && replicator.peers.Get(host) != nil {
 		replicator.sendHeartbeat(host, replicator.peers.Get(host))
 	}
 }
 
-// peerUnreachable goes back to what the peer has confirmed.
-func (replicator *Replicator) peerUnreachable(host identifier.HostID) {
+// handlePeerUnreachable resumes sending after the last index that the peer has acknowledged.
+func (replicator *Replicator) handlePeerUnreachable(host identifier.HostID) {
 	if replicator.role != RoleLeader || replicator.peers.Get(host) == nil {
 		return
 	}
 	peer := replicator.peers.Get(host)
-	peer.sendAgainFrom(peer.match+1, replicator.now)
+	peer.resendFrom(peer.match+1, replicator.now)
 }
 
-func (peer *peer) sendAgainFrom(index identifier.LogIndex, now identifier.Moment) {
+func (peer *peer) resendFrom(index identifier.LogIndex, now identifier.Moment) {
 	peer.next = index
 	peer.windowStart = index
 	peer.resetAt = now
--- a/pkg/replicator/log.go
+++ b/pkg/replicator/log.go
@@ -2,8 +2,8 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// memoryLog holds the entries after base. The entry at base itself is covered by a
-// snapshot; only its term is kept, for the consistency check of appends.
+// memoryLog holds the entries after base. The entry at base itself is covered by a snapshot;
+// only its term is kept, for the consistency check of appends.
 type memoryLog struct {
 	base     identifier.LogIndex
 	baseTerm identifier.Term
@@ -19,7 +19,7 @@
 	return term
 }
 
-// term returns the term of the entry at index; false if the log does not know it.
+// term returns the term of the entry at index, or false if the log does not hold that term.
 func (log *memoryLog) term(index identifier.LogIndex) (identifier.Term, bool) {
 	if index == log.base {
 		return log.baseTerm, true
@@ -35,13 +35,13 @@
 	return known && held == term
 }
 
-// at returns the entry at index, which must lie in the log.
+// at returns the entry at index, which must be in the log.
 func (log *memoryLog) at(index identifier.LogIndex) Entry {
 	return log.entries[index-log.base-1]
 }
 
-// from returns all entries from index on. The slice is capped, so that a later
-// append never writes into what was handed out.
+// from returns all entries from index on. The slice's capacity is limited, so that a later
+// append never writes into a slice that was returned.
 func (log *memoryLog) from(index identifier.LogIndex) []Entry {
 	if index > log.lastIndex() {
 		return nil
@@ -54,14 +54,14 @@
 	log.entries = append(log.entries, entries...)
 }
 
-// truncateFrom removes the entries from index on. It copies what stays, since
-// slices of the removed entries may have been handed out.
+// truncateFrom removes the entries from index on. It copies the remaining ones, since slices
+// of the removed entries may still be in use.
 func (log *memoryLog) truncateFrom(index identifier.LogIndex) {
 	kept := log.entries[:index-log.base-1]
 	log.entries = append([]Entry(nil), kept...)
 }
 
-// compactTo forgets the entries up to and including index.
+// compactTo drops the entries up to and including index.
 func (log *memoryLog) compactTo(index identifier.LogIndex) {
 	if index <= log.base {
 		return
@@ -75,13 +75,13 @@
 	log.baseTerm = term
 }
 
-// reset empties the log, so that it goes on after a snapshot.
+// reset empties the log, so that it continues after a snapshot.
 func (log *memoryLog) reset(index identifier.LogIndex, term identifier.Term) {
 	*log = memoryLog{base: index, baseTerm: term}
 }
 
-// lastIndexBelowTermAt returns the last index before the run of entries that have
-// the same term as the one at index, which must be known.
+// lastIndexBelowTermAt returns the last index before the consecutive entries that have the
+// same term as the one at index, whose term must be known.
 func (log *memoryLog) lastIndexBelowTermAt(index identifier.LogIndex) identifier.LogIndex {
 	conflicting, _ := log.term(index)
 	for index > log.base {
--- a/pkg/replicator/measure_test.go
+++ b/pkg/replicator/measure_test.go
@@ -8,23 +8,23 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// TestFailoverStaysUnderTwoSeconds measures, in virtual time, from the loss of the
-// leader to the next accepted write, at 1 ms one way and 4 ms a sync.
+// TestFailoverStaysUnderTwoSeconds measures, in virtual time, from the loss of the leader to
+// the next accepted write, at 1 ms one-way delay and 4 ms per sync.
 func TestFailoverStaysUnderTwoSeconds(t *testing.T) {
 	var gaps []time.Duration
 	for seed := range uint64(500) {
 		workload := newWorkload(seed, 3, DefaultSettings())
 		workload.runFor(3*time.Second + time.Duration(seed)*time.Millisecond)
 		workload.crash(workload.leader())
-		lost := workload.now
+		lostAt := workload.now
 		accepted := workload.oracle.accepted
-		for workload.oracle.accepted == accepted && workload.now < lost+10*time.Second {
+		for workload.oracle.accepted == accepted && workload.now < lostAt+10*time.Second {
 			workload.runFor(time.Millisecond)
 			if leader := workload.leader(); leader != nil {
 				workload.propose(leader, 1)
 			}
 		}
-		gaps = append(gaps, workload.now-lost)
+		gaps = append(gaps, workload.now-lostAt)
 	}
 	slices.Sort(gaps)
 	count := len(gaps)
@@ -34,10 +34,10 @@
 	}
 }
 
-// TestIdleBytes measures what idle keepers send, without the transport's framing.
+// TestIdleBytes measures the bytes that idle keepers send, without the transport's framing.
 func TestIdleBytes(t *testing.T) {
 	const period = 60 * time.Second
-	const budget = 1000 // bytes a second of the busiest keeper; a daemon has 9,000 in all
+	const budget = 1000 // bytes per second of the busiest keeper; the whole daemon has 9,000
 	for _, hosts := range []int{3, 5, 12} {
 		workload := newWorkload(1, hosts, DefaultSettings())
 		workload.runFor(5 * time.Second)
@@ -61,29 +61,29 @@
 	}
 }
 
-// TestCommitTakesOneSyncAndOneRoundTrip checks that the syncs of the leader and the
-// others overlap, and that the proposals of one tick share them.
+// TestCommitTakesOneSyncAndOneRoundTrip checks that the leader's sync overlaps with those of
+// the other keepers and that the proposals of one tick share them.
 func TestCommitTakesOneSyncAndOneRoundTrip(t *testing.T) {
 	workload := newWorkload(1, 3, DefaultSettings())
 	workload.runFor(5 * time.Second)
-	begun := workload.now
-	ended := instant(0)
+	startedAt := workload.now
+	endedAt := instant(0)
 	accepted := 0
 	workload.onOutcome = func(_ *keeper, outcome ProposalOutcome) {
 		if outcome.Kind == OutcomeAccepted {
 			accepted++
-			ended = workload.now
+			endedAt = workload.now
 		}
 	}
 	workload.propose(workload.leader(), 100)
 	workload.runFor(time.Second)
-	if accepted != 100 || ended-begun != 6*time.Millisecond {
-		t.Errorf("%d of 100 accepted after %v, want all after 6ms", accepted, ended-begun)
+	if accepted != 100 || endedAt-startedAt != 6*time.Millisecond {
+		t.Errorf("%d of 100 accepted after %v, want all after 6ms", accepted, endedAt-startedAt)
 	}
 }
 
-// BenchmarkProposals measures the processor time of a proposal over all three
-// keepers, in batches of 64, without codec, disk or network.
+// BenchmarkProposals measures the CPU time of a proposal over all three keepers, in batches
+// of 64, without codec, disk or network.
 func BenchmarkProposals(b *testing.B) {
 	members := []Member{{Host: "k0"}, {Host: "k1"}, {Host: "k2"}}
 	keepers := make(map[identifier.HostID]*Replicator)
--- a/pkg/replicator/membership.go
+++ b/pkg/replicator/membership.go
@@ -6,9 +6,9 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// membershipHistory holds the members as of the log's base and each later change.
-// A change counts from the moment that it stands in the log, committed or not; if
-// its entry is removed again, the one before it counts.
+// membershipHistory holds the members as of the log's base and each later change. A change
+// takes effect when it is appended, committed or not; if its entry is removed again, the
+// previous one takes effect again.
 type membershipHistory []membershipChange
 
 type membershipChange struct {
@@ -30,7 +30,7 @@
 	return history[len(history)-1].index
 }
 
-// at returns the members that counted at index.
+// at returns the members in effect at index.
 func (history membershipHistory) at(index identifier.LogIndex) []Member {
 	var members []Member
 	for _, change := range history {
@@ -82,20 +82,20 @@
 	return voters
 }
 
-// quorumSize is the smallest majority of the voters.
+// quorumSize returns the smallest majority of the voters.
 func quorumSize(members []Member) int { return countVoters(members)/2 + 1 }
 
-// copiesWanted is how many voters must hold an entry before it is committed. While the
-// voters are still few, a majority of them may be no more than the disks that can be
-// lost at once.
-func (replicator *Replicator) copiesWanted() int {
+// requiredCopies returns how many voters must hold an entry before it is committed. While
+// there are few voters, a majority of them may be no more than the disks that can be lost at
+// once.
+func (replicator *Replicator) requiredCopies() int {
 	members := replicator.Members()
 	return max(quorumSize(members), min(replicator.Settings.MinCopies, countVoters(members)))
 }
 
-// changedMembers returns the members after a change; false if the change makes no
-// sense for them.
-func changedMembers(members []Member, kind ChangeKind, host identifier.HostID) ([]Member, bool) {
+// membersAfterChange returns the members after a change, or false if the change does not
+// apply to them.
+func membersAfterChange(members []Member, kind ChangeKind, host identifier.HostID) ([]Member, bool) {
 	member, found := findMember(members, host)
 	switch kind {
 	case ChangeAddLearner:
@@ -120,17 +120,17 @@
 	return nil, false
 }
 
-// proposeMembershipChange appends one change. Changes go one at a time and only
-// after an entry of the leader's own term is committed: without this, two leaders
-// could count quorums that do not overlap.
+// proposeMembershipChange appends one change. Changes are made one at a time and only after
+// an entry of the leader's own term is committed: otherwise two leaders could count quorums
+// that do not overlap.
 func (replicator *Replicator) proposeMembershipChange(proposal MembershipChangeProposed) {
-	refusal, refused := replicator.refusalNow()
+	refusal, refused := replicator.refusalReason()
 	if refused {
 		replicator.refuseProposal(proposal.Handle, refusal)
 		return
 	}
-	changed, sensible := changedMembers(replicator.Members(), proposal.Kind, proposal.Host)
-	if !sensible || proposal.Kind == ChangeRemove && proposal.Host == replicator.Self {
+	changed, applicable := membersAfterChange(replicator.Members(), proposal.Kind, proposal.Host)
+	if !applicable || proposal.Kind == ChangeRemove && proposal.Host == replicator.Self {
 		replicator.refuseProposal(proposal.Handle, OutcomeNoSuchChange)
 		return
 	}
@@ -142,7 +142,7 @@
 		replicator.refuseProposal(proposal.Handle, OutcomeNotCaughtUp)
 		return
 	}
-	if proposal.Kind != ChangeAddLearner && replicator.votersInTouch(changed) < quorumSize(changed) {
+	if proposal.Kind != ChangeAddLearner && replicator.countRespondingVoters(changed) < quorumSize(changed) {
 		replicator.refuseProposal(proposal.Handle, OutcomeQuorumAtRisk)
 		return
 	}
@@ -151,39 +151,40 @@
 		replicator.refuseProposal(proposal.Handle, OutcomeNoSuchChange)
 		return
 	}
-	index := replicator.appendOwn(EntryMembership, data)
+	index := replicator.appendAsLeader(EntryMembership, data)
 	replicator.pending.Put(index, &pendingProposal{handle: proposal.Handle})
 }
 
-// learnerCaughtUp tells whether a learner lately acknowledged, from its disk, all
-// that is committed. Promoting it earlier would let it count for quorums that need
-// it before it holds what was accepted, so that the loss of one more keeper would
-// stop the log until it has caught up.
+// learnerCaughtUp reports whether a learner that responded recently holds all committed
+// entries on its disk. A learner promoted earlier would count for quorums before it holds
+// what was accepted, so that the loss of one more keeper would block the log until it has
+// caught up.
 func (replicator *Replicator) learnerCaughtUp(host identifier.HostID) bool {
 	peer := replicator.peers.Get(host)
-	return peer != nil && peer.match >= replicator.hard.Commit && replicator.inTouch(peer)
+	return peer != nil && peer.match >= replicator.hard.Commit && replicator.respondedRecently(peer)
 }
 
-func (replicator *Replicator) inTouch(peer *peer) bool {
+func (replicator *Replicator) respondedRecently(peer *peer) bool {
 	return replicator.now.Before(peer.stamp.Add(replicator.Settings.ElectionTimeout))
 }
 
-// votersInTouch counts the voters among members that this leader has heard lately.
-func (replicator *Replicator) votersInTouch(members []Member) int {
+// countRespondingVoters counts the voters among members that have responded to this leader
+// recently.
+func (replicator *Replicator) countRespondingVoters(members []Member) int {
 	count := 0
 	for _, member := range members {
 		if member.Role != MemberVoter {
 			continue
 		}
 		peer := replicator.peers.Get(member.Host)
-		if member.Host == replicator.Self || peer != nil && replicator.inTouch(peer) {
+		if member.Host == replicator.Self || peer != nil && replicator.respondedRecently(peer) {
 			count++
 		}
 	}
 	return count
 }
 
-// recordMembership makes the members of an entry count.
+// recordMembership puts the members of a membership entry into effect.
 func (replicator *Replicator) recordMembership(entry Entry) {
 	if entry.Kind != EntryMembership {
 		return
@@ -194,19 +195,19 @@
 		return
 	}
 	replicator.memberships = append(replicator.memberships, membershipChange{entry.Index, members})
-	replicator.noteJoined(members)
-	replicator.membershipMoved()
+	replicator.updateJoining(members)
+	replicator.membershipUpdated()
 }
 
-func (replicator *Replicator) membershipMoved() {
+func (replicator *Replicator) membershipUpdated() {
 	replicator.emit(MembershipChanged{Members: slices.Clone(replicator.Members())})
 	if replicator.role == RoleLeader {
-		replicator.alignPeers()
+		replicator.reconcilePeers()
 	}
 }
 
-// alignPeers makes the table of peers hold exactly the other members.
-func (replicator *Replicator) alignPeers() {
+// reconcilePeers makes the table of peers hold exactly the other members.
+func (replicator *Replicator) reconcilePeers() {
 	members := replicator.Members()
 	for _, host := range replicator.peers.Keys() {
 		if _, found := findMember(members, host); !found {
--- a/pkg/replicator/messages.go
+++ b/pkg/replicator/messages.go
@@ -6,13 +6,11 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Stamp is a leader's own monotonic reading that travels in its messages and comes
-// back in the replies. Only the leader that wrote it reads it; for others it is
-// opaque.
+// Stamp is a leader's own monotonic clock reading, which its messages carry and the replies
+// return. Only the leader that wrote it interprets it; for others it is opaque.
 type Stamp int64
 
-// Message is what keepers send to one another: the sender's term and exactly one
-// of the bodies.
+// Message is what keepers send each other: the sender's term and exactly one body.
 type Message struct {
 	Term          identifier.Term `cbor:"1,keyasint,omitempty"`
 	VoteRequest   *VoteRequest    `cbor:"2,keyasint,omitempty"`
@@ -24,14 +22,14 @@
 	CampaignNow   *CampaignNow    `cbor:"8,keyasint,omitempty"`
 }
 
-// VoteRequest asks for a vote, or with PreVote whether one would be granted.
+// VoteRequest requests a vote, or with PreVote asks whether one would be granted.
 type VoteRequest struct {
 	CampaignTerm identifier.Term     `cbor:"1,keyasint,omitempty"`
 	LastIndex    identifier.LogIndex `cbor:"2,keyasint,omitempty"`
 	LastTerm     identifier.Term     `cbor:"3,keyasint,omitempty"`
 	PreVote      bool                `cbor:"4,keyasint,omitempty"`
-	// Transfer says that the leader itself asked for this election and has given up
-	// its lease, so that voters need not wait for the lease to run out.
+	// Transfer is set if the leader itself requested this election and has given up its lease,
+	// so that voters need not wait for the lease to expire.
 	Transfer bool `cbor:"5,keyasint,omitempty"`
 }
 
@@ -42,8 +40,7 @@
 	Granted      bool            `cbor:"3,keyasint,omitempty"`
 }
 
-// Append carries entries that follow PreviousIndex; without entries it is a
-// heartbeat.
+// Append carries the entries that follow PreviousIndex; without entries it is a heartbeat.
 type Append struct {
 	PreviousIndex identifier.LogIndex `cbor:"1,keyasint,omitempty"`
 	PreviousTerm  identifier.Term     `cbor:"2,keyasint,omitempty"`
@@ -52,18 +49,18 @@
 	Entries       []Entry             `cbor:"5,keyasint,omitempty"`
 }
 
-// AppendReply says up to which index the sender's durable log equals the leader's.
+// AppendReply reports in Match up to which index the sender's durable log equals the
+// leader's.
 type AppendReply struct {
 	Match identifier.LogIndex `cbor:"1,keyasint,omitempty"`
 	Stamp Stamp               `cbor:"2,keyasint,omitempty"`
-	// Rejected says that the log does not hold the previous entry of the append;
-	// Hint is the highest index at which it may still agree.
+	// Rejected is set if the log does not hold the entry before the append's; Hint is then the
+	// highest index at which the logs may still match.
 	Rejected bool                `cbor:"3,keyasint,omitempty"`
 	Hint     identifier.LogIndex `cbor:"4,keyasint,omitempty"`
 }
 
-// SnapshotChunk carries the bytes from Offset on of an encoded Snapshot of
-// TotalBytes.
+// SnapshotChunk carries the bytes from Offset on of an encoded Snapshot of TotalBytes.
 type SnapshotChunk struct {
 	Index      identifier.LogIndex `cbor:"1,keyasint,omitempty"`
 	LastTerm   identifier.Term     `cbor:"2,keyasint,omitempty"`
@@ -73,14 +70,14 @@
 	Data       []byte              `cbor:"6,keyasint,omitempty"`
 }
 
-// SnapshotReply says which offset of the snapshot the sender expects next.
+// SnapshotReply reports which offset of the snapshot the sender expects next.
 type SnapshotReply struct {
 	Index  identifier.LogIndex `cbor:"1,keyasint,omitempty"`
 	Offset identifier.Bytes    `cbor:"2,keyasint,omitempty"`
 	Stamp  Stamp               `cbor:"3,keyasint,omitempty"`
 }
 
-// CampaignNow asks a keeper that has the whole log to take over the leadership.
+// CampaignNow asks a keeper that holds the whole log to take over the leadership.
 type CampaignNow struct{}
 
 func encode(operation string, value any) ([]byte, error) {
--- a/pkg/replicator/oracle_test.go
+++ b/pkg/replicator/oracle_test.go
@@ -7,8 +7,8 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// oracle is the simple model that a run is held against: one sequence of entries
-// that only grows, one leader a term, and a floor under every read.
+// oracle is the reference model that a run is checked against: one sequence of entries that
+// only grows, one leader per term, and a minimum index for every read.
 type oracle struct {
 	violations []string
 	committed  []Entry // position i holds index i+1
@@ -32,16 +32,15 @@
 	}
 }
 
-func (oracle *oracle) violate(format string, arguments ...any) {
+func (oracle *oracle) addViolation(format string, arguments ...any) {
 	oracle.violations = append(oracle.violations, fmt.Sprintf(format, arguments...))
 }
 
-// observe checks that equal prefixes give equal states and that a term never has
-// two leaders.
+// observe checks that equal prefixes give equal states and that a term never has two leaders.
 func (oracle *oracle) observe(keeper *keeper) {
 	known, found := oracle.hashes[keeper.applied]
 	if found && known != keeper.register.hash {
-		oracle.violate("%s has another state at %d", keeper.host, keeper.applied)
+		oracle.addViolation("%s has another state at %d", keeper.host, keeper.applied)
 	}
 	oracle.hashes[keeper.applied] = keeper.register.hash
 	if keeper.replicator.Role() != RoleLeader {
@@ -49,17 +48,17 @@
 	}
 	_, term := keeper.replicator.Leader()
 	if known, found := oracle.leaders[term]; found && known != keeper.host {
-		oracle.violate("term %d has leaders %s and %s", term, known, keeper.host)
+		oracle.addViolation("term %d has leaders %s and %s", term, known, keeper.host)
 	}
 	oracle.leaders[term] = keeper.host
 }
 
-// applied checks that every keeper applies the same entries in the same order
-// without a gap.
-func (oracle *oracle) applied(keeper *keeper, applied Applied) {
+// checkApplied checks that every keeper applies the same entries in the same order without a
+// gap.
+func (oracle *oracle) checkApplied(keeper *keeper, applied Applied) {
 	entry := applied.Entry
 	if entry.Index != keeper.applied+1 {
-		oracle.violate("%s applied %d after %d", keeper.host, entry.Index, keeper.applied)
+		oracle.addViolation("%s applied %d after %d", keeper.host, entry.Index, keeper.applied)
 	}
 	keeper.applied = entry.Index
 	switch {
@@ -69,30 +68,30 @@
 			oracle.memberships++
 		}
 	case entry.Index > identifier.LogIndex(len(oracle.committed)):
-		oracle.violate("%s applied %d beyond %d", keeper.host, entry.Index, len(oracle.committed))
+		oracle.addViolation("%s applied %d beyond %d", keeper.host, entry.Index, len(oracle.committed))
 	default:
 		known := oracle.committed[entry.Index-1]
 		if known.Term != entry.Term || known.Kind != entry.Kind || !bytes.Equal(known.Data, entry.Data) {
-			oracle.violate("%s applied another entry at %d", keeper.host, entry.Index)
+			oracle.addViolation("%s applied another entry at %d", keeper.host, entry.Index)
 		}
 	}
 }
 
-func (oracle *oracle) installed(keeper *keeper, installed SnapshotInstalled) {
+func (oracle *oracle) checkInstalled(keeper *keeper, installed SnapshotInstalled) {
 	oracle.installs++
 	if installed.Index <= keeper.applied {
-		oracle.violate("%s went back from %d to a snapshot of %d", keeper.host, keeper.applied, installed.Index)
+		oracle.addViolation("%s went back from %d to a snapshot of %d", keeper.host, keeper.applied, installed.Index)
 	}
 	if installed.Index > identifier.LogIndex(len(oracle.committed)) {
-		oracle.violate("%s installed a snapshot of %d that nobody applied", keeper.host, installed.Index)
+		oracle.addViolation("%s installed a snapshot of %d that nobody applied", keeper.host, installed.Index)
 	}
 	keeper.applied = installed.Index
 }
 
-func (oracle *oracle) outcome(outcome ProposalOutcome) {
+func (oracle *oracle) checkOutcome(outcome ProposalOutcome) {
 	oracle.outcomes[outcome.Handle]++
 	if oracle.outcomes[outcome.Handle] > 1 {
-		oracle.violate("proposal %d has two outcomes", outcome.Handle)
+		oracle.addViolation("proposal %d has two outcomes", outcome.Handle)
 	}
 	if outcome.Kind == OutcomeAccepted {
 		oracle.accepted = max(oracle.accepted, outcome.Index)
@@ -100,39 +99,39 @@
 	}
 }
 
-// readRequested notes what a read that begins now must see at least.
-func (oracle *oracle) readRequested(handle Handle) { oracle.readFloor[handle] = oracle.accepted }
+// recordReadRequest records the minimum index that a read that begins now must see.
+func (oracle *oracle) recordReadRequest(handle Handle) { oracle.readFloor[handle] = oracle.accepted }
 
-func (oracle *oracle) readReady(keeper *keeper, ready ReadReady) {
+func (oracle *oracle) checkRead(keeper *keeper, ready ReadReady) {
 	oracle.reads++
 	floor := oracle.readFloor[ready.Handle]
 	if ready.Index < floor {
-		oracle.violate("stale read at %s: index %d, accepted before it %d", keeper.host, ready.Index, floor)
+		oracle.addViolation("stale read at %s: index %d, accepted before it %d", keeper.host, ready.Index, floor)
 	}
 	if keeper.applied < ready.Index {
-		oracle.violate("%s may read at %d having applied %d", keeper.host, ready.Index, keeper.applied)
+		oracle.addViolation("%s may read at %d having applied %d", keeper.host, ready.Index, keeper.applied)
 	}
 }
 
-// settled checks, once all faults are over, that every keeper in members holds all
-// that was ever accepted, and the same state.
-func (oracle *oracle) settled(keepers []*keeper, members []Member) {
+// checkConverged checks, once all faults have ended, that every keeper in members holds all
+// entries that were ever accepted, and the same state.
+func (oracle *oracle) checkConverged(keepers []*keeper, members []Member) {
 	var first *keeper
 	for _, keeper := range keepers {
 		if _, found := findMember(members, keeper.host); !found {
 			continue
 		}
 		if keeper.applied != identifier.LogIndex(len(oracle.committed)) {
-			oracle.violate("%s ended at %d of %d", keeper.host, keeper.applied, len(oracle.committed))
+			oracle.addViolation("%s ended at %d of %d", keeper.host, keeper.applied, len(oracle.committed))
 		}
 		if first == nil {
 			first = keeper
 		}
 		if keeper.register.hash != first.register.hash {
-			oracle.violate("%s and %s end in different states", first.host, keeper.host)
+			oracle.addViolation("%s and %s end in different states", first.host, keeper.host)
 		}
 	}
 	if first == nil {
-		oracle.violate("no member is left")
+		oracle.addViolation("no member is left")
 	}
 }
--- a/pkg/replicator/persisting.go
+++ b/pkg/replicator/persisting.go
@@ -2,15 +2,15 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// journal tracks what has been handed out to be synced and what has been.
+// journal tracks which changes were handed out to be synced and which of them are synced.
 type journal struct {
 	sequence        PersistSequence
 	durableSequence PersistSequence
 	durableIndex    identifier.LogIndex
 	issuedHard      HardState
-	// issuedLast is the last index of the log as handed out.
-	issuedLast identifier.LogIndex
-	// dirtyFrom is the first index not handed out as it stands; zero if none.
+	// issuedLastIndex is the last index of the log as handed out.
+	issuedLastIndex identifier.LogIndex
+	// dirtyFrom is the first index whose current entry was not handed out yet; zero if none.
 	dirtyFrom   identifier.LogIndex
 	snapshot    *Snapshot
 	outstanding []outstandingPersist
@@ -23,15 +23,16 @@
 	lastIndex identifier.LogIndex
 }
 
-// waitingMessage may leave once sequence is durable.
+// waitingMessage may be sent once sequence is durable; zero stands for the persist of this
+// tick.
 type waitingMessage struct {
 	sequence PersistSequence
 	send     Send
 }
 
-// touched notes that the log changed from index on. What earlier persists made or
-// will make durable from there on is no longer what stands in the log.
-func (journal *journal) touched(index identifier.LogIndex) {
+// markDirty records that the log changed from index on. What earlier persists made or will
+// make durable from there on no longer equals the log.
+func (journal *journal) markDirty(index identifier.LogIndex) {
 	if journal.dirtyFrom == 0 || index < journal.dirtyFrom {
 		journal.dirtyFrom = index
 	}
@@ -42,15 +43,15 @@
 	}
 }
 
-// replaced notes that a snapshot took the place of the whole log.
-func (journal *journal) replaced(snapshot Snapshot) {
-	journal.touched(1)
+// markReplaced records that a snapshot replaced the whole log.
+func (journal *journal) markReplaced(snapshot Snapshot) {
+	journal.markDirty(1)
 	journal.dirtyFrom = 0
-	journal.issuedLast = snapshot.Index
+	journal.issuedLastIndex = snapshot.Index
 	journal.snapshot = &snapshot
 }
 
-// flushPersist hands out everything that changed in this tick as one Persist.
+// flushPersist emits everything that changed in this tick as one Persist.
 func (replicator *Replicator) flushPersist() {
 	journal := &replicator.journal
 	hardChanged := replicator.hard.Term != journal.issuedHard.Term || replicator.hard.Vote != journal.issuedHard.Vote
@@ -62,20 +63,20 @@
 	if journal.dirtyFrom != 0 {
 		persist.Entries = replicator.log.from(journal.dirtyFrom)
 	}
-	if journal.dirtyFrom != 0 && journal.dirtyFrom <= journal.issuedLast {
+	if journal.dirtyFrom != 0 && journal.dirtyFrom <= journal.issuedLastIndex {
 		persist.TruncateFrom = journal.dirtyFrom
 	}
 	last := replicator.log.lastIndex()
 	journal.outstanding = append(journal.outstanding, outstandingPersist{journal.sequence, last})
 	journal.issuedHard = replicator.hard
-	journal.issuedLast = last
+	journal.issuedLastIndex = last
 	journal.dirtyFrom = 0
 	journal.snapshot = nil
 	replicator.emit(persist)
 }
 
-// persisted notes that all persists up to sequence are synced.
-func (replicator *Replicator) persisted(sequence PersistSequence) {
+// handlePersisted records that all persists up to sequence are synced.
+func (replicator *Replicator) handlePersisted(sequence PersistSequence) {
 	journal := &replicator.journal
 	if sequence > journal.sequence {
 		return
@@ -92,23 +93,24 @@
 	}
 }
 
-// sendNow sends a message that promises nothing about this keeper's disk.
+// sendNow sends a message that promises nothing beyond what is already durable on this
+// keeper.
 func (replicator *Replicator) sendNow(to identifier.HostID, message Message) {
 	message.Term = replicator.hard.Term
 	replicator.emit(Send{To: to, Message: message})
 }
 
-// sendDurably sends a message once all that this keeper has decided so far is
-// synced. A vote that left earlier could be given a second time after a crash, and
-// one would notice two leaders of one term.
-func (replicator *Replicator) sendDurably(to identifier.HostID, message Message) {
+// sendAfterSync sends a message once all that this keeper has decided so far is synced. A
+// vote sent earlier could be granted a second time after a crash, which could elect two
+// leaders in one term.
+func (replicator *Replicator) sendAfterSync(to identifier.HostID, message Message) {
 	message.Term = replicator.hard.Term
 	journal := &replicator.journal
 	journal.waiting = append(journal.waiting, waitingMessage{send: Send{To: to, Message: message}})
 }
 
-// releaseMessages runs after flushPersist: messages of this tick wait for the last
-// persist, those of earlier ticks for theirs.
+// releaseMessages runs after flushPersist: messages of this tick wait for the latest persist,
+// those of earlier ticks for the one that was the latest then.
 func (replicator *Replicator) releaseMessages() {
 	journal := &replicator.journal
 	kept := journal.waiting[:0]
--- a/pkg/replicator/proposing.go
+++ b/pkg/replicator/proposing.go
@@ -2,12 +2,12 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// pendingProposal waits at its index until the entry there is applied.
+// pendingProposal waits until the entry at its index is applied.
 type pendingProposal struct{ handle Handle }
 
-// propose appends a command, or refuses it with nothing appended.
+// propose appends a command, or refuses it without appending anything.
 func (replicator *Replicator) propose(proposal Proposed) {
-	if refusal, refused := replicator.refusalNow(); refused {
+	if refusal, refused := replicator.refusalReason(); refused {
 		replicator.refuseProposal(proposal.Handle, refusal)
 		return
 	}
@@ -15,22 +15,22 @@
 		replicator.refuseProposal(proposal.Handle, OutcomeTooLarge)
 		return
 	}
-	index := replicator.appendOwn(EntryCommand, proposal.Data)
+	index := replicator.appendAsLeader(EntryCommand, proposal.Data)
 	replicator.pending.Put(index, &pendingProposal{handle: proposal.Handle})
 }
 
-// refusalNow tells why nothing can be appended now. Without a recent quorum a
-// leader refuses at once: what it took could not be accepted, and its proposer
-// would learn late that nobody knows.
-func (replicator *Replicator) refusalNow() (OutcomeKind, bool) {
+// refusalReason returns why nothing can be appended now. Without a recent quorum a leader
+// refuses at once: a proposal that it appended could not be accepted, and its proposer would
+// learn late that the outcome is unknown.
+func (replicator *Replicator) refusalReason() (OutcomeKind, bool) {
 	if replicator.role != RoleLeader {
 		return OutcomeNotLeader, true
 	}
 	if replicator.leadership.transferTo != "" {
 		return OutcomeHandingOver, true
 	}
-	heard := max(replicator.leadership.since, replicator.quorumStamp())
-	if heard.Add(replicator.Settings.leaseDuration()).Due(replicator.now) {
+	lastQuorumContact := max(replicator.leadership.since, replicator.quorumStamp())
+	if lastQuorumContact.Add(replicator.Settings.leaseDuration()).Due(replicator.now) {
 		return OutcomeNoQuorum, true
 	}
 	if int(replicator.log.lastIndex()-replicator.hard.Commit) >= replicator.Settings.MaxUncommittedEntries {
@@ -43,7 +43,8 @@
 	replicator.emit(ProposalOutcome{Handle: handle, Kind: kind, LeaderHint: replicator.leader})
 }
 
-// applyCommitted applies what is committed, in order, and tells the proposers.
+// applyCommitted applies the committed entries in order and reports the outcomes of their
+// proposals.
 func (replicator *Replicator) applyCommitted() {
 	for replicator.applied < replicator.hard.Commit {
 		entry := replicator.log.at(replicator.applied + 1)
--- a/pkg/replicator/reading.go
+++ b/pkg/replicator/reading.go
@@ -2,7 +2,7 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// pendingRead waits until the leader is known to have led after the request.
+// pendingRead waits until it is confirmed that the leader still led after the request.
 type pendingRead struct {
 	handle      Handle
 	requestedAt identifier.Moment
@@ -21,7 +21,7 @@
 	}
 	replicator.reads = append(replicator.reads, read)
 	if !replicator.holdsLease() {
-		replicator.leadership.roundWanted = true
+		replicator.leadership.roundRequested = true
 	}
 }
 
@@ -29,8 +29,8 @@
 	replicator.emit(ReadRefused{Handle: handle, Kind: kind, LeaderHint: replicator.leader})
 }
 
-// confirmReads answers the reads that the lease or a round of answers vouches for.
-// A leader that was replaced without noticing would otherwise serve a state that
+// confirmReads answers the reads that the lease or a round of responses since the request
+// confirms. Otherwise a leader that was replaced without noticing would serve a state that
 // lacks what the new one has accepted.
 func (replicator *Replicator) confirmReads() {
 	if replicator.role != RoleLeader || len(replicator.reads) == 0 || !replicator.committedInTerm() {
--- a/pkg/replicator/records.go
+++ b/pkg/replicator/records.go
@@ -2,13 +2,13 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// EntryKind tells what an entry of the log holds.
+// EntryKind is the kind of content that a log entry holds.
 type EntryKind int
 
 const (
 	// EntryCommand holds a command for the state machine.
 	EntryCommand EntryKind = iota
-	// EntryNoOp is what a new leader appends: once it is committed, so is all
+	// EntryNoOp is what a new leader appends first: once it is committed, so are all entries
 	// before it.
 	EntryNoOp
 	// EntryMembership holds the complete list of members from this index on.
@@ -23,31 +23,31 @@
 	Data  []byte              `cbor:"4,keyasint,omitempty"`
 }
 
-// HardState is what a keeper must remember over a restart beside its log. Commit
-// is a hint that is written along with the rest and never on its own.
+// HardState is what a keeper must keep across restarts besides its log. Commit is a hint that
+// is written along with the rest and never on its own.
 type HardState struct {
 	Term   identifier.Term     `cbor:"1,keyasint,omitempty"`
 	Vote   identifier.HostID   `cbor:"2,keyasint,omitempty"`
 	Commit identifier.LogIndex `cbor:"3,keyasint,omitempty"`
 }
 
-// MemberRole tells what a member counts for.
+// MemberRole is whether a member counts for quorums.
 type MemberRole int
 
 const (
 	// MemberVoter counts for every quorum.
 	MemberVoter MemberRole = iota
-	// MemberLearner receives the log and counts for nothing.
+	// MemberLearner receives the log and counts for no quorum.
 	MemberLearner
 )
 
-// Member is one keeper of the log.
+// Member is one keeper that replicates the log.
 type Member struct {
 	Host identifier.HostID `cbor:"1,keyasint,omitempty"`
 	Role MemberRole        `cbor:"2,keyasint,omitempty"`
 }
 
-// Snapshot stands for all entries up to and including Index.
+// Snapshot replaces all entries up to and including Index.
 type Snapshot struct {
 	Index   identifier.LogIndex `cbor:"1,keyasint,omitempty"`
 	Term    identifier.Term     `cbor:"2,keyasint,omitempty"`
@@ -55,11 +55,10 @@
 	Data    []byte              `cbor:"4,keyasint,omitempty"`
 }
 
-// StateMachine is what committed commands are applied to. It must be
-// deterministic: the same commands in the same order give the same results and
-// the same snapshot on every keeper.
+// StateMachine applies committed commands. It must be deterministic: the same commands in the
+// same order give the same results and the same snapshot on every keeper.
 type StateMachine interface {
-	// Apply carries out one command and returns its result.
+	// Apply executes one command and returns its result.
 	Apply(index identifier.LogIndex, data []byte) []byte
 	// Snapshot returns the whole state; the caller keeps the slice.
 	Snapshot() []byte
--- a/pkg/replicator/replicator.go
+++ b/pkg/replicator/replicator.go
@@ -7,34 +7,34 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// Role is what a keeper does at the moment.
+// Role is a keeper's current Raft role.
 type Role int
 
 const (
 	// RoleFollower follows a leader or waits for one.
 	RoleFollower Role = iota
-	// RolePreCandidate asks whether it would be elected; its term stays as it is.
+	// RolePreCandidate asks whether it would be elected; its term stays unchanged.
 	RolePreCandidate
-	// RoleCandidate asks for votes.
+	// RoleCandidate requests votes.
 	RoleCandidate
 	// RoleLeader appends to the log.
 	RoleLeader
 )
 
-// Replicator is one keeper's part of the agreement. The exported fields are set
+// Replicator is one keeper's instance of the consensus protocol. The exported fields are set
 // before the first Tick.
 type Replicator struct {
-	// Self is this keeper. A keeper whose data folder was lost must come back under
-	// another id: it has forgotten its votes.
+	// Self is this keeper. A keeper whose data folder was lost must come back under another id,
+	// since it has forgotten its votes.
 	Self identifier.HostID
-	// Seed feeds the random part of the election timeout.
+	// Seed seeds the random part of the election timeout.
 	Seed     uint64
 	Settings Settings
-	// InitialMembers are the voters of a new log, the same on each of them. A keeper
-	// that joins an existing log later has none.
+	// InitialMembers are the voters of a new log, the same on each of them. A keeper that joins
+	// an existing log later has none.
 	InitialMembers []Member
-	// Joining tells that this keeper's disk holds nothing that it vouched for before:
-	// it is new, or has lost its disk. See joining.go.
+	// Joining is set if this keeper's disk holds nothing that it acknowledged before: it is new,
+	// or has lost its disk. See joining.go.
 	Joining      bool
 	StateMachine StateMachine
 
@@ -55,12 +55,13 @@
 	applied     identifier.LogIndex
 	journal     journal
 
-	// heardLeaderAt is when this keeper last took part in a leader's lease.
-	heardLeaderAt    identifier.Moment
-	electionDeadline identifier.Moment
+	// lastLeaderContactAt is when this keeper last received from a leader, or its start; it
+	// withholds its vote for ElectionTimeout from then on.
+	lastLeaderContactAt identifier.Moment
+	electionDeadline    identifier.Moment
 	// verified is the last index known to equal the current leader's log.
 	verified identifier.LogIndex
-	// ackStamp is the newest stamp of the current leader.
+	// ackStamp is the newest stamp received from the current leader.
 	ackStamp Stamp
 	incoming incomingSnapshot
 
@@ -73,8 +74,8 @@
 	reads      []pendingRead
 }
 
-// Tick takes the inputs in order and returns what is to be done, in order. now
-// must not go backwards.
+// Tick processes the inputs in order and returns the actions to carry out, in order. now must
+// not go backwards.
 func (replicator *Replicator) Tick(now identifier.Moment, inputs []Input) []Output {
 	replicator.now = now
 	replicator.outputs = nil
@@ -85,44 +86,44 @@
 		if replicator.halted {
 			break
 		}
-		replicator.take(input)
+		replicator.handleInput(input)
 	}
 	if !replicator.halted {
-		replicator.runSystems()
+		replicator.runPhases()
 	}
 	return replicator.outputs
 }
 
-// runSystems brings everything that follows from the inputs about, once for all
-// of them: this is what puts many proposals into one append and one sync.
-func (replicator *Replicator) runSystems() {
+// runPhases derives all consequences of the inputs, once for all of them: this batches many
+// proposals into one append and one sync.
+func (replicator *Replicator) runPhases() {
 	replicator.expireTimers()
 	replicator.tallyVotes()
 	replicator.advanceCommit()
 	replicator.applyCommitted()
 	replicator.confirmReads()
 	replicator.sendToPeers()
-	replicator.requestSnapshot()
+	replicator.takeSnapshotIfDue()
 	replicator.flushPersist()
 	replicator.releaseMessages()
 }
 
-func (replicator *Replicator) take(input Input) {
+func (replicator *Replicator) handleInput(input Input) {
 	switch input := input.(type) {
 	case MessageArrived:
-		replicator.receive(input.From, input.Message)
+		replicator.receiveMessage(input.From, input.Message)
 	case Proposed:
 		replicator.propose(input)
 	case ReadRequested:
 		replicator.requestRead(input)
 	case Persisted:
-		replicator.persisted(input.Sequence)
+		replicator.handlePersisted(input.Sequence)
 	case SnapshotSaved:
-		replicator.snapshotSaved(input.Index)
+		replicator.handleSnapshotSaved(input.Index)
 	case PeerReachable:
-		replicator.peerReachable(input.Host)
+		replicator.handlePeerReachable(input.Host)
 	case PeerUnreachable:
-		replicator.peerUnreachable(input.Host)
+		replicator.handlePeerUnreachable(input.Host)
 	case MembershipChangeProposed:
 		replicator.proposeMembershipChange(input)
 	case TransferRequested:
@@ -130,19 +131,19 @@
 	}
 }
 
-// receive hands a message to the part that its body is for. Messages of an older
-// term are only answered, so that their sender learns of the newer one.
-func (replicator *Replicator) receive(from identifier.HostID, message Message) {
+// receiveMessage dispatches a message by its body. Messages of an older term are only
+// answered, so that their sender learns the newer one.
+func (replicator *Replicator) receiveMessage(from identifier.HostID, message Message) {
 	if message.VoteRequest != nil {
 		replicator.receiveVoteRequest(from, message.Term, message.VoteRequest)
 		return
 	}
 	if message.Term > replicator.hard.Term {
-		replicator.follow(message.Term, "")
+		replicator.becomeFollower(message.Term, "")
 	}
 	if message.Term < replicator.hard.Term {
 		if message.Append != nil || message.SnapshotChunk != nil {
-			replicator.sendDurably(from, Message{AppendReply: &AppendReply{}})
+			replicator.sendAfterSync(from, Message{AppendReply: &AppendReply{}})
 		}
 		return
 	}
@@ -162,7 +163,7 @@
 	}
 }
 
-// NextDeadline returns when Tick must be called at the latest if no input comes.
+// NextDeadline returns when Tick must be called at the latest if no input arrives.
 func (replicator *Replicator) NextDeadline() identifier.Moment {
 	if !replicator.started {
 		return 0
@@ -173,11 +174,11 @@
 	if replicator.role != RoleLeader {
 		return replicator.electionDeadline
 	}
-	deadline := identifier.Earlier(replicator.leadership.heartbeatDue, replicator.quorumContactEnds())
+	deadline := identifier.Earlier(replicator.leadership.heartbeatDue, replicator.stepDownDeadline())
 	return identifier.Earlier(deadline, replicator.leadership.transferDeadline)
 }
 
-// expireTimers acts on the deadlines that have passed.
+// expireTimers handles the deadlines that have passed.
 func (replicator *Replicator) expireTimers() {
 	if replicator.role == RoleLeader {
 		replicator.expireLeadership()
@@ -188,22 +189,21 @@
 	}
 }
 
-// Members returns the members that this keeper goes by; the caller must not
-// change them.
+// Members returns the members in effect on this keeper; the caller must not change them.
 func (replicator *Replicator) Members() []Member { return replicator.memberships.current() }
 
-// AppliedTerm returns the term of the last entry that was applied. One of the present
-// leader's term means that all that was agreed on under earlier leaders is applied too.
+// AppliedTerm returns the term of the last applied entry. If it is the current leader's term,
+// all entries committed under earlier leaders are applied too.
 func (replicator *Replicator) AppliedTerm() identifier.Term {
-	// What is applied is in the log or just below it, so its term is known.
+	// The last applied entry is in the log or at its base, so its term is known.
 	term, _ := replicator.log.term(replicator.applied)
 	return term
 }
 
-// Role returns what this keeper does at the moment.
+// Role returns this keeper's current role.
 func (replicator *Replicator) Role() Role { return replicator.role }
 
-// Leader returns the leader that this keeper follows, or empty, and its term.
+// Leader returns the leader that this keeper follows, or empty, and the current term.
 func (replicator *Replicator) Leader() (identifier.HostID, identifier.Term) {
 	return replicator.leader, replicator.hard.Term
 }
--- a/pkg/replicator/scenario_test.go
+++ b/pkg/replicator/scenario_test.go
@@ -11,17 +11,18 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// scenario is one golden file: keepers in virtual time, driven line by line.
+// scenario runs one golden file: keepers in virtual time, controlled line by line.
 type scenario struct {
 	*workload
 	log []string
 }
 
-// TestScenarios plays the golden files; each tells its failure in its first lines.
+// TestScenarios runs the golden files; the head of each describes the failure that it guards
+// against.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata/scenarios", func(t *testing.T, path string) {
 		scenario := &scenario{workload: newWorkload(1, 3, DefaultSettings())}
-		scenario.onOutcome = scenario.noteOutcome
+		scenario.onOutcome = scenario.logOutcome
 		datadriven.RunTest(t, path, func(t *testing.T, data *datadriven.TestData) string {
 			scenario.log = nil
 			for _, line := range strings.Split(data.Input, "\n") {
@@ -35,15 +36,15 @@
 	})
 }
 
-func (scenario *scenario) note(format string, arguments ...any) {
+func (scenario *scenario) logf(format string, arguments ...any) {
 	scenario.log = append(scenario.log, fmt.Sprintf(format, arguments...))
 }
 
-func (scenario *scenario) noteOutcome(keeper *keeper, outcome ProposalOutcome) {
-	scenario.note("%s: proposal %d %s, leader hint %q", keeper.host, outcome.Handle, outcome.Kind, outcome.LeaderHint)
+func (scenario *scenario) logOutcome(keeper *keeper, outcome ProposalOutcome) {
+	scenario.logf("%s: proposal %d %s, leader hint %q", keeper.host, outcome.Handle, outcome.Kind, outcome.LeaderHint)
 }
 
-// command carries out one line. "leader" stands for the leader of the moment.
+// command runs one line. "leader" stands for the current leader.
 func (scenario *scenario) command(t *testing.T, words []string) {
 	argument := ""
 	if len(words) > 1 {
@@ -57,20 +58,20 @@
 		}
 		scenario.runFor(duration)
 	case "propose":
-		scenario.propose(scenario.named(t, argument), 1)
+		scenario.propose(scenario.keeperByName(t, argument), 1)
 	case "read":
-		scenario.onRead = func(keeper *keeper, _ Handle, ready bool) { scenario.note("%s: read served: %v", keeper.host, ready) }
-		scenario.read(scenario.named(t, argument))
+		scenario.onRead = func(keeper *keeper, _ Handle, ready bool) { scenario.logf("%s: read served: %v", keeper.host, ready) }
+		scenario.read(scenario.keeperByName(t, argument))
 	case "isolate":
-		scenario.isolate(scenario.named(t, argument).host)
+		scenario.isolate(scenario.keeperByName(t, argument).host)
 	case "heal":
 		scenario.heal()
 	case "crash":
-		scenario.crash(scenario.named(t, argument))
+		scenario.crash(scenario.keeperByName(t, argument))
 	case "crash-on-accept":
 		scenario.crashOnAccept()
 	case "restart":
-		scenario.start(scenario.named(t, argument))
+		scenario.start(scenario.keeperByName(t, argument))
 	case "join":
 		scenario.addKeeper(identifier.HostID(argument), nil)
 		scenario.change(ChangeAddLearner, argument)
@@ -79,7 +80,7 @@
 	case "remove":
 		scenario.change(ChangeRemove, argument)
 	case "transfer":
-		scenario.input(scenario.named(t, "leader"), TransferRequested{})
+		scenario.input(scenario.keeperByName(t, "leader"), TransferRequested{})
 	case "status":
 		scenario.status()
 	default:
@@ -87,7 +88,7 @@
 	}
 }
 
-func (scenario *scenario) named(t *testing.T, name string) *keeper {
+func (scenario *scenario) keeperByName(t *testing.T, name string) *keeper {
 	found := scenario.find(identifier.HostID(name))
 	if name == "leader" {
 		found = scenario.leader()
@@ -104,11 +105,11 @@
 	scenario.input(scenario.leader(), change)
 }
 
-// crashOnAccept lets the leader die in the instant in which it accepts.
+// crashOnAccept crashes the leader at the instant at which it accepts.
 func (scenario *scenario) crashOnAccept() {
 	scenario.onOutcome = func(keeper *keeper, outcome ProposalOutcome) {
-		scenario.noteOutcome(keeper, outcome)
-		scenario.onOutcome = scenario.noteOutcome
+		scenario.logOutcome(keeper, outcome)
+		scenario.onOutcome = scenario.logOutcome
 		scenario.schedule(scenario.now, func() { scenario.crash(keeper) })
 	}
 }
@@ -116,11 +117,11 @@
 func (scenario *scenario) status() {
 	for _, keeper := range scenario.keepers {
 		if !keeper.alive {
-			scenario.note("%s: down", keeper.host)
+			scenario.logf("%s: down", keeper.host)
 			continue
 		}
 		leader, term := keeper.replicator.Leader()
-		scenario.note("%s: %s, follows %q in term %d, applied %d, value %d",
+		scenario.logf("%s: %s, follows %q in term %d, applied %d, value %d",
 			keeper.host, keeper.replicator.Role(), leader, term, keeper.applied, keeper.register.value)
 	}
 }
--- a/pkg/replicator/sending.go
+++ b/pkg/replicator/sending.go
@@ -2,16 +2,15 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// sendToPeers sends every peer what it lacks, as far as its window goes, and
-// heartbeats where they are due. Appends leave before the own disk has synced: the
-// leader counts itself only after that, so its sync and those of the others run at
-// the same time.
+// sendToPeers sends every peer the entries that it lacks, as far as its window allows, and
+// heartbeats where they are due. Appends are sent before the own disk has synced: the leader
+// counts itself only after that, so its sync runs in parallel with those of the others.
 func (replicator *Replicator) sendToPeers() {
 	if replicator.role != RoleLeader {
 		return
 	}
-	round := replicator.leadership.roundWanted
-	replicator.leadership.roundWanted = false
+	round := replicator.leadership.roundRequested
+	replicator.leadership.roundRequested = false
 	if round {
 		replicator.leadership.heartbeatDue = replicator.now.Add(replicator.Settings.HeartbeatInterval)
 	}
@@ -25,7 +24,7 @@
 	replicator.finishTransfer()
 }
 
-// sendEntries fills the peer's window and tells whether anything was sent.
+// sendEntries fills the peer's window and reports whether anything was sent.
 func (replicator *Replicator) sendEntries(host identifier.HostID, peer *peer) bool {
 	sent := false
 	for replicator.mayPipeline(peer) {
@@ -75,8 +74,8 @@
 	replicator.sendNow(host, Message{Append: &message})
 }
 
-// sendHeartbeat proves that the leader is alive. It also finds out what was lost:
-// a peer that lacks the previous entry rejects it.
+// sendHeartbeat shows the peer that the leader is alive. It also detects lost messages: a
+// peer that lacks the previous entry rejects it.
 func (replicator *Replicator) sendHeartbeat(host identifier.HostID, peer *peer) {
 	if peer.transfer != nil {
 		replicator.sendSnapshotChunk(host, peer)
--- a/pkg/replicator/settings.go
+++ b/pkg/replicator/settings.go
@@ -8,46 +8,45 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// PerMille is a share in thousandths.
+// PerMille is a fraction in thousandths.
 type PerMille int
 
-// Settings tune a Replicator. All keepers of one log must use the same
-// ElectionTimeout and ClockDriftBound: the leader lease rests on them.
+// Settings configure a Replicator. All keepers of one log must use the same ElectionTimeout
+// and ClockDriftBound: the leader lease depends on them.
 type Settings struct {
-	// HeartbeatInterval is the time between a leader's heartbeats when idle.
+	// HeartbeatInterval is the time between an idle leader's heartbeats.
 	HeartbeatInterval time.Duration
-	// ElectionTimeout is how long a keeper refuses to vote after it heard from a
-	// leader. It campaigns after this time and up to half as much again.
+	// ElectionTimeout is how long a keeper refuses to vote after a message from a leader. It
+	// campaigns after this time plus a random part of up to half as much.
 	ElectionTimeout time.Duration
-	// ClockDriftBound is the largest rate error of any keeper's monotonic clock
-	// that the leader lease survives.
+	// ClockDriftBound is the largest rate error of any keeper's monotonic clock under which the
+	// leader lease is safe.
 	ClockDriftBound PerMille
-	// MaxBatchEntries bounds the entries of one append message.
+	// MaxBatchEntries limits the entries of one append message.
 	MaxBatchEntries int
-	// MaxBatchBytes bounds the data of one append message; a single larger entry
-	// travels alone.
+	// MaxBatchBytes limits the data of one append message; a single larger entry is sent alone.
 	MaxBatchBytes identifier.Bytes
-	// MaxEntryBytes bounds the data of one proposal.
+	// MaxEntryBytes limits the data of one proposal.
 	MaxEntryBytes identifier.Bytes
-	// MaxInFlightEntries bounds the entries sent to a keeper and not acknowledged.
+	// MaxInFlightEntries limits the entries sent to a keeper and not acknowledged yet.
 	MaxInFlightEntries int
-	// MaxUncommittedEntries bounds the entries that a leader takes before it
+	// MaxUncommittedEntries limits the uncommitted entries of a leader; beyond it, the leader
 	// refuses proposals as overloaded.
 	MaxUncommittedEntries int
 	// SnapshotEvery is the number of applied entries between two snapshots.
 	SnapshotEvery int
-	// EntriesKeptBehindSnapshot stay in memory for keepers that lag a little, so
-	// that they need no snapshot.
+	// EntriesKeptBehindSnapshot is the number of entries before a snapshot that stay in memory,
+	// so that keepers that lag a little need no snapshot.
 	EntriesKeptBehindSnapshot int
-	// SnapshotChunkBytes bounds the data of one snapshot message.
+	// SnapshotChunkBytes limits the data of one snapshot message.
 	SnapshotChunkBytes identifier.Bytes
-	// MinCopies is how many voters must hold an entry before it is committed, beyond a
-	// majority; one more than the disks that may be lost at once. Zero asks for a
-	// majority alone.
+	// MinCopies is the minimum number of voters that must hold an entry before it is committed,
+	// if a majority is smaller: one more than the disks that may be lost at once. Zero requires
+	// a majority alone.
 	MinCopies int
 }
 
-// DefaultSettings suit keepers about 1 ms apart with syncs of several
+// DefaultSettings returns settings for keepers about 1 ms apart with syncs of several
 // milliseconds: a lost leader is replaced within two seconds.
 func DefaultSettings() Settings {
 	return Settings{
@@ -65,8 +64,8 @@
 	}
 }
 
-// Validate returns an *Error of kind ErrorInvalidSettings if the settings cannot
-// work together.
+// Validate returns an *Error of kind ErrorInvalidSettings if a setting is out of bounds or
+// contradicts another.
 func (settings Settings) Validate() error {
 	if settings.HeartbeatInterval <= 0 {
 		return invalidSettings("heartbeat interval must be positive")
@@ -95,9 +94,9 @@
 	return nil
 }
 
-// leaseDuration is how long the leader may rely on one round of heartbeats, on its
-// own clock. A voter refuses votes for ElectionTimeout on its clock, which may run
-// fast, while the leader's may run slow; each is off by ClockDriftBound at most.
+// leaseDuration returns how long the leader may rely on one round of heartbeats, by its own
+// clock. A voter refuses votes for ElectionTimeout by its clock, which may run fast, while
+// the leader's may run slow; each is off by ClockDriftBound at most.
 func (settings Settings) leaseDuration() time.Duration {
 	drift := time.Duration(settings.ClockDriftBound)
 	return settings.ElectionTimeout * (1000 - drift) / (1000 + drift)
--- a/pkg/replicator/simulation_network_test.go
+++ b/pkg/replicator/simulation_network_test.go
@@ -7,14 +7,14 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// transmit puts a message through the codec and the network.
+// transmit passes a message through the codec and the network.
 func (simulation *simulation) transmit(from *keeper, send Send) {
 	if simulation.onSend != nil {
 		simulation.onSend(from.host, send)
 	}
 	data, err := encodeMessage(send.Message)
 	if err != nil {
-		simulation.oracle.violate("encode: %v", err)
+		simulation.oracle.addViolation("encode: %v", err)
 		return
 	}
 	copies := 1
@@ -39,7 +39,7 @@
 	}
 	message, err := decodeMessage(bytes.Clone(data))
 	if err != nil {
-		simulation.oracle.violate("decode: %v", err)
+		simulation.oracle.addViolation("decode: %v", err)
 		return
 	}
 	simulation.input(keeper, MessageArrived{From: from, Message: message})
@@ -55,8 +55,8 @@
 
 func (simulation *simulation) heal() { clear(simulation.cut) }
 
-// encodeMessage returns the bytes of a message alone. The daemon sends it within a
-// batch of its host, with the same codec.
+// encodeMessage returns the bytes of a message alone. The daemon sends it within its host's
+// batch, with the same codec.
 func encodeMessage(message Message) ([]byte, error) { return encode("encode message", message) }
 
 func decodeMessage(data []byte) (Message, error) {
--- a/pkg/replicator/simulation_test.go
+++ b/pkg/replicator/simulation_test.go
@@ -14,8 +14,8 @@
 // instant is a point in true virtual time, which no keeper can read.
 type instant = time.Duration
 
-// simulation runs keepers in virtual time over a network and disks that misbehave
-// as they are told, and checks every output against the oracle.
+// simulation runs keepers in virtual time over a network and disks with injected faults, and
+// checks every output against the oracle.
 type simulation struct {
 	settings  Settings
 	random    *rand.Rand
@@ -28,16 +28,16 @@
 	sync      time.Duration
 	lossShare int // per mille
 	dupShare  int // per mille
-	// crashShare is the share, per mille, of inputs to a keeper with unsynced writes
-	// after which it crashes, and comes back within absence.
-	crashShare int
-	absence    time.Duration
-	cut        map[[2]identifier.HostID]bool
-	oracle     *oracle
-	onOutcome  func(keeper *keeper, outcome ProposalOutcome)
-	onRead     func(keeper *keeper, handle Handle, ready bool)
-	onSend     func(from identifier.HostID, send Send)
-	steps      int
+	// crashShare is the share, per mille, of inputs to a keeper with unsynced writes after which
+	// it crashes; it restarts within maxDowntime.
+	crashShare  int
+	maxDowntime time.Duration
+	cut         map[[2]identifier.HostID]bool
+	oracle      *oracle
+	onOutcome   func(keeper *keeper, outcome ProposalOutcome)
+	onRead      func(keeper *keeper, handle Handle, ready bool)
+	onSend      func(from identifier.HostID, send Send)
+	steps       int
 }
 
 type event struct {
@@ -65,20 +65,20 @@
 
 // keeper is one simulated host: a replicator, its disk and its clock.
 type keeper struct {
-	host       identifier.HostID
-	initial    []Member
-	replicator *Replicator
-	register   *register
-	alive      bool
-	stopped    bool // as by SIGSTOP: alive, but runs nothing
-	life       int  // counts restarts; events of an earlier life are void
-	clockBase  identifier.Moment
-	clockFrom  instant
-	rate       float64
-	disk       disk
-	stalled    []Input
-	applied    identifier.LogIndex
-	timerAt    instant
+	host           identifier.HostID
+	initial        []Member
+	replicator     *Replicator
+	register       *register
+	alive          bool
+	paused         bool // as by SIGSTOP: alive, but processes nothing
+	incarnation    int  // counts starts and crashes; events of an earlier incarnation are ignored
+	clockBase      identifier.Moment
+	clockStartedAt instant
+	rate           float64
+	disk           disk
+	queuedInputs   []Input
+	applied        identifier.LogIndex
+	timerAt        instant
 }
 
 // disk holds what is synced and what is written but not yet synced.
@@ -110,7 +110,7 @@
 	disk.entries = slices.DeleteFunc(disk.entries, func(entry Entry) bool { return entry.Index+keep <= snapshot.Index })
 }
 
-// register is the state machine: the last command and a running hash of all.
+// register is the state machine: the last command and a running hash of all commands.
 type register struct {
 	index identifier.LogIndex
 	value uint64
@@ -143,13 +143,13 @@
 
 func newSimulation(seed uint64, hosts int, settings Settings) *simulation {
 	simulation := &simulation{
-		settings: settings,
-		random:   rand.New(rand.NewPCG(seed, 1)),
-		oneWay:   time.Millisecond,
-		sync:     4 * time.Millisecond,
-		absence:  100 * time.Millisecond,
-		cut:      make(map[[2]identifier.HostID]bool),
-		oracle:   newOracle(),
+		settings:    settings,
+		random:      rand.New(rand.NewPCG(seed, 1)),
+		oneWay:      time.Millisecond,
+		sync:        4 * time.Millisecond,
+		maxDowntime: 100 * time.Millisecond,
+		cut:         make(map[[2]identifier.HostID]bool),
+		oracle:      newOracle(),
 	}
 	var members []Member
 	for number := range hosts {
@@ -170,15 +170,15 @@
 	return keeper
 }
 
-// start runs a keeper on what its disk holds, with a clock of its own that is
-// right or off by the whole drift bound either way and starts anywhere.
+// start runs a keeper on the contents of its disk, with a clock that starts at a random time
+// and is exact, slow or fast by the whole drift bound.
 func (simulation *simulation) start(keeper *keeper) {
 	keeper.alive = true
-	keeper.stopped = false
-	keeper.life++
+	keeper.paused = false
+	keeper.incarnation++
 	keeper.applied = 0
 	keeper.clockBase = identifier.Moment(simulation.random.Int64N(int64(time.Hour)))
-	keeper.clockFrom = simulation.now
+	keeper.clockStartedAt = simulation.now
 	drift := float64(simulation.settings.ClockDriftBound) / 1000
 	keeper.rate = 1 + drift*float64(simulation.random.IntN(3)-1)
 	keeper.register = &register{}
@@ -196,25 +196,25 @@
 	simulation.input(keeper, restored)
 }
 
-// crash loses what is not synced, but for a random number of writes that reached
-// the disk all the same.
+// crash loses what is not synced, except for a random number of writes that still reached the
+// disk.
 func (simulation *simulation) crash(keeper *keeper) {
 	keeper.alive = false
-	keeper.life++
+	keeper.incarnation++
 	survivors := simulation.random.IntN(len(keeper.disk.unsynced) + 1)
 	for _, persist := range keeper.disk.unsynced[:survivors] {
 		keeper.disk.write(persist)
 	}
 	keeper.disk.unsynced = nil
 	keeper.disk.syncing = false
-	keeper.stalled = nil
+	keeper.queuedInputs = nil
 }
 
-// resume ends a stop; what arrived meanwhile is taken at once.
+// resume ends a pause; queued inputs are processed at once.
 func (simulation *simulation) resume(keeper *keeper) {
-	keeper.stopped = false
-	inputs := keeper.stalled
-	keeper.stalled = nil
+	keeper.paused = false
+	inputs := keeper.queuedInputs
+	keeper.queuedInputs = nil
 	simulation.input(keeper, inputs...)
 }
 
@@ -223,11 +223,11 @@
 	heap.Push(&simulation.events, event{at: at, order: simulation.order, act: act})
 }
 
-// scheduleFor runs act unless the keeper has restarted by then.
+// scheduleFor runs act unless the keeper has crashed by then.
 func (simulation *simulation) scheduleFor(keeper *keeper, at instant, act func()) {
-	life := keeper.life
+	incarnation := keeper.incarnation
 	simulation.schedule(at, func() {
-		if keeper.alive && keeper.life == life {
+		if keeper.alive && keeper.incarnation == incarnation {
 			act()
 		}
 	})
@@ -244,30 +244,30 @@
 }
 
 func (keeper *keeper) clock(now instant) identifier.Moment {
-	return keeper.clockBase + identifier.Moment(float64(now-keeper.clockFrom)*keeper.rate)
+	return keeper.clockBase + identifier.Moment(float64(now-keeper.clockStartedAt)*keeper.rate)
 }
 
 func (simulation *simulation) input(keeper *keeper, inputs ...Input) {
 	if !keeper.alive {
 		return
 	}
-	if keeper.stopped {
-		keeper.stalled = append(keeper.stalled, inputs...)
+	if keeper.paused {
+		keeper.queuedInputs = append(keeper.queuedInputs, inputs...)
 		return
 	}
 	simulation.steps++
 	outputs := keeper.replicator.Tick(keeper.clock(simulation.now), inputs)
 	for _, output := range outputs {
-		simulation.carryOut(keeper, output)
+		simulation.execute(keeper, output)
 	}
 	simulation.oracle.observe(keeper)
 	simulation.armTimer(keeper)
 	if len(keeper.disk.unsynced) > 0 && simulation.random.IntN(1000) < simulation.crashShare {
 		simulation.crash(keeper)
-		life := keeper.life
-		back := simulation.now + time.Duration(simulation.random.Int64N(int64(simulation.absence)))
+		incarnation := keeper.incarnation
+		back := simulation.now + time.Duration(simulation.random.Int64N(int64(simulation.maxDowntime)))
 		simulation.schedule(back, func() {
-			if !keeper.alive && keeper.life == life {
+			if !keeper.alive && keeper.incarnation == incarnation {
 				simulation.start(keeper)
 			}
 		})
@@ -289,7 +289,7 @@
 	})
 }
 
-func (simulation *simulation) carryOut(keeper *keeper, output Output) {
+func (simulation *simulation) execute(keeper *keeper, output Output) {
 	switch output := output.(type) {
 	case Send:
 		simulation.transmit(keeper, output)
@@ -303,18 +303,18 @@
 			simulation.input(keeper, SnapshotSaved{Index: output.Snapshot.Index})
 		})
 	case Applied:
-		simulation.oracle.applied(keeper, output)
+		simulation.oracle.checkApplied(keeper, output)
 	case SnapshotInstalled:
-		simulation.oracle.installed(keeper, output)
+		simulation.oracle.checkInstalled(keeper, output)
 	case Halted:
-		simulation.oracle.violate("%s halted: %v", keeper.host, output.Err)
+		simulation.oracle.addViolation("%s halted: %v", keeper.host, output.Err)
 	case ProposalOutcome:
-		simulation.oracle.outcome(output)
+		simulation.oracle.checkOutcome(output)
 		if simulation.onOutcome != nil {
 			simulation.onOutcome(keeper, output)
 		}
 	case ReadReady:
-		simulation.oracle.readReady(keeper, output)
+		simulation.oracle.checkRead(keeper, output)
 		if simulation.onRead != nil {
 			simulation.onRead(keeper, output.Handle, true)
 		}
@@ -362,7 +362,7 @@
 	var leading *keeper
 	highest := identifier.Term(0)
 	for _, keeper := range simulation.keepers {
-		if !keeper.alive || keeper.stopped || keeper.replicator.Role() != RoleLeader {
+		if !keeper.alive || keeper.paused || keeper.replicator.Role() != RoleLeader {
 			continue
 		}
 		if _, term := keeper.replicator.Leader(); term > highest {
--- a/pkg/replicator/snapshotting.go
+++ b/pkg/replicator/snapshotting.go
@@ -2,8 +2,8 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// outgoingSnapshot is a snapshot on its way to one peer, chunk after answered
-// chunk.
+// outgoingSnapshot is a snapshot in transfer to one peer; the next chunk is sent once the
+// last one is answered.
 type outgoingSnapshot struct {
 	index  identifier.LogIndex
 	term   identifier.Term
@@ -11,15 +11,15 @@
 	offset identifier.Bytes
 }
 
-// incomingSnapshot collects the chunks of one snapshot of the current leader.
+// incomingSnapshot collects the chunks of one snapshot from the current leader.
 type incomingSnapshot struct {
 	index identifier.LogIndex
 	data  []byte
 }
 
-// requestSnapshot takes a snapshot of the own state machine when enough entries
-// were applied and synced since the last one.
-func (replicator *Replicator) requestSnapshot() {
+// takeSnapshotIfDue takes a snapshot of the own state machine when enough entries were
+// applied and synced since the last one.
+func (replicator *Replicator) takeSnapshotIfDue() {
 	due := replicator.snapshot.Index + identifier.LogIndex(replicator.Settings.SnapshotEvery)
 	if replicator.saving != 0 || replicator.applied < due || replicator.journal.durableIndex < replicator.applied {
 		return
@@ -35,9 +35,9 @@
 	replicator.emit(SaveSnapshot{Snapshot: replicator.snapshot})
 }
 
-// snapshotSaved forgets the entries that the synced snapshot covers, but for some
-// that keepers which lag a little still need.
-func (replicator *Replicator) snapshotSaved(index identifier.LogIndex) {
+// handleSnapshotSaved drops the entries that the synced snapshot covers, except for some that
+// slightly lagging keepers still need.
+func (replicator *Replicator) handleSnapshotSaved(index identifier.LogIndex) {
 	if index != replicator.saving {
 		return
 	}
@@ -50,8 +50,8 @@
 	replicator.memberships.compactTo(index - behind)
 }
 
-// startSnapshot begins to send the newest snapshot to a peer that needs entries
-// which are gone. The transfer keeps to that snapshot even if a newer one is taken.
+// startSnapshot starts sending the newest snapshot to a peer that needs entries which were
+// dropped. The transfer continues with that snapshot even if a newer one is taken.
 func (replicator *Replicator) startSnapshot(host identifier.HostID, peer *peer) bool {
 	data, err := encode("encode snapshot", replicator.snapshot)
 	if err != nil {
@@ -78,10 +78,10 @@
 	replicator.sendNow(host, Message{SnapshotChunk: &chunk})
 }
 
-// receiveSnapshotReply sends the next chunk. An answer to a repeated chunk moves
-// nothing, so that repeats do not multiply.
+// receiveSnapshotReply sends the next chunk. A reply to a duplicated chunk has no effect, so
+// that duplicates do not multiply.
 func (replicator *Replicator) receiveSnapshotReply(from identifier.HostID, reply *SnapshotReply) {
-	peer := replicator.answeringPeer(from, reply.Stamp)
+	peer := replicator.respondingPeer(from, reply.Stamp)
 	if peer == nil || peer.transfer == nil || peer.transfer.index != reply.Index {
 		return
 	}
@@ -98,9 +98,9 @@
 	if replicator.role == RoleLeader {
 		return
 	}
-	replicator.hearLeader(from, chunk.Stamp)
+	replicator.recordLeaderContact(from, chunk.Stamp)
 	if chunk.Index <= replicator.hard.Commit {
-		// What is committed here stands in the leader's log too.
+		// What is committed here is in the leader's log too.
 		replicator.verified = max(replicator.verified, replicator.hard.Commit)
 		replicator.incoming = incomingSnapshot{}
 		replicator.acknowledge()
@@ -121,8 +121,8 @@
 	}
 }
 
-// installSnapshot replaces the state machine and the log by the leader's snapshot,
-// unless the log already holds all that it covers.
+// installSnapshot replaces the state machine and the log by the leader's snapshot, unless the
+// log already holds all that it covers.
 func (replicator *Replicator) installSnapshot(chunk *SnapshotChunk) {
 	data := replicator.incoming.data
 	replicator.incoming = incomingSnapshot{}
@@ -143,8 +143,8 @@
 	}
 	replicator.hard.Commit = snapshot.Index
 	replicator.saving = 0
-	replicator.journal.replaced(snapshot)
+	replicator.journal.markReplaced(snapshot)
 	replicator.emit(SnapshotInstalled{Index: snapshot.Index})
-	replicator.noteJoined(snapshot.Members)
-	replicator.membershipMoved()
+	replicator.updateJoining(snapshot.Members)
+	replicator.membershipUpdated()
 }
--- a/pkg/replicator/starting.go
+++ b/pkg/replicator/starting.go
@@ -10,11 +10,11 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// randomStream is the second half of the PCG seed; any constant does.
+// randomStream is the second half of the PCG seed; any constant works.
 const randomStream = 0x9e3779b97f4a7c15
 
-// start prepares the tables and takes the Restored input, if there is one. It
-// returns the remaining inputs.
+// start initialises the state and processes the Restored input, if there is one. It returns
+// the remaining inputs.
 func (replicator *Replicator) start(inputs []Input) []Input {
 	replicator.started = true
 	replicator.random = rand.New(rand.NewPCG(replicator.Seed, randomStream))
@@ -38,11 +38,11 @@
 		replicator.halt(err)
 		return nil
 	}
-	// A keeper that went down may have promised a leader just before not to vote. It
-	// does not remember, so it keeps such a promise from its start on. Without this
-	// a restarted voter could elect a second leader while the first still serves
-	// reads under its lease, and one would notice a stale read.
-	replicator.heardLeaderAt = replicator.now
+	// A restarted keeper may have promised a leader just before not to vote. It does not
+	// remember, so it keeps such a promise from its start on. Otherwise a restarted voter could
+	// elect a second leader while the first still serves reads under its lease, and those reads
+	// would be stale.
+	replicator.lastLeaderContactAt = replicator.now
 	replicator.resetElectionDeadline()
 	return inputs
 }
@@ -67,11 +67,11 @@
 	if replicator.log.lastTerm() > replicator.hard.Term {
 		return inconsistentJournal("an entry is newer than the hard state")
 	}
-	// The hint may run ahead of the entries: commits are learned before the own
-	// disk has caught up.
+	// The hint may be ahead of the entries: a keeper learns of commits before its own disk has
+	// caught up.
 	replicator.hard.Commit = min(max(replicator.hard.Commit, replicator.log.base), replicator.log.lastIndex())
 	replicator.journal.issuedHard = replicator.hard
-	replicator.journal.issuedLast = replicator.log.lastIndex()
+	replicator.journal.issuedLastIndex = replicator.log.lastIndex()
 	replicator.journal.durableIndex = replicator.log.lastIndex()
 	return nil
 }
--- a/pkg/replicator/transferring.go
+++ b/pkg/replicator/transferring.go
@@ -2,8 +2,8 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// requestTransfer starts to hand the leadership over. No proposals are taken
-// meanwhile, so that the other keeper can reach the end of the log.
+// requestTransfer starts to transfer the leadership. Proposals are refused meanwhile, so that
+// the target can reach the end of the log.
 func (replicator *Replicator) requestTransfer() {
 	leadership := &replicator.leadership
 	if replicator.role != RoleLeader || leadership.transferTo != "" {
@@ -12,7 +12,7 @@
 	best := identifier.HostID("")
 	for _, host := range replicator.peers.Keys() {
 		peer := replicator.peers.Get(host)
-		if !isVoter(replicator.Members(), host) || !replicator.inTouch(peer) {
+		if !isVoter(replicator.Members(), host) || !replicator.respondedRecently(peer) {
 			continue
 		}
 		if best == "" || peer.match > replicator.peers.Get(best).match {
@@ -27,7 +27,7 @@
 	leadership.transferDeadline = replicator.now.Add(replicator.Settings.ElectionTimeout)
 }
 
-// finishTransfer asks the other keeper to campaign once it holds the whole log.
+// finishTransfer asks the target to campaign once it holds the whole log.
 func (replicator *Replicator) finishTransfer() {
 	leadership := &replicator.leadership
 	if leadership.transferTo == "" || leadership.transferSent {
@@ -42,8 +42,8 @@
 	replicator.sendNow(leadership.transferTo, Message{CampaignNow: &CampaignNow{}})
 }
 
-// expireTransfer takes proposals again if the other keeper did not take over. The
-// lease stays given up for this term: that keeper may still campaign.
+// expireTransfer lets the leader accept proposals again if the target did not take over. The
+// lease stays given up for this term, since the target may still campaign.
 func (replicator *Replicator) expireTransfer() {
 	leadership := &replicator.leadership
 	if !leadership.transferDeadline.Due(replicator.now) {
