--- a/pkg/claimer/register.go
+++ b/pkg/claimer/register.go
@@ -1,15 +1,16 @@
-// Package claimer keeps the claims of not-repeatable jobs. A claim says which
-// submission may run a job; it is granted through the keepers' replicated log
-// before the first start, so that at most one submission of the job ever runs.
+// Package claimer implements the claims of not-repeatable jobs. A claim states which
+// submission may run a job. It is granted through the keepers' replicated log before the
+// first start, so that at most one submission of the job ever runs.
 //
-// Register is the state machine that every keeper applies; Requester asks for
-// claims on the hosts that lead cells. Both are pure.
+// Register is the state machine that every keeper applies. Requester requests claims on
+// the hosts that lead cells. Both are pure: they do no I/O and read no clock.
 //
-// A claim is kept whole for a time and then shrinks to a fingerprint, which is
-// never dropped by itself: a job whose fingerprint is known is refused as not
-// known to have run. Two jobs with the same fingerprint (one pair in 2^64) make
-// the second one refused, which is true as well. When the fingerprints reach
-// their bound, new claims are refused; forgetting one would allow a second run.
+// A claim is stored in full for the retention time and is then reduced to a fingerprint,
+// which is never evicted. A job whose fingerprint is known is refused as not known to have
+// run. If two jobs collide on a fingerprint (one pair in 2^64), the second one is refused
+// in the same way, and that statement is true for it too. When the number of fingerprints
+// reaches its bound, new claims are refused, because evicting a fingerprint would allow a
+// second run of its job.
 package claimer
 
 import (
@@ -19,53 +20,52 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// Verdict is the decision on a claim.
+// Verdict is the outcome of a claim.
 type Verdict int
 
 //go:generate enumer -type=Verdict -trimprefix=Verdict -transform=kebab -text
 
-// The verdicts on claims.
+// The outcomes of a claim.
 const (
-	// VerdictUnavailable means that no quorum could be asked in time.
+	// VerdictUnavailable means that no quorum could be reached in time.
 	VerdictUnavailable Verdict = iota
 	// VerdictGranted means that the submission may run the job.
 	VerdictGranted
 	// VerdictHeld means that another submission holds the claim.
 	VerdictHeld
-	// VerdictForgotten means that some submission had the claim so long ago that
-	// only its fingerprint is left.
+	// VerdictForgotten means that some submission held the claim so long ago that only its
+	// fingerprint is left, so the holder is unknown.
 	VerdictForgotten
-	// VerdictFull means that the register takes no further claims.
+	// VerdictFull means that the register has reached its bound and accepts no new claims.
 	VerdictFull
 )
 
-// Claim asks that a submission may run a not-repeatable job.
+// Claim requests the right of a submission to run a not-repeatable job.
 type Claim struct {
 	Caller     identifier.CallerID     `cbor:"1,keyasint"`
 	Job        identifier.JobID        `cbor:"2,keyasint"`
 	Submission identifier.SubmissionID `cbor:"3,keyasint"`
-	// Home is the failure domain whose lead answers for the submission.
+	// Home is the failure domain whose lead is responsible for the submission.
 	Home identifier.FailureDomain `cbor:"4,keyasint,omitempty"`
 }
 
-// Release gives back a claim under which nothing ran and nothing ever will.
+// Release gives up a claim under which nothing has run and nothing ever will.
 type Release struct {
 	Caller     identifier.CallerID     `cbor:"1,keyasint"`
 	Job        identifier.JobID        `cbor:"2,keyasint"`
 	Submission identifier.SubmissionID `cbor:"3,keyasint"`
 }
 
-// Command is one entry of the log for the register. Its parts are applied in the
-// order of its fields.
+// Command is one log entry for the register. Its fields are applied in their order.
 type Command struct {
 	Releases []Release `cbor:"1,keyasint,omitempty"`
 	Claims   []Claim   `cbor:"2,keyasint,omitempty"`
-	// ShrinkBelow shrinks the claims of log entries below it to fingerprints. The
-	// leader proposes it by its own clock; applying it compares no clocks.
+	// ShrinkBelow reduces the claims from log entries below this index to fingerprints. The
+	// leader chooses the index by its own clock; applying the command reads no clock.
 	ShrinkBelow identifier.LogIndex `cbor:"3,keyasint,omitempty"`
 }
 
-// Decision is the answer to one claim.
+// Decision is the result of one claim.
 type Decision struct {
 	Submission identifier.SubmissionID `cbor:"1,keyasint"`
 	Verdict    Verdict                 `cbor:"2,keyasint"`
@@ -74,7 +74,7 @@
 	HolderHome identifier.FailureDomain `cbor:"4,keyasint,omitempty"`
 }
 
-// jobKey names a job among all callers.
+// jobKey identifies a job; job ids are unique only within their caller.
 type jobKey struct {
 	caller identifier.CallerID
 	job    identifier.JobID
@@ -86,17 +86,17 @@
 	index      identifier.LogIndex
 }
 
-// Register is the state machine of claims. Set the exported fields before the
+// Register is the replicated state machine of claims. Set the exported fields before the
 // first Apply; they must be the same on every keeper.
 type Register struct {
-	// FingerprintBound is how many fingerprints are kept at most.
+	// FingerprintBound is the maximum number of claims and fingerprints together.
 	FingerprintBound int
 
 	claims       *tabulator.Table[jobKey, heldClaim]
 	fingerprints map[uint64]struct{}
 }
 
-// Apply carries out one command of the log and returns a decision for each claim.
+// Apply executes one command of the log and returns one decision per claim, in order.
 func (register *Register) Apply(index identifier.LogIndex, command *Command) []Decision {
 	register.prepare()
 	for _, release := range command.Releases {
@@ -110,13 +110,13 @@
 	return decisions
 }
 
-// Len returns how many claims are kept whole.
+// Len returns the number of claims stored in full.
 func (register *Register) Len() int {
 	register.prepare()
 	return register.claims.Len()
 }
 
-// Fingerprints returns how many claims have shrunk to fingerprints.
+// Fingerprints returns the number of claims that are reduced to fingerprints.
 func (register *Register) Fingerprints() int { return len(register.fingerprints) }
 
 func (register *Register) prepare() {
@@ -142,8 +142,8 @@
 	return Decision{Submission: claim.Submission, Verdict: VerdictGranted}
 }
 
-// decisionOnHeld grants the claim again to its own holder: the request is
-// idempotent, because the answer to the first one may have been lost.
+// decisionOnHeld decides on a job that has a claim. The holder itself is granted the claim
+// again: requests are idempotent, because the answer to the first one may have been lost.
 func decisionOnHeld(claim Claim, held *heldClaim) Decision {
 	verdict := VerdictHeld
 	if held.submission == claim.Submission {
@@ -159,8 +159,8 @@
 	}
 }
 
-// shrink replaces old claims by their fingerprints. Claims stand in the order of
-// their log entries, so the first young one ends the search.
+// shrink replaces old claims with their fingerprints. Claims are ordered by log index, so
+// the first one at or above the bound ends the iteration.
 func (register *Register) shrink(below identifier.LogIndex) {
 	register.claims.Each(func(key jobKey, held *heldClaim) bool {
 		if held.index >= below {
@@ -175,7 +175,7 @@
 func fingerprint(key jobKey) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
-	// The length stops ("ab", "c") and ("a", "bc") from being the same.
+	// The length prefix keeps ("ab", "c") and ("a", "bc") apart.
 	_, _ = digest.Write([]byte{byte(len(key.caller)), byte(len(key.caller) >> 8)})
 	_, _ = digest.WriteString(string(key.caller))
 	_, _ = digest.WriteString(string(key.job))
--- a/pkg/claimer/register_test.go
+++ b/pkg/claimer/register_test.go
@@ -10,14 +10,10 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// TestNoJobIsGrantedTwice
-//
-// Symptom: a not-repeatable job, such as issuing a quote, runs under two
-// submissions.
-// Sequence: claims, resends, releases and shrinking in any order, with keepers
-// that restart from a snapshot in between.
-// Cause that it guards against: a claim that is lost with a snapshot, dropped by
-// shrinking, or granted again to another submission.
+// TestNoJobIsGrantedTwice guards against a not-repeatable job, such as issuing a quote,
+// that runs under two submissions. It applies claims, resends, releases and shrinking in
+// random order, with restarts from a snapshot in between. The claim could be lost in a
+// snapshot, dropped by shrinking, or granted again to another submission.
 func TestNoJobIsGrantedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		register := &Register{FingerprintBound: 40}
@@ -27,7 +23,7 @@
 			command, claim := drawCommand(t, holders, identifier.LogIndex(index+1))
 			decisions := register.Apply(identifier.LogIndex(index+1), command)
 			for _, release := range command.Releases {
-				// A fingerprint can't be given back: nobody knows whose it is.
+				// A fingerprint can't be released: its holder is no longer known.
 				if key := (jobKey{caller: release.Caller, job: release.Job}); !shrunk[key] {
 					delete(holders, key)
 				}
@@ -37,7 +33,7 @@
 				markShrunk(holders, register, shrunk)
 			}
 			if rapid.Bool().Draw(t, "restart") {
-				register = restarted(t, register)
+				register = restoreFromSnapshot(t, register)
 			}
 		}
 	})
@@ -61,8 +57,8 @@
 	return command, claim
 }
 
-// checkDecision compares with the oracle: the first granted submission of a job
-// is the only one, for ever, unless it gave the claim back while it was whole.
+// checkDecision compares a decision with the oracle: the first submission that is granted a
+// job stays the only one, unless it releases the claim before it is reduced to a fingerprint.
 func checkDecision(t *rapid.T, holders map[jobKey]identifier.SubmissionID, claim Claim, decisions []Decision) {
 	if len(decisions) != 1 {
 		t.Fatalf("one claim got %d decisions", len(decisions))
@@ -94,7 +90,7 @@
 	}
 }
 
-func restarted(t *rapid.T, register *Register) *Register {
+func restoreFromSnapshot(t *rapid.T, register *Register) *Register {
 	content, err := register.Snapshot()
 	if err != nil {
 		t.Fatal(err)
--- a/pkg/claimer/requester.go
+++ b/pkg/claimer/requester.go
@@ -7,19 +7,19 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// lateGrantRetention is how long a given up claim is watched for a late grant.
+// lateGrantRetention is how long a late grant of a timed out claim is still reported.
 const lateGrantRetention = 10 * time.Minute
 
-// RequesterSettings bounds how long a claim is waited for.
+// RequesterSettings holds the timeouts of a claim.
 type RequesterSettings struct {
-	// Resend is how long an answer is waited for before the claim is asked for
-	// again, of the next keeper.
+	// Resend is the time without an answer after which the claim is sent again, to the
+	// next keeper.
 	Resend time.Duration
-	// GiveUp is how long a claim is asked for before it counts as unavailable.
+	// GiveUp is the time after which a claim without an answer counts as unavailable.
 	GiveUp time.Duration
 }
 
-// DefaultRequesterSettings returns the settings that the daemon starts from.
+// DefaultRequesterSettings returns the default settings of the daemon.
 func DefaultRequesterSettings() RequesterSettings {
 	return RequesterSettings{Resend: 500 * time.Millisecond, GiveUp: 3 * time.Second}
 }
@@ -27,36 +27,35 @@
 // Input is a message or event that Tick applies.
 type Input interface{ isClaimerInput() }
 
-// Output is a message that the owner of the requester sends on.
+// Output is a message that the owner of the requester delivers.
 type Output interface{ isClaimerOutput() }
 
-// Wanted asks for a claim.
+// Wanted requests a claim.
 type Wanted struct{ Claim Claim }
 
-// Released gives back a claim under which nothing ran.
+// Released gives up a claim under which nothing has run.
 type Released struct{ Release Release }
 
-// KeepersChanged lists the keepers that can be reached, the one believed to lead
-// first.
+// KeepersChanged lists the reachable keepers, starting with the presumed leader.
 type KeepersChanged struct{ Keepers []identifier.HostID }
 
-// Decided brings decisions from a keeper.
+// Decided delivers decisions from a keeper.
 type Decided struct{ Decisions []Decision }
 
-// Ask sends claims and releases of one tick to a keeper.
+// Ask sends the claims and releases of one tick to a keeper.
 type Ask struct {
 	Keeper  identifier.HostID
 	Command Command
 }
 
-// Verdicts carries decisions to the one who asked.
+// Verdicts reports decisions to whoever requested the claims.
 type Verdicts struct{ Decisions []Decision }
 
-// LateGrants names submissions whose claims were granted after they had been given up.
+// LateGrants names submissions whose claims were granted after they had timed out.
 //
-// The one who asked decides whether to give them back. Another lead of the home may have the same
-// submission by now and run it under the same claim: given back at once, it would let a
-// resubmission run as well, right after a host that was cut off is heard again.
+// The requesting side decides whether to release them. By now another lead of the home may have
+// the same submission and run it under the same claim. If the claim were released at once, a
+// resubmission could run as well, right after a host that was cut off responds again.
 type LateGrants struct{ Submissions []identifier.SubmissionID }
 
 func (*Wanted) isClaimerInput()         {}
@@ -67,23 +66,22 @@
 func (*Verdicts) isClaimerOutput()      {}
 func (*LateGrants) isClaimerOutput()    {}
 
-// Requester asks the keepers for claims. The claims of one tick travel in one
-// message, so that many share one sync. Set the exported fields before the first
-// Tick.
+// Requester requests claims from the keepers. The claims of one tick are sent in one
+// message, so that many share one sync. Set the exported fields before the first Tick.
 type Requester struct {
 	Settings RequesterSettings
 
 	now     identifier.Moment
 	pending *tabulator.Table[identifier.SubmissionID, pendingClaim]
-	// givenUp holds the claims that were told to be unavailable. One that is
-	// granted after all is told: its submission was refused and never runs, and the
-	// job could otherwise never run under another.
-	givenUp  *tabulator.Table[identifier.SubmissionID, Claim]
-	timers   *tabulator.Timers[identifier.SubmissionID]
-	keepers  []identifier.HostID
-	ask      Command
-	verdicts []Decision
-	late     []identifier.SubmissionID
+	// abandoned holds the claims that timed out or were released while pending. If one is
+	// granted after all, that is reported as a late grant: its submission was refused and
+	// never runs, and without a release the job could never run under another submission.
+	abandoned  *tabulator.Table[identifier.SubmissionID, Claim]
+	timers     *tabulator.Timers[identifier.SubmissionID]
+	keepers    []identifier.HostID
+	batch      Command
+	verdicts   []Decision
+	lateGrants []identifier.SubmissionID
 }
 
 type pendingClaim struct {
@@ -92,7 +90,7 @@
 	attempts int
 }
 
-// Tick applies the inputs, lets deadlines fall due and returns what to send.
+// Tick applies the inputs, handles expired deadlines and returns the messages to send.
 func (requester *Requester) Tick(now identifier.Moment, inputs []Input) []Output {
 	requester.prepare(now)
 	for _, input := range inputs {
@@ -102,7 +100,7 @@
 	return requester.flush()
 }
 
-// NextDeadline returns when Tick must run even without inputs.
+// NextDeadline returns when Tick must run next even without inputs, or identifier.Never.
 func (requester *Requester) NextDeadline() identifier.Moment {
 	if requester.timers == nil {
 		return identifier.Never
@@ -116,69 +114,69 @@
 		return
 	}
 	requester.pending = tabulator.New[identifier.SubmissionID, pendingClaim]()
-	requester.givenUp = tabulator.New[identifier.SubmissionID, Claim]()
+	requester.abandoned = tabulator.New[identifier.SubmissionID, Claim]()
 	requester.timers = tabulator.NewTimers[identifier.SubmissionID]()
 }
 
 func (requester *Requester) apply(input Input) {
 	switch input := input.(type) {
 	case *Wanted:
-		requester.want(input.Claim)
+		requester.handleWanted(input.Claim)
 	case *Released:
-		requester.release(input.Release)
+		requester.handleReleased(input.Release)
 	case *KeepersChanged:
-		requester.changeKeepers(input.Keepers)
+		requester.handleKeepersChanged(input.Keepers)
 	case *Decided:
 		for _, decision := range input.Decisions {
-			requester.decide(decision)
+			requester.handleDecision(decision)
 		}
 	}
 }
 
-// changeKeepers asks a new leader for every pending claim at once. What the old
-// one was asked for may have died with it; to wait for the resend would add half a
-// second to each job that waits.
-func (requester *Requester) changeKeepers(keepers []identifier.HostID) {
-	led := len(requester.keepers) > 0 && len(keepers) > 0 && requester.keepers[0] != keepers[0]
+// handleKeepersChanged sends every pending claim to a new leader at once. The requests to
+// the old leader may be lost with it, and waiting for the resend would add half a second to
+// each waiting job.
+func (requester *Requester) handleKeepersChanged(keepers []identifier.HostID) {
+	leaderChanged := len(requester.keepers) > 0 && len(keepers) > 0 && requester.keepers[0] != keepers[0]
 	requester.keepers = keepers
-	if !led {
+	if !leaderChanged {
 		return
 	}
 	requester.pending.Each(func(_ identifier.SubmissionID, pending *pendingClaim) bool {
 		pending.attempts = 0
-		requester.send(pending)
+		requester.addToBatch(pending)
 		return true
 	})
 }
 
-func (requester *Requester) want(claim Claim) {
+func (requester *Requester) handleWanted(claim Claim) {
 	pending := &pendingClaim{claim: claim, giveUpAt: requester.now.Add(requester.Settings.GiveUp)}
 	requester.pending.Put(claim.Submission, pending)
-	requester.send(pending)
+	requester.addToBatch(pending)
 }
 
-// release gives a claim back. One that is still asked for may be granted after its
-// release; that is told then.
-func (requester *Requester) release(release Release) {
+// handleReleased gives up a claim. One that is still pending may be granted after its
+// release; that is then reported as a late grant.
+func (requester *Requester) handleReleased(release Release) {
 	if pending := requester.pending.Get(release.Submission); pending != nil {
 		requester.pending.Remove(release.Submission)
 		requester.watchLateGrant(pending)
 	}
-	requester.ask.Releases = append(requester.ask.Releases, release)
+	requester.batch.Releases = append(requester.batch.Releases, release)
 }
 
-func (requester *Requester) send(pending *pendingClaim) {
-	requester.ask.Claims = append(requester.ask.Claims, pending.claim)
+func (requester *Requester) addToBatch(pending *pendingClaim) {
+	requester.batch.Claims = append(requester.batch.Claims, pending.claim)
 	pending.attempts++
 	due := identifier.Earlier(requester.now.Add(requester.Settings.Resend), pending.giveUpAt)
 	requester.timers.Set(pending.claim.Submission, due)
 }
 
-// decide passes a decision on once. A later one for the same submission finds
-// nothing pending.
-func (requester *Requester) decide(decision Decision) {
+// handleDecision reports the first decision on a submission. For a later one nothing is
+// pending, so it can only be a late grant.
+func (requester *Requester) handleDecision(decision Decision) {
 	if requester.pending.Get(decision.Submission) == nil {
-		requester.tellLate(decision)
+		requester.recordLateGrant(decision)
 		return
 	}
 	requester.pending.Remove(decision.Submission)
@@ -186,13 +184,13 @@
 	requester.verdicts = append(requester.verdicts, decision)
 }
 
-// tellLate notes a claim that was granted after it had been given up.
-func (requester *Requester) tellLate(decision Decision) {
-	if requester.givenUp.Get(decision.Submission) == nil || decision.Verdict != VerdictGranted {
+// recordLateGrant records a claim that was granted after it had timed out.
+func (requester *Requester) recordLateGrant(decision Decision) {
+	if requester.abandoned.Get(decision.Submission) == nil || decision.Verdict != VerdictGranted {
 		return
 	}
-	requester.givenUp.Remove(decision.Submission)
-	requester.late = append(requester.late, decision.Submission)
+	requester.abandoned.Remove(decision.Submission)
+	requester.lateGrants = append(requester.lateGrants, decision.Submission)
 }
 
 func (requester *Requester) expire() {
@@ -202,54 +200,54 @@
 func (requester *Requester) expireOne(submission identifier.SubmissionID) {
 	pending := requester.pending.Get(submission)
 	if pending == nil {
-		requester.givenUp.Remove(submission)
+		requester.abandoned.Remove(submission)
 		return
 	}
 	if pending.giveUpAt.Due(requester.now) {
-		requester.giveUp(pending)
+		requester.handleTimeout(pending)
 		return
 	}
-	requester.send(pending)
+	requester.addToBatch(pending)
 }
 
-func (requester *Requester) giveUp(pending *pendingClaim) {
+func (requester *Requester) handleTimeout(pending *pendingClaim) {
 	submission := pending.claim.Submission
-	requester.decide(Decision{Submission: submission, Verdict: VerdictUnavailable})
+	requester.handleDecision(Decision{Submission: submission, Verdict: VerdictUnavailable})
 	requester.watchLateGrant(pending)
 }
 
 func (requester *Requester) watchLateGrant(pending *pendingClaim) {
 	submission := pending.claim.Submission
-	requester.givenUp.Put(submission, &pending.claim)
+	requester.abandoned.Put(submission, &pending.claim)
 	forgetAt := requester.now.Add(lateGrantRetention)
 	requester.timers.Set(submission, forgetAt)
 }
 
-// flush sends the claims of this tick to one keeper. Which one moves on with
-// each attempt, so that a keeper that has gone silent does not hold claims up.
+// flush sends the claims of this tick to one keeper. Each attempt goes to the next keeper,
+// so that an unresponsive one doesn't delay claims.
 func (requester *Requester) flush() []Output {
 	var outputs []Output
-	asking := len(requester.ask.Claims) > 0 || len(requester.ask.Releases) > 0
-	if asking && len(requester.keepers) > 0 {
+	hasCommand := len(requester.batch.Claims) > 0 || len(requester.batch.Releases) > 0
+	if hasCommand && len(requester.keepers) > 0 {
 		keeper := requester.keepers[requester.mostAttempts()%len(requester.keepers)]
-		outputs = append(outputs, &Ask{Keeper: keeper, Command: requester.ask})
+		outputs = append(outputs, &Ask{Keeper: keeper, Command: requester.batch})
 	}
-	requester.ask = Command{}
+	requester.batch = Command{}
 	if len(requester.verdicts) > 0 {
 		outputs = append(outputs, &Verdicts{Decisions: requester.verdicts})
 		requester.verdicts = nil
 	}
-	if len(requester.late) > 0 {
-		outputs = append(outputs, &LateGrants{Submissions: requester.late})
-		requester.late = nil
+	if len(requester.lateGrants) > 0 {
+		outputs = append(outputs, &LateGrants{Submissions: requester.lateGrants})
+		requester.lateGrants = nil
 	}
 	return outputs
 }
 
-// mostAttempts returns how often the claims of this tick have been sent before.
+// mostAttempts returns the largest number of earlier attempts among the claims of this tick.
 func (requester *Requester) mostAttempts() int {
 	most := 0
-	for _, claim := range requester.ask.Claims {
+	for _, claim := range requester.batch.Claims {
 		if pending := requester.pending.Get(claim.Submission); pending != nil {
 			most = max(most, pending.attempts-1)
 		}
--- a/pkg/claimer/seed_test.go
+++ b/pkg/claimer/seed_test.go
@@ -1,4 +1,4 @@
 package claimer
 
-// The random tests draw from a fixed seed, so that CI has one verdict.
+// The seeder fixes the seed of the random tests, so that CI results are reproducible.
 import _ "github.com/stoathitch/stoathitch/pkg/seeder"
