--- a/pkg/configurer/evacuation.go
+++ b/pkg/configurer/evacuation.go
@@ -7,35 +7,34 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Evacuation orders that nothing more is started on the backend servers of a failure
-// domain, or takes such an order back.
+// Evacuation orders that no further tasks are started on the backend servers of a failure
+// domain, or withdraws such an order.
 type Evacuation struct {
-	// Request makes the order idempotent.
+	// Request identifies the order, so that a resend has no second effect.
 	Request identifier.RequestID `cbor:"1,keyasint"`
-	// Expected is the version that the order is based on. An order on a failure domain
-	// for which another one was accepted since has no effect: it is older than that one.
+	// Expected is the version that the order is based on. The order is rejected if a later
+	// order for the same failure domain has been accepted since.
 	Expected      identifier.ConfigVersion `cbor:"2,keyasint"`
 	FailureDomain identifier.FailureDomain `cbor:"3,keyasint"`
-	// Withdrawn takes the evacuation back.
+	// Withdrawn ends the evacuation.
 	Withdrawn bool `cbor:"4,keyasint,omitempty"`
-	// Operator is who asks.
+	// Operator is the name of the operator who issued the order.
 	Operator string `cbor:"5,keyasint"`
-	// At is the wall clock of the proposer in RFC 3339, for display only.
+	// At is the proposer's wall-clock time in RFC 3339, for display only.
 	At string `cbor:"6,keyasint,omitempty"`
 }
 
-// EvacuationState is what the last order on a failure domain has left.
+// EvacuationState is the state of a failure domain after the last order for it.
 type EvacuationState struct {
 	FailureDomain identifier.FailureDomain `cbor:"1,keyasint" json:"failure-domain"`
 	Evacuated     bool                     `cbor:"2,keyasint,omitempty" json:"evacuated"`
-	// ChangedIn is the version that the order made.
+	// ChangedIn is the version that the order created.
 	ChangedIn identifier.ConfigVersion `cbor:"3,keyasint" json:"changed-in"`
 	Operator  string                   `cbor:"4,keyasint,omitempty" json:"operator,omitempty"`
 	At        string                   `cbor:"5,keyasint,omitempty" json:"at,omitempty"`
 }
 
-// Evacuated lists the failure domains that are evacuated in a version, in the order of
-// their names.
+// Evacuated returns the failure domains that are evacuated in a version, sorted by name.
 func (version *Version) Evacuated() []identifier.FailureDomain {
 	var evacuated []identifier.FailureDomain
 	for _, state := range version.Evacuations {
@@ -46,8 +45,8 @@
 	return evacuated
 }
 
-// evacuation is what the last order on a failure domain has left; nothing was ordered on
-// one that no order has named.
+// evacuation returns the state of a failure domain. One that no order has named is not
+// evacuated and has ChangedIn 0.
 func (version *Version) evacuation(domain identifier.FailureDomain) EvacuationState {
 	for _, state := range version.Evacuations {
 		if state.FailureDomain == domain {
@@ -57,7 +56,7 @@
 	return EvacuationState{FailureDomain: domain}
 }
 
-// withEvacuation returns the states of a version with that of one failure domain replaced.
+// withEvacuation returns a copy of the states with that of one failure domain replaced.
 func (version *Version) withEvacuation(changed EvacuationState) []EvacuationState {
 	states := slices.Clone(version.Evacuations)
 	position, known := slices.BinarySearchFunc(states, changed.FailureDomain, func(state EvacuationState, domain identifier.FailureDomain) int {
@@ -70,10 +69,10 @@
 	return slices.Insert(states, position, changed)
 }
 
-// ApplyEvacuation carries out an order and returns its result. It makes a new version with
-// the document of the one before, so that hosts learn of it as they do of a configuration.
+// ApplyEvacuation executes an order and returns its result. An accepted order creates a new
+// version with the previous document, so that it reaches hosts as a configuration does.
 func (register *Register) ApplyEvacuation(order *Evacuation) Result {
-	return register.once(order.Request, func() Result { return register.decideEvacuation(order) })
+	return register.decideOnce(order.Request, func() Result { return register.decideEvacuation(order) })
 }
 
 func (register *Register) decideEvacuation(order *Evacuation) Result {
@@ -81,9 +80,9 @@
 	before := newest.evacuation(order.FailureDomain)
 	switch {
 	case before.Evacuated == !order.Withdrawn:
-		return register.rejected(order.Request, VerdictSuperseded)
+		return register.rejectedResult(order.Request, VerdictSuperseded)
 	case before.ChangedIn > order.Expected:
-		return register.rejected(order.Request, VerdictConflict)
+		return register.rejectedResult(order.Request, VerdictConflict)
 	}
 	accepted := newest
 	accepted.Version++
--- a/pkg/configurer/evacuation_test.go
+++ b/pkg/configurer/evacuation_test.go
@@ -16,8 +16,8 @@
 	return &configurer.Register{HistoryBound: 10, ResultBound: 10}
 }
 
-// TestEvacuationIsNotOvertaken guards against an order that was held up on its way and undoes the
-// opposite one, which was acknowledged since.
+// TestEvacuationIsNotOvertaken guards against an order that is delayed in transit and undoes the
+// opposite order, which was acknowledged in the meantime.
 func TestEvacuationIsNotOvertaken(t *testing.T) {
 	register := newRegister()
 	for step, order := range []struct {
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestResentEvacuationGetsItsFirstAnswer guards against a resend that evacuates anew what was taken
-// back meanwhile.
+// TestResentEvacuationGetsItsFirstAnswer guards against a resent order that evacuates a failure
+// domain again although the evacuation was withdrawn in the meantime.
 func TestResentEvacuationGetsItsFirstAnswer(t *testing.T) {
 	register := newRegister()
 	order := &configurer.Evacuation{Request: "a", FailureDomain: "leuven"}
@@ -59,8 +59,9 @@
 	}
 }
 
-// TestEvacuationOutlivesChanges guards against a configuration, a snapshot or the bound of the
-// history that lets an evacuation be forgotten, in any order of both kinds of changes.
+// TestEvacuationOutlivesChanges guards against an evacuation that is lost when the configuration
+// changes, a snapshot is restored or old versions are dropped. It applies both kinds of changes in
+// random order.
 func TestEvacuationOutlivesChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		register := newRegister()
@@ -81,7 +82,7 @@
 				})
 				wanted[domain] = !withdrawn
 			case 2:
-				register = restored(t, register)
+				register = restoreFromSnapshot(t, register)
 			}
 			newest = register.Newest()
 			for domain, evacuated := range wanted {
@@ -96,7 +97,7 @@
 	})
 }
 
-func restored(t *rapid.T, register *configurer.Register) *configurer.Register {
+func restoreFromSnapshot(t *rapid.T, register *configurer.Register) *configurer.Register {
 	content, err := register.Snapshot()
 	if err != nil {
 		t.Fatal(err)
--- a/pkg/configurer/follower.go
+++ b/pkg/configurer/follower.go
@@ -8,17 +8,17 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// FollowerSettings says how versions spread.
+// FollowerSettings holds the timeouts of a Follower.
 type FollowerSettings struct {
-	// FetchTimeout is how long a document is waited for before another host is
-	// asked.
+	// FetchTimeout is how long to wait for a document before it is requested from
+	// another host.
 	FetchTimeout time.Duration
-	// Settle is how long a starting host waits to hear of the version in force in
-	// its failure domain before it says that there is none.
+	// Settle is how long a starting host waits to learn the version in force in its
+	// failure domain before it reports that there is none.
 	Settle time.Duration
 }
 
-// DefaultFollowerSettings returns the settings that the daemon starts from.
+// DefaultFollowerSettings returns the default settings of the daemon.
 func DefaultFollowerSettings() FollowerSettings {
 	return FollowerSettings{FetchTimeout: 500 * time.Millisecond, Settle: 2 * time.Second}
 }
@@ -26,22 +26,22 @@
 // Input is a message or event that Tick applies.
 type Input interface{ isConfigurerInput() }
 
-// Output is a message that the owner of the follower sends on.
+// Output is a message or event that the owner of the follower delivers.
 type Output interface{ isConfigurerOutput() }
 
-// VersionSeen tells that a host has a version.
+// VersionSeen reports that a host has a version.
 type VersionSeen struct {
 	Host    identifier.HostID
 	Version identifier.ConfigVersion
 }
 
-// VersionFetched brings a document, from another host or from the own keeper.
+// VersionFetched delivers a version with its document, from another host or the local keeper.
 type VersionFetched struct{ Version Version }
 
-// VersionRequested asks for the version in force here.
+// VersionRequested is another host's request for the version in force here.
 type VersionRequested struct{ From identifier.HostID }
 
-// Fetch asks a host for the version that it has.
+// Fetch requests from a host the version that it has.
 type Fetch struct{ From identifier.HostID }
 
 // Serve sends the version in force here.
@@ -50,7 +50,7 @@
 	Version Version
 }
 
-// InForce tells that a version is in force on this host from now on.
+// InForce reports that a version is in force on this host from now on.
 type InForce struct{ Version Version }
 
 func (*VersionSeen) isConfigurerInput()      {}
@@ -60,10 +60,9 @@
 func (*Serve) isConfigurerOutput()           {}
 func (*InForce) isConfigurerOutput()         {}
 
-// Follower holds the version in force on one host. A version number that other
-// hosts announce is fetched from one of them; an older document than the one in
-// force is dropped, whoever sends it. Set the exported fields before the first
-// Tick.
+// Follower holds the version in force on one host. When other hosts announce a newer version
+// number, it fetches the document from one of them. A document older than the one in force is
+// dropped, whoever sends it. Set the exported fields before the first Tick.
 type Follower struct {
 	Settings FollowerSettings
 	// StartedAt is when this host started.
@@ -71,30 +70,30 @@
 
 	now     identifier.Moment
 	inForce Version
-	// newest is the highest version that any host has announced.
+	// newest is the highest version number that any host has announced.
 	newest identifier.ConfigVersion
 	// sources are the hosts that have announced the newest version.
 	sources []identifier.HostID
-	asked   int
-	timers  *tabulator.Timers[struct{}]
-	outputs []Output
+	// attempts is the number of fetches of the newest version so far.
+	attempts int
+	timers   *tabulator.Timers[struct{}]
+	outputs  []Output
 }
 
-// Version returns the version in force here.
+// Version returns the number of the version in force here, or 0 before the first.
 func (follower *Follower) Version() identifier.ConfigVersion { return follower.inForce.Version }
 
-// InForce returns the configuration in force here; its version is 0 before the
-// first.
+// InForce returns the configuration in force here; its version is 0 before the first.
 func (follower *Follower) InForce() Version { return follower.inForce }
 
-// Known tells whether this host knows what is in force. One that has just started
-// and heard of no version yet does not: to say "none" would look as if the
-// configuration had gone back to before the first.
+// Known reports whether this host knows which version is in force. A recently started host
+// that hasn't learned of any version doesn't: reporting "none" would look as if the
+// configuration had been rolled back to the state before the first version.
 func (follower *Follower) Known(now identifier.Moment) bool {
 	return follower.inForce.Version > 0 || now.Sub(follower.StartedAt) >= follower.Settings.Settle
 }
 
-// Tick applies the inputs, lets deadlines fall due and returns what to send.
+// Tick applies the inputs, handles expired deadlines and returns the messages to send.
 func (follower *Follower) Tick(now identifier.Moment, inputs []Input) []Output {
 	follower.now = now
 	if follower.timers == nil {
@@ -111,7 +110,7 @@
 	return outputs
 }
 
-// NextDeadline returns when Tick must run even without inputs.
+// NextDeadline returns when Tick must run next even without inputs, or identifier.Never.
 func (follower *Follower) NextDeadline() identifier.Moment {
 	if follower.timers == nil {
 		return identifier.Never
@@ -122,7 +121,7 @@
 func (follower *Follower) apply(input Input) {
 	switch input := input.(type) {
 	case *VersionSeen:
-		follower.see(input)
+		follower.handleVersionSeen(input)
 	case *VersionFetched:
 		follower.adopt(input.Version)
 	case *VersionRequested:
@@ -132,38 +131,38 @@
 	}
 }
 
-// see notes who has a newer version, and asks for it at once.
-func (follower *Follower) see(input *VersionSeen) {
+// handleVersionSeen records which host has a newer version and fetches it at once.
+func (follower *Follower) handleVersionSeen(input *VersionSeen) {
 	if input.Version <= follower.inForce.Version || input.Version < follower.newest {
 		return
 	}
 	if input.Version > follower.newest {
 		follower.newest = input.Version
 		follower.sources = nil
-		follower.asked = 0
+		follower.attempts = 0
 	}
 	if !slices.Contains(follower.sources, input.Host) {
 		follower.sources = append(follower.sources, input.Host)
 	}
-	if follower.asked == 0 {
+	if follower.attempts == 0 {
 		follower.fetch()
 	}
 }
 
-// fetch asks the next host that has the newest version. One that was asked
-// before may have died with the request.
+// fetch requests the newest version from the next host that has it. The host that got the
+// previous request may have died before it answered.
 func (follower *Follower) fetch() {
 	if follower.newest <= follower.inForce.Version || len(follower.sources) == 0 {
 		return
 	}
-	source := follower.sources[follower.asked%len(follower.sources)]
-	follower.asked++
+	source := follower.sources[follower.attempts%len(follower.sources)]
+	follower.attempts++
 	follower.outputs = append(follower.outputs, &Fetch{From: source})
 	follower.timers.Set(struct{}{}, follower.now.Add(follower.Settings.FetchTimeout))
 }
 
-// adopt puts a newer version in force. An older one must never come back: teams
-// would run under quotas that an operator has withdrawn.
+// adopt puts a newer version in force. An older one must never return: teams would run under
+// quotas that an operator has withdrawn.
 func (follower *Follower) adopt(version Version) {
 	if version.Version <= follower.inForce.Version {
 		return
--- a/pkg/configurer/register.go
+++ b/pkg/configurer/register.go
@@ -1,10 +1,9 @@
-// Package configurer keeps the shared configuration: the one accepted version
-// after the other, through the keepers' replicated log, and how it spreads to
-// every host.
+// Package configurer implements the shared configuration: how versions are accepted one after
+// the other through the keepers' replicated log, and how they spread to every host.
 //
-// Register is the state machine that every keeper applies. Follower, on every
-// host, holds the version in force there and never goes back to an older one.
-// Both are pure.
+// Register is the state machine that every keeper applies. Follower runs on every host, holds
+// the version in force there and never returns to an older one. Both are pure: they do no I/O
+// and read no clock.
 package configurer
 
 import (
@@ -16,96 +15,97 @@
 
 //go:generate enumer -type=Verdict,ErrorKind -trimprefix=Verdict,Error -transform=kebab -text -output=enums_enumer.go
 
-// Verdict is the decision on a change.
+// Verdict is the outcome of a change or an evacuation order.
 type Verdict int
 
-// The verdicts on changes.
+// The outcomes of changes and evacuation orders.
 const (
-	// VerdictAccepted means that the change is the newest version now.
+	// VerdictAccepted means that the change is now the newest version.
 	VerdictAccepted Verdict = iota
 	// VerdictConflict means that another change was accepted first.
 	VerdictConflict
-	// VerdictSuperseded means that the newest version has the change's revision or a
-	// higher one. Nothing has changed and nothing needs to.
+	// VerdictSuperseded means that the newest version has the change's revision or a higher
+	// one, or that the failure domain is already in the ordered state. Nothing was changed
+	// and nothing needs to be.
 	VerdictSuperseded
 )
 
-// Change asks for a new version.
+// Change requests a new version of the document.
 type Change struct {
-	// Request makes the change idempotent.
+	// Request identifies the change, so that a resend has no second effect.
 	Request identifier.RequestID `cbor:"1,keyasint"`
-	// Expected is the version that the operator has seen; the change is accepted
-	// only if it is still the newest.
+	// Expected is the version that the operator has seen. The change is accepted only if
+	// that is still the newest.
 	Expected identifier.ConfigVersion `cbor:"2,keyasint"`
-	// Operator is who asks.
+	// Operator is the name of the operator who submitted the change.
 	Operator string `cbor:"3,keyasint"`
-	// Document is the whole configuration as JSON, checked before it is proposed.
+	// Document is the whole configuration as JSON, validated before it is proposed.
 	Document []byte `cbor:"4,keyasint"`
-	// At is the wall clock of the proposer in RFC 3339, for display only.
+	// At is the proposer's wall-clock time in RFC 3339, for display only.
 	At string `cbor:"5,keyasint,omitempty"`
 	// Revision is set by a source that numbers its documents itself. Such a change is
-	// accepted if its revision is higher than the newest version's, whatever Expected
-	// says, so that documents may arrive out of order and more than once.
+	// accepted if its revision is higher than the newest version's, regardless of Expected,
+	// so that documents may arrive out of order and more than once.
 	Revision identifier.ConfigRevision `cbor:"6,keyasint,omitempty"`
 }
 
-// Version is one accepted configuration, with the evacuations that are in force. It has no
-// document where a failure domain was evacuated before the first configuration.
+// Version is one accepted configuration with the state of the evacuations. Its document is
+// empty if a failure domain was evacuated before the first configuration.
 type Version struct {
 	Version  identifier.ConfigVersion `cbor:"1,keyasint" json:"version"`
 	Operator string                   `cbor:"2,keyasint" json:"operator"`
 	Request  identifier.RequestID     `cbor:"3,keyasint" json:"request"`
 	At       string                   `cbor:"4,keyasint,omitempty" json:"at"`
 	Document []byte                   `cbor:"5,keyasint" json:"-"`
-	// Revision is the outside source's number of the document, if it has one.
+	// Revision is the number that an external source gave the document, or 0.
 	Revision identifier.ConfigRevision `cbor:"6,keyasint,omitempty" json:"revision,omitempty"`
-	// Evacuations are those of the failure domains that an order has ever named, in the
-	// order of their names.
+	// Evacuations holds one state for each failure domain that an order has ever named,
+	// sorted by name.
 	Evacuations []EvacuationState `cbor:"7,keyasint,omitempty" json:"evacuations,omitempty"`
 }
 
-// Result is the answer to a change.
+// Result is the answer to a change or an evacuation order.
 type Result struct {
 	Request identifier.RequestID `cbor:"1,keyasint" json:"request"`
 	Verdict Verdict              `cbor:"2,keyasint" json:"verdict"`
-	// Newest is the newest version after the change: the accepted one, or the one
-	// that won.
+	// Newest is the newest version after the request: the accepted one, or the one that
+	// took precedence.
 	Newest identifier.ConfigVersion `cbor:"3,keyasint" json:"version"`
-	// Winner is the operator of the newest version and WonAt its moment.
+	// Winner is the operator of the newest version and WonAt is its At.
 	Winner string `cbor:"4,keyasint,omitempty" json:"winner,omitempty"`
 	WonAt  string `cbor:"5,keyasint,omitempty" json:"won-at,omitempty"`
 }
 
-// Register is the state machine of the configuration. Set the exported fields
+// Register is the replicated state machine of the configuration. Set the exported fields
 // before the first Apply; they must be the same on every keeper.
 type Register struct {
-	// HistoryBound is how many versions are kept.
+	// HistoryBound is the maximum number of retained versions.
 	HistoryBound int
-	// ResultBound is how many results are kept for resent requests.
+	// ResultBound is the maximum number of results retained for resent requests.
 	ResultBound int
 
 	versions []Version
 	results  *tabulator.Table[identifier.RequestID, Result]
 }
 
-// Apply carries out one change and returns its result. A request that was
-// answered before gets that answer again and changes nothing.
+// Apply executes one change and returns its result. A request that was answered before gets
+// the same answer again and changes nothing.
 func (register *Register) Apply(change *Change) Result {
-	return register.once(change.Request, func() Result { return register.decide(change) })
+	return register.decideOnce(change.Request, func() Result { return register.decide(change) })
 }
 
-// once decides on a request, unless it was decided on before.
-func (register *Register) once(request identifier.RequestID, decide func() Result) Result {
+// decideOnce returns the recorded result of a request, or decides on it and records the result.
+func (register *Register) decideOnce(request identifier.RequestID, decide func() Result) Result {
 	register.prepare()
 	if known := register.results.Get(request); known != nil {
 		return *known
 	}
 	result := decide()
-	register.remember(result)
+	register.recordResult(result)
 	return result
 }
 
-// Newest returns the newest version, or a zero Version where there is none.
+// Newest returns the newest version, or a zero Version if there is none.
 func (register *Register) Newest() Version {
 	if len(register.versions) == 0 {
 		return Version{}
@@ -113,7 +113,7 @@
 	return register.versions[len(register.versions)-1]
 }
 
-// History returns the kept versions, the oldest first.
+// History returns a copy of the retained versions, oldest first.
 func (register *Register) History() []Version { return slices.Clone(register.versions) }
 
 func (register *Register) prepare() {
@@ -124,7 +124,7 @@
 
 func (register *Register) decide(change *Change) Result {
 	if verdict, rejected := register.rejection(change); rejected {
-		return register.rejected(change.Request, verdict)
+		return register.rejectedResult(change.Request, verdict)
 	}
 	newest := register.Newest()
 	return register.accept(Version{
@@ -138,7 +138,7 @@
 	})
 }
 
-// accept makes a version the newest one.
+// accept appends a version as the newest and drops the oldest ones above HistoryBound.
 func (register *Register) accept(accepted Version) Result {
 	register.versions = append(register.versions, accepted)
 	if excess := len(register.versions) - register.HistoryBound; excess > 0 {
@@ -150,8 +150,8 @@
 	}
 }
 
-// rejected answers a request that changes nothing.
-func (register *Register) rejected(request identifier.RequestID, verdict Verdict) Result {
+// rejectedResult returns the result of a request that changes nothing.
+func (register *Register) rejectedResult(request identifier.RequestID, verdict Verdict) Result {
 	newest := register.Newest()
 	return Result{
 		Request: request, Verdict: verdict,
@@ -159,7 +159,7 @@
 	}
 }
 
-// rejection tells why a change does not become the newest version, if it doesn't.
+// rejection reports whether a change is rejected, and with which verdict.
 func (register *Register) rejection(change *Change) (Verdict, bool) {
 	newest := register.Newest()
 	switch {
@@ -170,7 +170,7 @@
 	}
 }
 
-func (register *Register) remember(result Result) {
+func (register *Register) recordResult(result Result) {
 	register.results.Put(result.Request, &result)
 	if register.results.Len() <= register.ResultBound {
 		return
--- a/pkg/configurer/revision_test.go
+++ b/pkg/configurer/revision_test.go
@@ -8,12 +8,11 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Symptom: an acknowledged configuration is replaced by an older one, or a change that
-// was acknowledged is refused when it is sent again.
-// Sequence: an outside source numbers its documents itself. A change is sent again after
-// its answer was lost, an older one arrives late, and another document comes under the
-// number that is held.
-// Cause: which document is the newest was decided by the order of arrival.
+// TestHighestRevisionWins guards against an acknowledged configuration that is replaced by an
+// older one, and against an acknowledged change that is refused when it is resent. An external
+// source numbers its documents itself: a change is resent after its answer was lost, an older
+// one arrives late, and a different document arrives under the current number. The failure
+// comes about if the order of arrival decides which document is the newest.
 func TestHighestRevisionWins(t *testing.T) {
 	register := &configurer.Register{HistoryBound: 10, ResultBound: 10}
 	for step, change := range []struct {
@@ -41,7 +40,8 @@
 	}
 }
 
-// A request that is sent again gets its first answer, whatever came since.
+// TestResentRevisionGetsItsFirstAnswer checks that a resent request gets its first answer,
+// whatever was accepted in the meantime.
 func TestResentRevisionGetsItsFirstAnswer(t *testing.T) {
 	register := &configurer.Register{HistoryBound: 10, ResultBound: 10}
 	first := &configurer.Change{Request: "a", Operator: "anna", Revision: 7}
--- a/pkg/configurer/snapshot.go
+++ b/pkg/configurer/snapshot.go
@@ -8,7 +8,7 @@
 	"github.com/stoathitch/stoathitch/pkg/wrapper"
 )
 
-// ErrorKind tells what kind of thing went wrong.
+// ErrorKind classifies the errors of this package.
 type ErrorKind int
 
 // The kinds of errors of this package.
@@ -20,14 +20,14 @@
 // Error is the error type of this package.
 type Error = wrapper.Error[ErrorKind]
 
-// snapshot is the durable form of a register.
+// snapshot is the serialized form of a register.
 type snapshot struct {
 	Versions []Version `cbor:"1,keyasint,omitempty"`
 	Results  []Result  `cbor:"2,keyasint,omitempty"`
 }
 
-// Snapshot returns the whole state in a form that is the same on every keeper
-// which has applied the same entries.
+// Snapshot serializes the whole state. Keepers that have applied the same entries return
+// the same bytes.
 func (register *Register) Snapshot() ([]byte, error) {
 	register.prepare()
 	state := snapshot{Versions: register.versions}
@@ -42,7 +42,7 @@
 	return content, nil
 }
 
-// Restore replaces the whole state by a snapshot.
+// Restore replaces the whole state with a snapshot. On an error the state is unchanged.
 func (register *Register) Restore(content []byte) error {
 	var state snapshot
 	if err := cbor.Unmarshal(content, &state); err != nil {
