--- a/pkg/keeper/command.go
+++ b/pkg/keeper/command.go
@@ -14,43 +14,43 @@
 	Claims *claimer.Command   `cbor:"1,keyasint,omitempty"`
 	Change *configurer.Change `cbor:"2,keyasint,omitempty"`
 	Intent *planner.Command   `cbor:"3,keyasint,omitempty"`
-	// Evacuation is answered like a Change.
+	// Evacuation has its result in Result.Change.
 	Evacuation *configurer.Evacuation `cbor:"4,keyasint,omitempty"`
 }
 
-// Result is what applying a command returned; the field of the command's kind is
-// set.
+// Result is the result of an applied command or a read; the field that matches its kind
+// is set.
 type Result struct {
 	Decisions []claimer.Decision `cbor:"1,keyasint,omitempty"`
 	Change    *configurer.Result `cbor:"2,keyasint,omitempty"`
 	Intent    *planner.Result    `cbor:"3,keyasint,omitempty"`
-	// Intents answers a request that reads.
+	// Intents is the result of an IntentRead.
 	Intents *IntentRecords `cbor:"4,keyasint,omitempty"`
-	// Config answers a request that reads the configuration; its version is 0 before
-	// the first one.
+	// Config is the result of reading the configuration; its version is 0 before the
+	// first one.
 	Config *configurer.Version `cbor:"5,keyasint,omitempty"`
 }
 
-// Nonce names a request between the host that asks and its reply.
+// Nonce matches a reply with its request on the requesting host.
 type Nonce uint64
 
-// Request asks the keepers to carry out a command. It may be sent again: every
-// command is idempotent by the ids that it holds.
+// Request asks the keepers to execute a command or a read. It may be resent: every command
+// is idempotent by the ids that it contains.
 type Request struct {
 	// Origin is the host that gets the reply.
 	Origin  identifier.HostID `cbor:"1,keyasint"`
 	Nonce   Nonce             `cbor:"2,keyasint"`
 	Command Command           `cbor:"3,keyasint"`
-	// Forwarded tells that a keeper which does not lead has passed it on. It is
-	// passed on once, so that two keepers with old views don't send it in circles.
+	// Forwarded reports whether a follower has forwarded the request. It is forwarded only
+	// once, so that two keepers with outdated views don't send it back and forth.
 	Forwarded bool `cbor:"4,keyasint,omitempty"`
-	// Read asks to read in place of carrying out a command.
+	// Read requests intents instead of executing a command.
 	Read *IntentRead `cbor:"5,keyasint,omitempty"`
-	// ReadConfig asks for the newest configuration in place of carrying out a command.
+	// ReadConfig requests the newest configuration instead of executing a command.
 	ReadConfig bool `cbor:"6,keyasint,omitempty"`
 }
 
-// reads tells whether the request carries out no command.
+// reads reports whether the request is a read, which executes no command.
 func (request *Request) reads() bool { return request.Read != nil || request.ReadConfig }
 
 // Reply answers a Request.
@@ -58,25 +58,25 @@
 	Nonce  Nonce     `cbor:"1,keyasint"`
 	Kind   ReplyKind `cbor:"2,keyasint,omitempty"`
 	Result Result    `cbor:"3,keyasint,omitempty"`
-	// Leader is the leader as far as the replying keeper knows, or empty.
+	// Leader is the last known leader of the replying keeper, or empty.
 	Leader identifier.HostID `cbor:"4,keyasint,omitempty"`
 }
 
 //go:generate enumer -type=ReplyKind -trimprefix=Reply -transform=kebab -text
 
-// ReplyKind tells what became of a request.
+// ReplyKind is the outcome of a request.
 type ReplyKind int
 
-// The kinds of replies.
+// The outcomes of a request.
 const (
 	// ReplyApplied means that the command is durable on a quorum and applied.
 	ReplyApplied ReplyKind = iota
-	// ReplyUnknown means that the leadership was lost: the command may yet be
-	// applied or never. Sending it again finds out.
+	// ReplyUnknown means that the leadership was lost before the command was committed: it
+	// may still be applied, or never. Resending it finds out.
 	ReplyUnknown
-	// ReplyNotLed means that no leader is known here; nothing was done.
+	// ReplyNotLed means that this keeper isn't the leader or knows none; nothing was done.
 	ReplyNotLed
-	// ReplyRefused means that the leader takes no commands now; nothing was done.
+	// ReplyRefused means that the leader accepts no commands now; nothing was done.
 	ReplyRefused
 )
 
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -1,7 +1,7 @@
-// Package keeper is the part of a host with a disk: it joins the replicated log
-// with the state that is agreed through it (claims of not-repeatable jobs and the
-// shared configuration), serves the requests of other hosts, and hands what must
-// be durable to the journal. It is pure.
+// Package keeper implements the keeper role of a host with a disk. It connects the replicated
+// log with the state machine that it drives (claims of not-repeatable jobs, the shared
+// configuration and intents), serves the requests of other hosts, and passes what must be
+// durable to the journal. It is pure: it does no I/O and reads no clock.
 package keeper
 
 import (
@@ -15,30 +15,30 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// marksPerRetention is how many marks the leader sets in one claim retention; a
-// claim is kept whole for at most this part longer.
+// marksPerRetention is the number of marks that the leader records per claim retention time. A
+// claim is stored in full for at most one mark's spacing longer than the retention time.
 const marksPerRetention = 24
 
-// Settings says how the keeper replicates and how long it keeps claims.
+// Settings holds the replication settings and the retention time of claims.
 type Settings struct {
 	Replicator replicator.Settings
-	// ClaimRetention is how long a claim is kept whole.
+	// ClaimRetention is how long a claim is stored in full.
 	ClaimRetention time.Duration
 }
 
-// DefaultSettings returns the settings that the daemon starts from.
+// DefaultSettings returns the default settings of the daemon.
 func DefaultSettings() Settings {
 	return Settings{Replicator: replicator.DefaultSettings(), ClaimRetention: 24 * time.Hour}
 }
 
-// Keeper is one keeper. Set the exported fields before the first Tick.
+// Keeper is the state of one keeper. Set the exported fields before the first Tick.
 type Keeper struct {
 	Self     identifier.HostID
 	Seed     uint64
 	Settings Settings
-	// InitialMembers are the keepers of a new log.
+	// InitialMembers are the members of a new log.
 	InitialMembers []replicator.Member
-	// Joining tells that this keeper's disk holds nothing that it vouched for before.
+	// Joining reports that this keeper's disk holds nothing of what it may have acknowledged before.
 	Joining bool
 
 	now        identifier.Moment
@@ -48,33 +48,33 @@
 	nextHandle replicator.Handle
 	leader     identifier.HostID
 	term       identifier.Term
-	commit     identifier.LogIndex
+	applied    identifier.LogIndex
 	halted     string
-	// confirmed tells that all that was agreed on before this start has been applied.
+	// confirmed reports whether everything committed before this start has been applied.
 	confirmed bool
-	// announced is the newest configuration that was told to this host.
+	// announced is the newest configuration version that this host was notified of.
 	announced identifier.ConfigVersion
 	marks     []mark
 	timers    *tabulator.Timers[struct{}]
 	outputs   []Output
 }
 
-// mark remembers when a log index was applied, by this host's clock.
+// mark records when a log index was applied, by this host's clock.
 type mark struct {
 	index identifier.LogIndex
 	at    identifier.Moment
 }
 
-// Tick applies the inputs, lets deadlines fall due and returns what to do.
+// Tick applies the inputs, handles expired deadlines and returns what to do, in order.
 func (keeper *Keeper) Tick(now identifier.Moment, inputs []Input) []Output {
 	keeper.prepare(now)
 	var log []replicator.Input
 	for _, input := range inputs {
-		log = keeper.apply(log, input)
+		log = keeper.handleInput(log, input)
 	}
 	log = keeper.shrinkClaims(log)
 	for _, output := range keeper.replicator.Tick(now, log) {
-		keeper.route(output)
+		keeper.handleOutput(output)
 	}
 	keeper.announceVersion()
 	outputs := keeper.outputs
@@ -82,7 +82,7 @@
 	return outputs
 }
 
-// NextDeadline returns when Tick must run even without inputs.
+// NextDeadline returns when Tick must run next even without inputs, or identifier.Never.
 func (keeper *Keeper) NextDeadline() identifier.Moment {
 	if keeper.replicator == nil {
 		return identifier.Never
@@ -90,10 +90,10 @@
 	return identifier.Earlier(keeper.replicator.NextDeadline(), keeper.timers.Next())
 }
 
-// Leads tells whether this keeper leads the others.
+// Leads reports whether this keeper is the leader, as far as it knows.
 func (keeper *Keeper) Leads() bool { return keeper.leader == keeper.Self }
 
-// Members returns the members of the log, as far as this keeper knows.
+// Members returns the last known members of the log, or nil before the first Tick.
 func (keeper *Keeper) Members() []replicator.Member {
 	if keeper.replicator == nil {
 		return nil
@@ -101,8 +101,8 @@
 	return keeper.replicator.Members()
 }
 
-// Intents returns the state of all intents as far as this keeper has applied the
-// log, or nil before the first Tick. It must not be changed.
+// Intents returns the state of all intents as of the last log entry applied here, or nil
+// before the first Tick. The caller must not modify it.
 func (keeper *Keeper) Intents() *planner.Machine {
 	if keeper.machine == nil {
 		return nil
@@ -128,13 +128,13 @@
 	}
 }
 
-// apply carries out one input and adds what the log must be told.
-func (keeper *Keeper) apply(log []replicator.Input, input Input) []replicator.Input {
+// handleInput processes one input and appends the resulting inputs of the replicated log.
+func (keeper *Keeper) handleInput(log []replicator.Input, input Input) []replicator.Input {
 	switch input := input.(type) {
 	case *ToLog:
 		return append(log, input.Input)
 	case *Requested:
-		return keeper.request(log, input.Request)
+		return keeper.handleRequest(log, input.Request)
 	case *HistoryWanted:
 		keeper.outputs = append(keeper.outputs, &History{
 			Waiter: input.Waiter, Versions: keeper.machine.configuration.History(),
@@ -143,15 +143,15 @@
 	return log
 }
 
-// request proposes a command, or passes it on to the keeper that leads.
-func (keeper *Keeper) request(log []replicator.Input, request Request) []replicator.Input {
+// handleRequest proposes a command or starts a read, or forwards the request to the leader.
+func (keeper *Keeper) handleRequest(log []replicator.Input, request Request) []replicator.Input {
 	if !keeper.Leads() && keeper.leader != "" && !request.Forwarded {
 		request.Forwarded = true
 		keeper.outputs = append(keeper.outputs, &Forward{To: keeper.leader, Request: request})
 		return log
 	}
 	if request.reads() {
-		return keeper.read(log, request)
+		return keeper.handleRead(log, request)
 	}
 	data, err := encodeCommand(&request.Command)
 	if err != nil {
@@ -170,7 +170,7 @@
 	keeper.outputs = append(keeper.outputs, &Answer{To: request.Origin, Reply: reply})
 }
 
-func (keeper *Keeper) route(output replicator.Output) {
+func (keeper *Keeper) handleOutput(output replicator.Output) {
 	switch output := output.(type) {
 	case replicator.Send:
 		keeper.outputs = append(keeper.outputs, &Send{To: output.To, Message: output.Message})
@@ -185,11 +185,11 @@
 	case replicator.ReadRefused:
 		keeper.refuseRead(output.Handle)
 	case replicator.Applied:
-		keeper.noteApplied(output.Entry.Index)
+		keeper.recordApplied(output.Entry.Index)
 	case replicator.SnapshotInstalled:
-		keeper.noteApplied(output.Index)
+		keeper.recordApplied(output.Index)
 	case replicator.LeaderChanged:
-		keeper.changeLeader(output)
+		keeper.handleLeaderChanged(output)
 	case replicator.Joined:
 		keeper.outputs = append(keeper.outputs, &Joined{})
 	case replicator.Halted:
@@ -221,13 +221,13 @@
 	}
 }
 
-// announceVersion tells the host of a newer configuration, be it applied now or
+// announceVersion notifies the host of a newer configuration, whether it was applied now or
 // recovered at the start.
 //
-// A journal tells only of earlier entries that they were agreed on, not of the last
-// ones. Were what it has recovered told at once, hosts that all lost power would go by
-// an older configuration than one that was acknowledged, until there is a leader again.
-// Once an entry of the present leader has been applied, all that was agreed on has been.
+// A journal records only for earlier entries that they were committed, not for the last ones.
+// If recovered state were announced at once, hosts that all lost power would use an older
+// configuration than one that was acknowledged, until there is a leader again. Once an entry of
+// the current leader has been applied, everything committed before has been applied too.
 func (keeper *Keeper) announceVersion() {
 	if !keeper.confirmed {
 		keeper.confirmed = keeper.leader != "" && keeper.replicator.AppliedTerm() == keeper.term
@@ -240,9 +240,10 @@
 	keeper.outputs = append(keeper.outputs, &VersionAccepted{Version: newest})
 }
 
-// noteApplied marks, on the leader, the moment for the claims' retention.
-func (keeper *Keeper) noteApplied(index identifier.LogIndex) {
-	keeper.commit = index
+// recordApplied records the applied index and, on the leader, when it was applied, for the
+// retention of claims.
+func (keeper *Keeper) recordApplied(index identifier.LogIndex) {
+	keeper.applied = index
 	if !keeper.Leads() {
 		return
 	}
@@ -254,9 +255,9 @@
 	keeper.timers.Set(struct{}{}, keeper.marks[0].at.Add(keeper.Settings.ClaimRetention))
 }
 
-// changeLeader follows the log's leader. A new leader has no marks of the entries
-// before it, so it keeps those claims whole for longer, never for shorter.
-func (keeper *Keeper) changeLeader(change replicator.LeaderChanged) {
+// handleLeaderChanged records the log's leader. A new leader has no marks for entries before
+// its term, so it stores those claims in full for longer, never for a shorter time.
+func (keeper *Keeper) handleLeaderChanged(change replicator.LeaderChanged) {
 	keeper.leader = change.Leader
 	keeper.term = change.Term
 	if !keeper.Leads() {
@@ -266,7 +267,7 @@
 	keeper.outputs = append(keeper.outputs, &LeaderChanged{Leader: change.Leader, Term: change.Term})
 }
 
-// shrinkClaims proposes to shrink the claims that are older than the retention.
+// shrinkClaims proposes to reduce the claims older than the retention time to fingerprints.
 func (keeper *Keeper) shrinkClaims(log []replicator.Input) []replicator.Input {
 	if _, due := keeper.timers.PopDue(keeper.now); !due || len(keeper.marks) == 0 {
 		return log
@@ -281,13 +282,12 @@
 	if err != nil {
 		return log
 	}
-	// The outcome needs no answer: what was not shrunk now is shrunk by the next
-	// mark.
+	// The outcome is ignored: claims that are not shrunk now are shrunk with the next mark.
 	keeper.nextHandle++
 	return append(log, replicator.Proposed{Handle: keeper.nextHandle, Data: data})
 }
 
-// Status is what operators see of a keeper.
+// Status is the state of a keeper that is shown to operators.
 type Status struct {
 	Leader       identifier.HostID        `json:"leader"`
 	Term         identifier.Term          `json:"term"`
@@ -305,9 +305,9 @@
 	Role string            `json:"role"`
 }
 
-// Status returns what operators see of this keeper.
+// Status returns the current state of this keeper for operators.
 func (keeper *Keeper) Status() Status {
-	status := Status{Leader: keeper.leader, Term: keeper.term, Applied: keeper.commit, Halted: keeper.halted}
+	status := Status{Leader: keeper.leader, Term: keeper.term, Applied: keeper.applied, Halted: keeper.halted}
 	for _, member := range keeper.Members() {
 		status.Members = append(status.Members, MemberStatus{Host: member.Host, Role: member.Role.String()})
 	}
--- a/pkg/keeper/machine.go
+++ b/pkg/keeper/machine.go
@@ -9,15 +9,15 @@
 	"github.com/stoathitch/stoathitch/pkg/planner"
 )
 
-// Bounds of the replicated state. They must be the same on every keeper, so they
-// are constants and no settings.
+// Bounds of the replicated state. They are constants rather than settings because they must
+// be the same on every keeper.
 const (
 	fingerprintBound = 4_000_000
 	historyBound     = 1_000
 	resultBound      = 10_000
 )
 
-// machine is the replicated state: all registers behind one log.
+// machine is the replicated state machine: it combines all registers that one log drives.
 type machine struct {
 	claims        claimer.Register
 	configuration configurer.Register
@@ -31,30 +31,30 @@
 	}
 }
 
-// snapshot is the durable form of the machine.
+// snapshot is the serialized form of the machine.
 type snapshot struct {
 	Claims        []byte `cbor:"1,keyasint"`
 	Configuration []byte `cbor:"2,keyasint"`
-	// Intents is missing in snapshots of versions that knew none.
+	// Intents is missing in snapshots of software versions without intents.
 	Intents []byte `cbor:"3,keyasint,omitempty"`
 }
 
-// Apply carries out one command. A command that this version can't read changes
-// nothing, on every keeper alike.
+// Apply executes one command and returns its encoded Result. A command that can't be decoded
+// changes nothing, which is the same on every keeper, and returns nil.
 func (machine *machine) Apply(index identifier.LogIndex, data []byte) []byte {
 	command, err := decodeCommand(data)
 	if err != nil {
 		return nil
 	}
-	result := machine.carryOut(index, command)
+	result := machine.execute(index, command)
 	encoded, err := encodeResult(&result)
 	if err != nil {
-		panic(err) // A result holds plain data, which always has a CBOR form.
+		panic(err) // A result holds plain data, which can always be encoded as CBOR.
 	}
 	return encoded
 }
 
-func (machine *machine) carryOut(index identifier.LogIndex, command *Command) Result {
+func (machine *machine) execute(index identifier.LogIndex, command *Command) Result {
 	switch {
 	case command.Claims != nil:
 		return Result{Decisions: machine.claims.Apply(index, command.Claims)}
@@ -72,7 +72,7 @@
 	}
 }
 
-// Snapshot returns the whole state.
+// Snapshot serializes the whole state.
 func (machine *machine) Snapshot() []byte {
 	claims, err := machine.claims.Snapshot()
 	if err != nil {
@@ -89,7 +89,7 @@
 	return content
 }
 
-// Restore replaces the whole state by a snapshot.
+// Restore replaces the whole state with a snapshot.
 func (machine *machine) Restore(data []byte) error {
 	var state snapshot
 	if err := cbor.Unmarshal(data, &state); err != nil {
--- a/pkg/keeper/machine_test.go
+++ b/pkg/keeper/machine_test.go
@@ -9,13 +9,13 @@
 	"github.com/stoathitch/stoathitch/pkg/planner"
 )
 
-// Symptom: an operator who lost the answer resends and is told that somebody else
-// was first. Sequence: the command is applied, the keeper is lost, another one
-// starts from its snapshot and gets the resend. Cause: intents or their remembered
-// answers missing from the snapshot.
+// TestIntentsSurviveASnapshot guards against an operator who resends a command after losing
+// the answer and is told that somebody else was first. The command is applied, the keeper is
+// lost, and another keeper starts from its snapshot and gets the resend. The failure comes
+// about if intents or their recorded answers are missing from the snapshot.
 func TestIntentsSurviveASnapshot(t *testing.T) {
 	first := newMachine()
-	create := encoded(t, &Command{Intent: &planner.Command{
+	create := encode(t, &Command{Intent: &planner.Command{
 		Kind: planner.CommandCreate, Name: "nightly", Operator: "an", Request: "r1",
 		Spec: &planner.Spec{Team: "parcels", Batches: []planner.Batch{{
 			Kind: "check", Count: 3, RunTime: time.Second, Need: identifier.Resources{MilliCPU: 1000},
@@ -38,7 +38,7 @@
 	}
 }
 
-func encoded(t *testing.T, command *Command) []byte {
+func encode(t *testing.T, command *Command) []byte {
 	data, err := encodeCommand(command)
 	if err != nil {
 		t.Fatal(err)
--- a/pkg/keeper/messages.go
+++ b/pkg/keeper/messages.go
@@ -9,21 +9,21 @@
 // Input is a message or event that Tick applies.
 type Input interface{ isKeeperInput() }
 
-// ToLog hands an input to the replicated log: what the journal recovered or has
-// made durable, and messages of other keepers.
+// ToLog passes an input to the replicated log: what the journal has recovered or made
+// durable, or a message of another keeper.
 type ToLog struct{ Input replicator.Input }
 
-// Requested brings a request of a host, which may be this one.
+// Requested delivers a request of a host, which may be this one.
 type Requested struct{ Request Request }
 
-// HistoryWanted asks for the kept versions of the configuration.
+// HistoryWanted requests the retained versions of the configuration.
 type HistoryWanted struct{ Waiter uint64 }
 
 func (*ToLog) isKeeperInput()         {}
 func (*Requested) isKeeperInput()     {}
 func (*HistoryWanted) isKeeperInput() {}
 
-// Output is what the owner of the keeper carries out, in order.
+// Output is an action that the owner of the keeper executes, in order.
 type Output interface{ isKeeperOutput() }
 
 // Send sends a message to another keeper.
@@ -32,13 +32,13 @@
 	Message replicator.Message
 }
 
-// Forward passes a request on to the keeper that leads.
+// Forward forwards a request to the leader.
 type Forward struct {
 	To      identifier.HostID
 	Request Request
 }
 
-// Answer replies to the host that asked, which may be this one.
+// Answer sends a reply to the requesting host, which may be this one.
 type Answer struct {
 	To    identifier.HostID
 	Reply Reply
@@ -50,10 +50,10 @@
 // SaveSnapshot asks the journal to write a snapshot.
 type SaveSnapshot struct{ Snapshot replicator.Snapshot }
 
-// VersionAccepted tells of a newer accepted configuration.
+// VersionAccepted reports a newer accepted configuration.
 type VersionAccepted struct{ Version configurer.Version }
 
-// LeaderChanged tells who leads the keepers; empty when nobody does.
+// LeaderChanged reports the leader of the keepers; Leader is empty if none is known.
 type LeaderChanged struct {
 	Leader identifier.HostID
 	Term   identifier.Term
@@ -65,10 +65,10 @@
 	Versions []configurer.Version
 }
 
-// Joined tells that a joining keeper counts from now on.
+// Joined reports that a joining keeper takes part in elections from now on.
 type Joined struct{}
 
-// Halted tells that this keeper can't go on until an operator has seen to it.
+// Halted reports that this keeper has stopped and needs an operator to continue.
 type Halted struct{ Reason string }
 
 func (*Send) isKeeperOutput()            {}
--- a/pkg/keeper/reading.go
+++ b/pkg/keeper/reading.go
@@ -6,28 +6,28 @@
 	"github.com/stoathitch/stoathitch/pkg/replicator"
 )
 
-// IntentRead asks for the record of one intent, or for the summaries of all when
-// Name is empty.
+// IntentRead requests the record of one intent, or the summaries of all if Name is empty.
 type IntentRead struct {
 	Name identifier.IntentName `cbor:"1,keyasint,omitempty"`
-	// Stale lets a keeper answer with what it has, also while it is cut off.
+	// Stale allows a keeper to answer from its local state, even while it is cut off.
 	Stale bool `cbor:"2,keyasint,omitempty"`
 }
 
-// IntentRecords answers an IntentRead. An intent that nobody knows is missing.
+// IntentRecords answers an IntentRead. It contains no record of an unknown intent.
 type IntentRecords struct {
 	Records []planner.Record `cbor:"1,keyasint,omitempty"`
 }
 
-// read serves a read once this keeper is known to lead still: one that was replaced
-// without noticing would show intents as they were before the last confirmation.
-func (keeper *Keeper) read(log []replicator.Input, request Request) []replicator.Input {
+// handleRead serves a read once it is confirmed that this keeper is still the leader. A
+// leader that was replaced without noticing would return intents as they were before the
+// last confirmation.
+func (keeper *Keeper) handleRead(log []replicator.Input, request Request) []replicator.Input {
 	keeper.nextHandle++
 	keeper.pending.Put(keeper.nextHandle, &request)
 	return append(log, replicator.ReadRequested{Handle: keeper.nextHandle})
 }
 
-// ReadStale returns what this keeper has applied, which may be behind.
+// ReadStale reads from the state that this keeper has applied, which may be outdated.
 func (keeper *Keeper) ReadStale(read *IntentRead) IntentRecords {
 	if keeper.machine == nil {
 		return IntentRecords{}
