--- a/pkg/journaler/append.go
+++ b/pkg/journaler/append.go
@@ -2,16 +2,15 @@
 
 import "github.com/rotisserie/eris"
 
-// Append makes one batch durable, or nothing of it. Its errors have the kinds
-// invalid, disk-full, write-failed, sync-failed and broken. After write-failed
-// or sync-failed the batch may still be found by the next Open.
+// Append makes one batch durable as a whole or not at all. Its errors have the kinds invalid,
+// disk-full, write-failed, sync-failed and broken. After write-failed or sync-failed the next
+// Open may still find the batch.
 func (journal *Journal) Append(batch Batch) error {
 	return journal.AppendGroup([]Batch{batch})[0]
 }
 
-// AppendGroup makes several batches durable, in their order, with one write and
-// one sync. It returns one error, or nil, for each. An invalid batch is left out
-// and the others go on without it.
+// AppendGroup makes several batches durable, in order, with one write and one sync. It returns
+// one error or nil per batch. An invalid batch is skipped, and the others are written without it.
 func (journal *Journal) AppendGroup(batches []Batch) []error {
 	journal.mutex.Lock()
 	defer journal.mutex.Unlock()
@@ -19,7 +18,7 @@
 	if err := journal.usable("append"); err != nil {
 		return fillErrors(results, err)
 	}
-	records, after := journal.admitAll(batches, results)
+	records, after := journal.applyBatches(batches, results)
 	if len(records) == 0 {
 		return results
 	}
@@ -30,13 +29,14 @@
 	return results
 }
 
-// admitAll checks each batch against the log as the ones before it leave it.
-func (journal *Journal) admitAll(batches []Batch, results []error) ([]record, logState) {
+// applyBatches validates each batch against the state that the previous batches result in, and
+// returns the records of the valid ones and the state after them.
+func (journal *Journal) applyBatches(batches []Batch, results []error) ([]record, logState) {
 	var records []record
 	state := journal.state
 	for index, batch := range batches {
 		candidate := state.clone()
-		admitted, err := candidate.admit(batch)
+		admitted, err := candidate.applyBatch(batch)
 		if err != nil {
 			results[index] = &Error{Operation: "append", Kind: Invalid, Err: err}
 			continue
@@ -47,8 +47,7 @@
 	return records, state
 }
 
-// write puts the records into one frame behind the last durable one and syncs
-// it.
+// write writes the records as one frame after the last durable one and syncs it.
 func (journal *Journal) write(records []record) error {
 	if err := journal.rollSegment(); err != nil {
 		return err
@@ -58,28 +57,28 @@
 		marker := record{Kind: RecordSnapshotMarker, Position: &snapshot}
 		records = append([]record{marker}, records...)
 	}
-	part := journal.segments[len(journal.segments)-1]
-	frame, err := encodeFrame(records, part.sequence, journal.durableEnd)
+	segment := journal.segments[len(journal.segments)-1]
+	frame, err := encodeFrame(records, segment.sequence, journal.durableEnd)
 	if err != nil {
 		return &Error{Operation: "append", Kind: Invalid, Err: err}
 	}
 	if _, err := journal.active.WriteAt(frame, journal.durableEnd); err != nil {
-		return journal.undoWrite(storageError("append", part.name(), WriteFailed, err))
+		return journal.undoWrite(storageError("append", segment.name(), WriteFailed, err))
 	}
-	// A kernel may mark pages clean whose write-out failed: a second sync then
-	// succeeds although the bytes never reached the disk, and the entry is gone
-	// after the next power loss. So a failed sync is final for this journal.
+	// A kernel may mark pages as clean although writing them to disk failed. A second sync
+	// then succeeds although the bytes never reached the disk, and the entry is gone after
+	// the next power loss. So a failed sync is final for this journal.
 	if err := journal.active.Sync(); err != nil {
-		return journal.markBroken(storageError("append", part.name(), SyncFailed, err))
+		return journal.markBroken(storageError("append", segment.name(), SyncFailed, err))
 	}
 	journal.durableEnd += int64(len(frame))
 	journal.resetPending = false
 	return nil
 }
 
-// undoWrite cuts what a full disk let be written of a frame. Left there, a later
-// shorter frame would be followed by its rest, and if even the cut fails nothing
-// is known of the file any more.
+// undoWrite truncates a frame that was only partly written because the disk is full. Otherwise a
+// later, shorter frame would be followed by the rest of it. If the truncation fails too, the
+// contents of the file are unknown and the journal is broken.
 func (journal *Journal) undoWrite(cause *Error) error {
 	if cause.Kind != DiskFull {
 		return journal.markBroken(cause)
@@ -89,15 +88,15 @@
 		err = journal.active.Sync()
 	}
 	if err != nil {
-		cause.Err = eris.Wrap(cause.Err, "the rest of the write could not be cut: "+err.Error())
+		cause.Err = eris.Wrap(cause.Err, "the partial write could not be truncated: "+err.Error())
 		return journal.markBroken(cause)
 	}
 	return cause
 }
 
-// rollSegment goes on in a new segment once the active one is large. While a
-// snapshot marker is pending it waits: the marker belongs into the old segment,
-// which the new one's start must continue.
+// rollSegment starts a new segment once the active one has reached SegmentBytes. It waits while a
+// snapshot marker is pending: the marker belongs in the old segment, and the start of the new
+// segment must continue from it.
 func (journal *Journal) rollSegment() error {
 	if journal.resetPending || journal.durableEnd < int64(journal.SegmentBytes) {
 		return nil
--- a/pkg/journaler/batch.go
+++ b/pkg/journaler/batch.go
@@ -2,11 +2,11 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// EntryKind tells the replicator how to read an entry's Data. The journal keeps
-// it and doesn't read it.
+// EntryKind tells the replicator how to decode an entry's Data. The journal stores it without
+// interpreting it.
 type EntryKind uint8
 
-// Entry is one position of the replicated log.
+// Entry is one entry of the replicated log.
 type Entry struct {
 	Index identifier.LogIndex `cbor:"1,keyasint"`
 	Term  identifier.Term     `cbor:"2,keyasint"`
@@ -14,15 +14,15 @@
 	Data  []byte              `cbor:"4,keyasint,omitempty"`
 }
 
-// HardState is what a keeper must remember, besides the log, to keep its
-// promises over a restart.
+// HardState is what a keeper must persist besides the log so that its votes and acknowledgements
+// stay valid after a restart.
 type HardState struct {
 	Term     identifier.Term     `cbor:"1,keyasint,omitempty" json:"term"`
 	VotedFor identifier.HostID   `cbor:"2,keyasint,omitempty" json:"voted-for,omitempty"`
 	Commit   identifier.LogIndex `cbor:"3,keyasint,omitempty" json:"commit"`
 }
 
-// Position is an index and the term of the entry there.
+// Position is a log index and the term of the entry at that index.
 type Position struct {
 	Index identifier.LogIndex `cbor:"1,keyasint,omitempty" json:"index"`
 	Term  identifier.Term     `cbor:"2,keyasint,omitempty" json:"term"`
@@ -32,30 +32,29 @@
 type Snapshot struct {
 	Index identifier.LogIndex `cbor:"1,keyasint"`
 	Term  identifier.Term     `cbor:"2,keyasint"`
-	// Meta is what the replicator itself needs, such as the members.
+	// Meta is the replicator's own state, such as the members.
 	Meta []byte `cbor:"3,keyasint,omitempty"`
-	// Data is the replicated state.
+	// Data is the serialized replicated state.
 	Data []byte `cbor:"4,keyasint,omitempty"`
 }
 
-// Position returns the position that the snapshot ends at.
+// Position returns the position of the last entry that the snapshot covers.
 func (snapshot Snapshot) Position() Position {
 	return Position{Index: snapshot.Index, Term: snapshot.Term}
 }
 
-// Batch is what becomes durable together: first the truncation, then the
-// entries, then the hard state.
+// Batch is a set of changes that become durable together. They are applied in the order
+// truncation, entries, hard state.
 type Batch struct {
-	// TruncateFrom removes the entry at this index and all behind it; zero
-	// removes none.
+	// TruncateFrom removes the entry at this index and all later ones; zero removes none.
 	TruncateFrom identifier.LogIndex
-	// Entries follow the last entry that is left, without a gap.
+	// Entries follow the last remaining entry without a gap.
 	Entries []Entry
-	// HardState is nil when it hasn't changed.
+	// HardState is nil if it hasn't changed.
 	HardState *HardState
 }
 
-// size estimates the bytes that the batch takes on disk.
+// size estimates the size of the batch on disk.
 func (batch Batch) size() identifier.Bytes {
 	size := identifier.Bytes(recordOverhead)
 	for _, entry := range batch.Entries {
--- a/pkg/journaler/bench_test.go
+++ b/pkg/journaler/bench_test.go
@@ -14,8 +14,8 @@
 // benchmarkData is about the size of a small change of configuration.
 const benchmarkData = "0123456789012345678901234567890123456789012345678901234567890123"
 
-// BenchmarkRestart opens a log of 100,000 small entries, in frames of as many
-// entries as the name tells.
+// BenchmarkRestart opens a log of 100,000 small entries. The name of each case is the number of
+// entries per frame.
 func BenchmarkRestart(b *testing.B) {
 	for _, perFrame := range []int{1, 50} {
 		b.Run(fmt.Sprintf("entries-per-frame-%d", perFrame), func(b *testing.B) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// unsyncedDisk leaves syncs out, to prepare a folder fast.
+// unsyncedDisk skips syncs, to prepare a folder quickly.
 type unsyncedDisk struct{ journaler.Disk }
 
 type unsyncedFile struct{ journaler.File }
@@ -64,7 +64,7 @@
 	_ = journal.Close()
 }
 
-// BenchmarkAppend measures one entry a sync: the cost of the host's sync.
+// BenchmarkAppend measures appends of one entry per sync, which is the cost of the host's sync.
 func BenchmarkAppend(b *testing.B) {
 	journal := &journaler.Journal{Folder: b.TempDir()}
 	if _, err := journal.Open(); err != nil {
@@ -79,9 +79,8 @@
 	}
 }
 
-// BenchmarkWriter measures batches of one entry through a Writer, with as many
-// under way as the name tells, on the host's disk and on one whose sync takes
-// 4 ms longer.
+// BenchmarkWriter measures batches of one entry through a Writer, on the host's disk and on one
+// whose sync takes 4 ms longer. The name of each case is the number of batches in flight.
 func BenchmarkWriter(b *testing.B) {
 	for _, underWay := range []int{1, 20, 200} {
 		b.Run(fmt.Sprintf("under-way-%d", underWay), func(b *testing.B) { benchmarkWriter(b, underWay, journaler.Disk{}) })
@@ -89,7 +88,7 @@
 	}
 }
 
-// slowDisk adds to each sync what a disk without a write cache takes.
+// slowDisk adds to each sync the latency of a disk without a write cache.
 type slowDisk struct{ journaler.Disk }
 
 type slowFile struct{ journaler.File }
--- a/pkg/journaler/cut_test.go
+++ b/pkg/journaler/cut_test.go
@@ -9,15 +9,15 @@
 	"github.com/stoathitch/stoathitch/pkg/journaler/fakedisk"
 )
 
-// step is the state after a synced batch, and where it ends on disk.
+// step is the state after a synced batch, with the newest file and its size at that point.
 type step struct {
 	file  string
 	bytes int
 	state string
 }
 
-// record runs a journal over several segments and notes each synced step.
-func record(t *testing.T) (contents map[string][]byte, steps []step) {
+// recordRun runs a journal over several segments and records each synced step.
+func recordRun(t *testing.T) (contents map[string][]byte, steps []step) {
 	t.Helper()
 	disk := fakedisk.New(1)
 	journal := newJournal(disk)
@@ -58,8 +58,8 @@
 	return newest
 }
 
-// openOn opens a journal on a disk with these files.
-func openOn(contents map[string][]byte, changed string, content []byte) (journaler.Recovered, error) {
+// openWithChange opens a journal on a disk with these files, with the contents of one replaced.
+func openWithChange(contents map[string][]byte, changed string, content []byte) (journaler.Recovered, error) {
 	disk := fakedisk.New(1)
 	for name, original := range contents {
 		disk.Put(name, original)
@@ -68,8 +68,7 @@
 	return newJournal(disk).Open()
 }
 
-// stateAt returns the last synced state when the newest file has only so many
-// bytes.
+// stateAt returns the last synced state if the newest file is truncated to a number of bytes.
 func stateAt(steps []step, newest string, bytes int) string {
 	state := ""
 	for _, step := range steps {
@@ -80,18 +79,18 @@
 	return state
 }
 
-// Symptom: a keeper that was killed in a write doesn't start again, or starts
-// with less than it acknowledged or with half a batch.
-// Sequence: a run over several segments; the newest file ends at any one byte.
-// Cause looked for: recovery that takes a torn tail for damage, or the reverse.
+// TestCutAtEveryByte guards against a keeper that was killed during a write and doesn't start
+// again, or starts with less than it acknowledged or with half a batch. The newest file of a log
+// of several segments is truncated at every byte. Recovery must not confuse a torn tail with
+// damage.
 func TestCutAtEveryByte(t *testing.T) {
-	contents, steps := record(t)
+	contents, steps := recordRun(t)
 	newest := newestFile(contents)
 	if len(contents) < 4 {
 		t.Fatalf("the run has %d segments, too few to tell", len(contents))
 	}
 	for bytes := range contents[newest] {
-		recovered, err := openOn(contents, newest, contents[newest][:bytes])
+		recovered, err := openWithChange(contents, newest, contents[newest][:bytes])
 		if err != nil {
 			t.Fatalf("cut at byte %d: %v", bytes, err)
 		}
@@ -101,38 +100,37 @@
 	}
 }
 
-// Symptom: accepted entries are silently gone after a disk lost part of an
-// older file.
-// Sequence: a run over several segments; an older file ends at any one byte, or
-// is gone.
-// Cause looked for: a cut where later segments prove that more was synced.
+// TestCutInTheMiddleIsRefused guards against accepted entries that are silently lost after a disk
+// lost part of an older file. An older file of a log of several segments is truncated at every
+// byte, down to nothing. Recovery must not cut the log there, since later segments prove that more
+// was synced.
 func TestCutInTheMiddleIsRefused(t *testing.T) {
-	contents, _ := record(t)
+	contents, _ := recordRun(t)
 	newest := newestFile(contents)
 	for name, content := range contents {
 		for bytes := range content {
 			if name == newest {
 				continue
 			}
-			_, err := openOn(contents, name, content[:bytes])
+			_, err := openWithChange(contents, name, content[:bytes])
 			requireRefusal(t, err, fmt.Sprintf("%s cut at byte %d", name, bytes))
 		}
 	}
 }
 
-// Symptom: a rotten byte goes unnoticed, or takes accepted entries with it.
-// Sequence: a run over several segments; any one byte of any file is changed.
-// Cause looked for: damage with valid frames behind it taken for a torn tail.
-// Only damage of the very last frame can't be told from a torn write: it is cut.
+// TestFlipEveryByte guards against a corrupt byte that goes unnoticed or causes the loss of
+// accepted entries. Each single byte of each file of a log of several segments is changed.
+// Recovery must not treat damage that valid frames follow as a torn tail. Only damage in the very
+// last frame can't be distinguished from a torn write, so that frame is removed.
 func TestFlipEveryByte(t *testing.T) {
-	contents, steps := record(t)
+	contents, steps := recordRun(t)
 	newest := newestFile(contents)
 	beforeLast := steps[len(steps)-2]
 	for name, content := range contents {
 		for place := range content {
 			flipped := slices.Clone(content)
 			flipped[place] ^= 0x41
-			recovered, err := openOn(contents, name, flipped)
+			recovered, err := openWithChange(contents, name, flipped)
 			if name != newest || place < beforeLast.bytes {
 				requireRefusal(t, err, fmt.Sprintf("%s changed at byte %d", name, place))
 				continue
@@ -151,11 +149,10 @@
 	}
 }
 
-// Symptom: a keeper that was killed in a write refuses to start, for a valid
-// frame behind the damaged one.
-// Sequence: an entry's data holds the bytes of a frame, as a copied log would;
-// the write of that entry is torn behind them.
-// Cause looked for: a frame that counts wherever it stands.
+// TestFrameInsideAnEntryIsNone guards against a keeper that was killed during a write and refuses
+// to start because it finds a valid frame after the damaged one. An entry's data contains the
+// bytes of a frame, as a copied log would, and the write of that entry is torn after them. A frame
+// must be valid only at its own offset.
 func TestFrameInsideAnEntryIsNone(t *testing.T) {
 	disk := fakedisk.New(1)
 	journal := &journaler.Journal{Folder: folder, FileSystem: disk}
@@ -177,7 +174,7 @@
 	}
 	contents := disk.Contents()
 	newest := newestFile(contents)
-	recovered, err := openOn(contents, newest, contents[newest][:len(contents[newest])-1])
+	recovered, err := openWithChange(contents, newest, contents[newest][:len(contents[newest])-1])
 	if err != nil || modelOf(recovered).text() != oracle.text() {
 		t.Fatalf("%v, recovered\n%s", err, modelOf(recovered).text())
 	}
--- a/pkg/journaler/disk.go
+++ b/pkg/journaler/disk.go
@@ -17,7 +17,7 @@
 // Disk is the host's own file system.
 type Disk struct{}
 
-// MakeFolder creates a folder with its parents and syncs the one above it.
+// MakeFolder creates a folder with its parents and syncs its parent folder.
 func (disk Disk) MakeFolder(folder string) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return err
@@ -25,8 +25,8 @@
 	return disk.SyncFolder(filepath.Dir(folder))
 }
 
-// Lock takes the file with flock. The kernel lets go of it when the process
-// ends, however it ends, so no stale lock can keep a keeper from its restart.
+// Lock locks the file with flock. The kernel releases the lock when the process ends, however it
+// ends, so that a stale lock can never prevent the restart of a keeper.
 func (disk Disk) Lock(path string) (io.Closer, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return file, nil
 }
 
-// List returns the names of the files in a folder, sorted.
+// List returns the sorted names of the files in a folder, without subfolders.
 func (disk Disk) List(folder string) ([]string, error) {
 	found, err := os.ReadDir(folder)
 	if err != nil {
@@ -54,26 +54,26 @@
 	return names, nil
 }
 
-// Create opens a new empty file, in place of any old one.
+// Create opens a new empty file and replaces an existing one.
 func (disk Disk) Create(path string) (File, error) {
 	return os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, fileMode)
 }
 
-// Open opens a file that exists, for reading and writing.
+// Open opens an existing file for reading and writing.
 func (disk Disk) Open(path string) (File, error) {
 	return os.OpenFile(path, os.O_RDWR, fileMode)
 }
 
-// Read returns the contents of a file.
+// Read returns the whole contents of a file.
 func (disk Disk) Read(path string) ([]byte, error) { return os.ReadFile(path) }
 
-// Rename replaces any file at newPath.
+// Rename moves a file and replaces any file at newPath.
 func (disk Disk) Rename(oldPath, newPath string) error { return os.Rename(oldPath, newPath) }
 
-// Remove removes a file.
+// Remove removes a file; only SyncFolder makes that durable.
 func (disk Disk) Remove(path string) error { return os.Remove(path) }
 
-// SyncFolder syncs the folder's own entries.
+// SyncFolder syncs the directory entries of a folder.
 func (disk Disk) SyncFolder(folder string) error {
 	opened, err := os.Open(folder)
 	if err != nil {
--- a/pkg/journaler/errors.go
+++ b/pkg/journaler/errors.go
@@ -10,53 +10,52 @@
 
 //go:generate enumer -type=ErrorKind -transform=kebab -text -output=errorkind_enumer.go
 
-// ErrorKind tells what a caller can do about an Error.
+// ErrorKind classifies an Error by how a caller can react to it.
 type ErrorKind int
 
 const (
-	// Invalid is a request that would break the log; nothing was written.
+	// Invalid is a request that would corrupt the log; nothing was written.
 	Invalid ErrorKind = iota
-	// DiskFull is a write that found no room; nothing of it is left, and later
-	// writes succeed once there is room.
+	// DiskFull is a write that failed for lack of disk space. Nothing of it remains, and
+	// later writes succeed once there is space.
 	DiskFull
-	// WriteFailed is a write that failed for another cause than a full disk.
+	// WriteFailed is a write that failed for another reason than a full disk.
 	WriteFailed
-	// SyncFailed is a sync that failed: what became of the data is unknown.
+	// SyncFailed is a failed sync: it is unknown whether the data is durable.
 	SyncFailed
 	// ReadFailed is a read that failed.
 	ReadFailed
-	// Broken is a write to a journal that an earlier failure has closed to
-	// writes until it is opened anew.
+	// Broken is a write to a journal that refuses writes after an earlier failure, until it
+	// is reopened.
 	Broken
-	// Locked is a data folder that another process uses.
+	// Locked means that another process uses the data folder.
 	Locked
-	// CorruptRecord is damage that no crash explains.
+	// CorruptRecord is damage that a crash can't have caused.
 	CorruptRecord
-	// MissingSegment is a gap in the segment files.
+	// MissingSegment is a gap in the sequence of segment files.
 	MissingSegment
-	// MissingSnapshot is a log whose beginning is covered by no readable
-	// snapshot.
+	// MissingSnapshot is a log whose beginning isn't covered by any readable snapshot.
 	MissingSnapshot
-	// UnsupportedFormat is a file of a version that this code can't read.
+	// UnsupportedFormat is a file of a format version that this code can't read.
 	UnsupportedFormat
-	// QueueFull is a batch that a Writer had no room for; nothing was written.
+	// QueueFull is a batch that exceeds the queue of a Writer; nothing was written.
 	QueueFull
-	// Stopped is a batch that came to a Writer after its end.
+	// Stopped is a batch that was submitted after a Writer had stopped.
 	Stopped
 )
 
-// Error is the error of this package.
+// Error is the error type of this package.
 type Error struct {
 	Operation string
 	Kind      ErrorKind
-	// File names the file concerned within the data folder, if there is one.
+	// File is the name of the affected file in the data folder, if there is one.
 	File string
-	// Offset is the place in File, for CorruptRecord.
+	// Offset is the position of the damage in File, for CorruptRecord.
 	Offset int64
 	Err    error
 }
 
-// Error tells the operation, the kind, the file with the offset, and the cause.
+// Error formats the operation, the kind, the file with the offset, and the cause.
 func (err *Error) Error() string {
 	text := fmt.Sprintf("journal %s: %s", err.Operation, err.Kind)
 	if err.File != "" {
@@ -74,8 +73,7 @@
 // Unwrap returns the cause.
 func (err *Error) Unwrap() error { return err.Err }
 
-// KindOf returns the kind of the outermost Error in err's chain, and whether
-// there is one.
+// KindOf returns the kind of the outermost Error in err's chain, and whether there is one.
 func KindOf(err error) (ErrorKind, bool) {
 	var journalError *Error
 	if !errors.As(err, &journalError) {
@@ -84,8 +82,8 @@
 	return journalError.Kind, true
 }
 
-// storageError wraps a failure of the file system; one for lack of room gets the
-// kind disk-full.
+// storageError wraps a file system error. A failed write for lack of space gets the kind
+// disk-full.
 func storageError(operation, file string, kind ErrorKind, err error) *Error {
 	if kind == WriteFailed && isDiskFull(err) {
 		kind = DiskFull
--- a/pkg/journaler/fakedisk/disk.go
+++ b/pkg/journaler/fakedisk/disk.go
@@ -1,5 +1,5 @@
-// Package fakedisk is a file system in memory that loses, tears and refuses
-// writes as disks and kernels do. It serves tests only.
+// Package fakedisk implements an in-memory file system that loses, tears and refuses writes as
+// disks and kernels do. It is for tests only.
 package fakedisk
 
 import (
@@ -15,31 +15,32 @@
 	"github.com/stoathitch/stoathitch/pkg/journaler"
 )
 
-// Unlimited is a Room that never runs out.
+// Unlimited is a value of FreeBytes that never runs out.
 const Unlimited = int64(1) << 60
 
-// Errors of the faults.
+// Errors that injected faults return.
 var (
-	// ErrCrashed comes from every call from the crash on to the next Restart.
+	// ErrCrashed is returned by every changing call after a crash, until Crash or Kill starts
+	// a new process.
 	ErrCrashed = errors.New("the machine has crashed")
-	// ErrSync is a failed sync.
+	// ErrSync is returned by a failed sync.
 	ErrSync = syscall.EIO
-	// ErrLocked is a lock file that is held.
+	// ErrLocked is returned by Lock while the lock is held.
 	ErrLocked = errors.New("locked")
 )
 
-// Disk is a file system with one folder. What wasn't synced when the machine
-// crashes is kept, lost or torn at any byte, as Random says.
+// Disk is a file system with one folder. When the machine crashes, each unsynced write is kept,
+// lost or torn at any byte, as Random decides.
 type Disk struct {
-	// Random decides what a crash leaves.
+	// Random decides which unsynced changes survive a crash.
 	Random *rand.Rand
-	// Room is how many more bytes can be allocated.
-	Room int64
-	// FailSyncs is how many of the next syncs of files fail. The kernel takes
-	// the pages for clean after that: they read back, and no later sync writes
-	// them.
+	// FreeBytes is the number of bytes that can still be allocated.
+	FreeBytes int64
+	// FailSyncs is the number of next file syncs that fail. After that the kernel treats the
+	// pages as clean: they can be read, but no later sync writes them.
 	FailSyncs int
-	// CallsToCrash counts the changing calls down to a crash; zero means none.
+	// CallsToCrash is the number of changing calls until the machine crashes; zero means no
+	// crash.
 	CallsToCrash int
 
 	mutex        sync.Mutex
@@ -51,11 +52,11 @@
 	generation   int
 }
 
-// New returns an empty disk with unlimited room.
+// New returns an empty disk with unlimited free space.
 func New(seed uint64) *Disk {
 	return &Disk{
 		Random:       rand.New(rand.NewPCG(seed, 0)),
-		Room:         Unlimited,
+		FreeBytes:    Unlimited,
 		names:        make(map[string]*node),
 		durableNames: make(map[string]*node),
 	}
@@ -67,14 +68,14 @@
 	node *node
 }
 
-// Kill ends the process but not the machine: what was written reads back.
+// Kill ends the process but not the machine: everything written can still be read.
 func (disk *Disk) Kill() {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
 	disk.newProcess()
 }
 
-// Crash ends the machine: what wasn't synced is kept, lost or torn.
+// Crash crashes the machine: each unsynced write is kept, lost or torn.
 func (disk *Disk) Crash() {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -101,7 +102,7 @@
 	disk.generation++
 }
 
-// Contents returns a copy of all files.
+// Contents returns a copy of the contents of all files by name.
 func (disk *Disk) Contents() map[string][]byte {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -112,7 +113,7 @@
 	return contents
 }
 
-// Put sets the durable contents of a file.
+// Put creates or replaces a file durably.
 func (disk *Disk) Put(name string, content []byte) {
 	file := &node{content: slices.Clone(content), durable: slices.Clone(content)}
 	disk.names[name] = file
@@ -125,8 +126,8 @@
 	delete(disk.durableNames, name)
 }
 
-// change counts a changing call and fails once the machine has crashed.
-func (disk *Disk) change() error {
+// countChange counts a changing call and returns ErrCrashed once the machine has crashed.
+func (disk *Disk) countChange() error {
 	if disk.crashed {
 		return ErrCrashed
 	}
@@ -137,10 +138,10 @@
 	return nil
 }
 
-// MakeFolder does nothing: there is one folder.
+// MakeFolder does nothing, because there is only one folder.
 func (disk *Disk) MakeFolder(string) error { return nil }
 
-// Lock takes the one lock.
+// Lock acquires the only lock, which all paths share.
 func (disk *Disk) Lock(string) (io.Closer, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -151,7 +152,7 @@
 	return &lock{disk: disk, generation: disk.generation}, nil
 }
 
-// List returns all names, sorted.
+// List returns all file names, sorted.
 func (disk *Disk) List(string) ([]string, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -162,7 +163,7 @@
 func (disk *Disk) Create(path string) (journaler.File, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	if err := disk.change(); err != nil {
+	if err := disk.countChange(); err != nil {
 		return nil, err
 	}
 	created := &node{}
@@ -170,7 +171,7 @@
 	return &handle{disk: disk, node: created, generation: disk.generation}, nil
 }
 
-// Open opens a file that exists.
+// Open opens an existing file.
 func (disk *Disk) Open(path string) (journaler.File, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -181,7 +182,7 @@
 	return &handle{disk: disk, node: found, generation: disk.generation}, nil
 }
 
-// Read returns a copy of the contents.
+// Read returns a copy of the contents of a file.
 func (disk *Disk) Read(path string) ([]byte, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -196,7 +197,7 @@
 func (disk *Disk) Rename(oldPath, newPath string) error {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	if err := disk.change(); err != nil {
+	if err := disk.countChange(); err != nil {
 		return err
 	}
 	moved := disk.names[filepath.Base(oldPath)]
@@ -208,27 +209,27 @@
 	return nil
 }
 
-// Remove removes a file and frees its room.
+// Remove removes a file and frees its space.
 func (disk *Disk) Remove(path string) error {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	if err := disk.change(); err != nil {
+	if err := disk.countChange(); err != nil {
 		return err
 	}
 	removed := disk.names[filepath.Base(path)]
 	if removed == nil {
 		return syscall.ENOENT
 	}
-	disk.Room += int64(len(removed.content))
+	disk.FreeBytes += int64(len(removed.content))
 	disk.rename(filepath.Base(path), nil)
 	return nil
 }
 
-// SyncFolder makes all changes of names durable.
+// SyncFolder makes all creations, renames and removals durable.
 func (disk *Disk) SyncFolder(string) error {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	if err := disk.change(); err != nil {
+	if err := disk.countChange(); err != nil {
 		return err
 	}
 	for _, change := range disk.pending {
@@ -266,7 +267,7 @@
 	generation int
 }
 
-// Close lets the lock go.
+// Close releases the lock, unless its process has ended.
 func (held *lock) Close() error {
 	held.disk.mutex.Lock()
 	defer held.disk.mutex.Unlock()
--- a/pkg/journaler/fakedisk/file.go
+++ b/pkg/journaler/fakedisk/file.go
@@ -6,15 +6,15 @@
 	"syscall"
 )
 
-// node is the contents of a file, whatever its names.
+// node holds the contents of a file independently of its names, like an inode.
 type node struct {
-	// content is what reads back, durable what the disk holds.
+	// content is what reads return and durable what is on the disk.
 	content []byte
 	durable []byte
 	pending []write
 }
 
-// write is a write at an offset, or a truncation to it when data is nil.
+// write is a write at an offset, or a truncation to it if data is nil.
 type write struct {
 	offset int64
 	data   []byte
@@ -39,7 +39,7 @@
 	return append(slices.Clip(content), make([]byte, size-int64(len(content)))...)
 }
 
-// crash leaves of each unsynced write all, nothing, a beginning or an end.
+// crash keeps all, nothing, a prefix or a suffix of each unsynced write.
 func (file *node) crash(random *rand.Rand) {
 	for _, change := range file.pending {
 		if random.IntN(3) == 0 {
@@ -71,15 +71,15 @@
 	generation int
 }
 
-// change counts the call; a handle of a process that has ended is dead.
+// change counts a changing call. It fails on a handle of a process that has ended.
 func (file *handle) change() error {
 	if file.generation != file.disk.generation {
 		return syscall.EBADF
 	}
-	return file.disk.change()
+	return file.disk.countChange()
 }
 
-// WriteAt writes what there is room for.
+// WriteAt writes as much as the free space allows and returns ENOSPC if that isn't everything.
 func (file *handle) WriteAt(data []byte, offset int64) (int, error) {
 	file.disk.mutex.Lock()
 	defer file.disk.mutex.Unlock()
@@ -87,9 +87,9 @@
 		return 0, err
 	}
 	grown := max(offset+int64(len(data))-int64(len(file.node.content)), 0)
-	missing := max(grown-max(file.disk.Room, 0), 0)
+	missing := max(grown-max(file.disk.FreeBytes, 0), 0)
 	written := data[:int64(len(data))-missing]
-	file.disk.Room -= grown - missing
+	file.disk.FreeBytes -= grown - missing
 	if len(written) > 0 {
 		file.record(write{offset: offset, data: slices.Clone(written)})
 	}
@@ -99,14 +99,14 @@
 	return len(written), nil
 }
 
-// Truncate sets the size.
+// Truncate sets the size of the file.
 func (file *handle) Truncate(size int64) error {
 	file.disk.mutex.Lock()
 	defer file.disk.mutex.Unlock()
 	if err := file.change(); err != nil {
 		return err
 	}
-	file.disk.Room += int64(len(file.node.content)) - size
+	file.disk.FreeBytes += int64(len(file.node.content)) - size
 	file.record(write{offset: size})
 	return nil
 }
@@ -116,7 +116,8 @@
 	file.node.pending = append(file.node.pending, change)
 }
 
-// Sync makes the writes durable, or fails and forgets that they weren't.
+// Sync makes the writes durable. If it fails, the writes no longer count as pending, although they
+// may not be durable.
 func (file *handle) Sync() error {
 	file.disk.mutex.Lock()
 	defer file.disk.mutex.Unlock()
@@ -137,5 +138,5 @@
 	return nil
 }
 
-// Close does nothing.
+// Close always succeeds; the file needs no cleanup.
 func (file *handle) Close() error { return nil }
--- a/pkg/journaler/frame.go
+++ b/pkg/journaler/frame.go
@@ -9,16 +9,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// A frame holds all records that were written before one sync:
+// A frame holds all records that are written before one sync:
 //
 //	marker    4 bytes  frameMarker
 //	length    4 bytes  of the payload, little endian
 //	checksum  4 bytes  CRC-32C, little endian
 //	payload   CBOR of a group
 //
-// The checksum also covers the segment's sequence number and the frame's offset.
-// Without them a frame that stands inside an entry's data, or that an old file
-// left in a reused block, would pass for a frame of the log.
+// The checksum also covers the segment's sequence number and the frame's offset. Without them, a
+// frame inside an entry's data, or one that an old file left in a reused block, would count as a
+// valid frame of the log.
 const (
 	frameMarker      = "\xf7jfr"
 	frameHeaderBytes = 12
@@ -27,7 +27,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// encodeFrame returns the frame of records as it stands at offset of a segment.
+// encodeFrame encodes records as the frame at an offset of a segment.
 func encodeFrame(records []record, sequence uint64, offset int64) ([]byte, error) {
 	var buffer bytes.Buffer
 	buffer.Write(make([]byte, frameHeaderBytes))
@@ -37,7 +37,7 @@
 	frame := buffer.Bytes()
 	payload := frame[frameHeaderBytes:]
 	if len(payload) > maxPayloadBytes {
-		return nil, eris.Errorf("%d bytes are more than one frame holds", len(payload))
+		return nil, eris.Errorf("%d bytes exceed the maximum size of a frame", len(payload))
 	}
 	copy(frame, frameMarker)
 	binary.LittleEndian.PutUint32(frame[4:], uint32(len(payload)))
@@ -45,7 +45,7 @@
 	return frame, nil
 }
 
-// readFrame returns the payload of the frame at offset and the offset behind it.
+// readFrame returns the payload of the frame at offset and the offset after the frame.
 func readFrame(content []byte, sequence uint64, offset int64) (payload []byte, next int64, valid bool) {
 	rest := content[offset:]
 	if len(rest) < frameHeaderBytes || string(rest[:4]) != frameMarker {
@@ -62,7 +62,7 @@
 	return payload, offset + frameHeaderBytes + length, true
 }
 
-// findFrame looks for a valid frame at or behind offset from.
+// findFrame searches for a valid frame at or after offset from.
 func findFrame(content []byte, sequence uint64, from int64) (offset int64, found bool) {
 	for from < int64(len(content)) {
 		distance := bytes.Index(content[from:], []byte(frameMarker))
--- a/pkg/journaler/fuzz_test.go
+++ b/pkg/journaler/fuzz_test.go
@@ -11,53 +11,52 @@
 	"github.com/stoathitch/stoathitch/pkg/journaler/fakedisk"
 )
 
-// machine drives a journal over a faulty disk beside the oracle.
+// machine drives a journal on a faulty disk and compares it with the oracle.
 type machine struct {
 	disk    *fakedisk.Disk
 	journal *journaler.Journal
 	open    bool
-	// possible holds what the next Open may find. The first is what was
-	// acknowledged; a second one adds the write that failed or was interrupted.
+	// possible holds the states that the next Open may recover. The first is the
+	// acknowledged state; a second one includes the write that failed or was interrupted.
 	possible []model
 	written  int
 }
 
-// Symptom: after a restart an accepted entry, vote or snapshot is gone, or one
-// stands there that was never written.
-// Sequence: appends, groups, truncations and snapshots, mixed with crashes and
-// kills at any call, failed syncs and a full disk, then an open.
-// Cause looked for: a write acknowledged before its sync, a tail cut too short
-// or too long, a segment or snapshot dropped too early, a failed sync forgotten.
+// TestAcknowledgedIsNeverLost guards against an accepted entry, vote or snapshot that is gone after
+// a restart, and against one that was never written. It mixes appends, groups, truncations and
+// snapshots with crashes and kills at any call, failed syncs and a full disk, and then reopens the
+// journal. Possible causes are a write that is acknowledged before its sync, a tail cut too short
+// or too long, a segment or snapshot that is dropped too early, and a failed sync that is ignored.
 func TestAcknowledgedIsNeverLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		test := &machine{disk: fakedisk.New(rapid.Uint64().Draw(t, "seed")), possible: []model{{}}}
 		t.Repeat(map[string]func(*rapid.T){
 			"":         test.check,
 			"append":   test.append,
-			"group":    test.group,
+			"group":    test.appendGroup,
 			"truncate": test.truncate,
 			"snapshot": test.saveSnapshot,
 			"install":  test.installSnapshot,
 			"plan":     test.planFault,
-			"room":     test.changeRoom,
+			"room":     test.changeFreeBytes,
 			"crash":    func(*rapid.T) { test.disk.Crash(); test.open = false },
 			"kill":     func(*rapid.T) { test.disk.Kill(); test.open = false },
 			"close":    func(t *rapid.T) { test.close() },
 		})
-		test.disk.Room = fakedisk.Unlimited
+		test.disk.FreeBytes = fakedisk.Unlimited
 		test.disk.Crash()
 		test.open = false
-		test.ready(t)
+		test.ensureOpen(t)
 	})
 }
 
-// ready opens the journal, if need be again and again until no fault is left.
-func (test *machine) ready(t *rapid.T) {
+// ensureOpen opens the journal, repeatedly if needed, until no injected fault is left.
+func (test *machine) ensureOpen(t *rapid.T) {
 	for !test.open {
 		test.journal = newJournal(test.disk)
 		recovered, err := test.journal.Open()
 		if err == nil {
-			test.recognize(t, recovered)
+			test.checkRecovered(t, recovered)
 			return
 		}
 		switch kind, _ := journaler.KindOf(err); kind {
@@ -65,7 +64,7 @@
 			if len(test.disk.Contents()) > 1 {
 				t.Fatalf("a full disk kept a journal with contents from opening: %v", err)
 			}
-			test.disk.Room = fakedisk.Unlimited
+			test.disk.FreeBytes = fakedisk.Unlimited
 		case journaler.SyncFailed, journaler.WriteFailed:
 			test.disk.Crash()
 		default:
@@ -74,9 +73,9 @@
 	}
 }
 
-// recognize checks what Open found. From here on that is acknowledged: whoever
-// opened the journal acts on it.
-func (test *machine) recognize(t *rapid.T, recovered journaler.Recovered) {
+// checkRecovered checks the state that Open recovered. From now on it counts as acknowledged, because
+// the opener of the journal acts on it.
+func (test *machine) checkRecovered(t *rapid.T, recovered journaler.Recovered) {
 	found := modelOf(recovered)
 	for _, possible := range test.possible {
 		if possible.text() == found.text() {
@@ -88,8 +87,8 @@
 	t.Fatalf("recovered\n%swhich is none of %d possible, acknowledged is\n%s", found.text(), len(test.possible), test.possible[0].text())
 }
 
-// settle records the outcome of a write.
-func (test *machine) settle(t *rapid.T, err error, after model) {
+// recordOutcome records the outcome of a write.
+func (test *machine) recordOutcome(t *rapid.T, err error, after model) {
 	if err == nil {
 		test.possible = []model{after}
 		return
@@ -136,13 +135,13 @@
 }
 
 func (test *machine) append(t *rapid.T) {
-	test.ready(t)
+	test.ensureOpen(t)
 	batch := test.batch(t, test.acknowledged())
-	test.settle(t, test.journal.Append(batch), test.acknowledged().after(batch))
+	test.recordOutcome(t, test.journal.Append(batch), test.acknowledged().after(batch))
 }
 
-func (test *machine) group(t *rapid.T) {
-	test.ready(t)
+func (test *machine) appendGroup(t *rapid.T) {
+	test.ensureOpen(t)
 	after := test.acknowledged()
 	var batches []journaler.Batch
 	for range rapid.IntRange(2, 4).Draw(t, "batches") {
@@ -156,11 +155,11 @@
 			t.Fatalf("one group has several outcomes: %v", errs)
 		}
 	}
-	test.settle(t, errs[0], after)
+	test.recordOutcome(t, errs[0], after)
 }
 
 func (test *machine) truncate(t *rapid.T) {
-	test.ready(t)
+	test.ensureOpen(t)
 	before := test.acknowledged()
 	lowest := max(before.base().Index, before.hardState.Commit) + 1
 	if lowest > before.last().Index {
@@ -173,11 +172,11 @@
 	if batch.HardState != nil {
 		batch.HardState.Commit = before.hardState.Commit
 	}
-	test.settle(t, test.journal.Append(batch), before.after(batch))
+	test.recordOutcome(t, test.journal.Append(batch), before.after(batch))
 }
 
 func (test *machine) saveSnapshot(t *rapid.T) {
-	test.ready(t)
+	test.ensureOpen(t)
 	before := test.acknowledged()
 	if len(before.entries) == 0 {
 		t.Skip("nothing to cover")
@@ -186,9 +185,9 @@
 	test.save(t, journaler.Position{Index: at.Index, Term: at.Term})
 }
 
-// installSnapshot brings one from the leader that the log doesn't continue.
+// installSnapshot saves a snapshot from the leader whose last entry the log doesn't contain.
 func (test *machine) installSnapshot(t *rapid.T) {
-	test.ready(t)
+	test.ensureOpen(t)
 	before := test.acknowledged()
 	lowest := uint64(max(before.base().Index, before.hardState.Commit))
 	index := lowest + rapid.Uint64Range(1, 8).Draw(t, "ahead")
@@ -199,7 +198,7 @@
 	test.written++
 	data := fmt.Sprintf("snapshot-%d-%0*d", test.written, rapid.IntRange(0, 200).Draw(t, "size"), 0)
 	snapshot := journaler.Snapshot{Index: at.Index, Term: at.Term, Meta: []byte("members"), Data: []byte(data)}
-	test.settle(t, test.journal.SaveSnapshot(snapshot), test.acknowledged().afterSnapshot(snapshot))
+	test.recordOutcome(t, test.journal.SaveSnapshot(snapshot), test.acknowledged().afterSnapshot(snapshot))
 }
 
 func (test *machine) planFault(t *rapid.T) {
@@ -210,8 +209,8 @@
 	test.disk.CallsToCrash = rapid.IntRange(1, 12).Draw(t, "calls")
 }
 
-func (test *machine) changeRoom(t *rapid.T) {
-	test.disk.Room = rapid.OneOf(rapid.Int64Range(0, 400), rapid.Just(fakedisk.Unlimited)).Draw(t, "room")
+func (test *machine) changeFreeBytes(t *rapid.T) {
+	test.disk.FreeBytes = rapid.OneOf(rapid.Int64Range(0, 400), rapid.Just(fakedisk.Unlimited)).Draw(t, "room")
 }
 
 func (test *machine) close() {
@@ -221,7 +220,7 @@
 	}
 }
 
-// check compares what the running journal says with the oracle.
+// check compares the position of the running journal with the oracle.
 func (test *machine) check(t *rapid.T) {
 	if !test.open {
 		return
--- a/pkg/journaler/header.go
+++ b/pkg/journaler/header.go
@@ -7,7 +7,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Each file begins with a header, which every later format version keeps:
+// Each file begins with a header, whose layout is the same in every later format version:
 //
 //	magic     8 bytes  segmentMagic or snapshotMagic
 //	version   4 bytes  little endian
@@ -29,11 +29,11 @@
 	return header
 }
 
-// checkHeader checks the header of a file, with the payload that its checksum
-// covers. An intact header of another version gives the kind unsupported-format.
+// checkHeader validates the header of a file together with the payload that its checksum covers.
+// An intact header of another format version gives an error of the kind unsupported-format.
 func checkHeader(file string, content []byte, magic string, number uint64, payload []byte) error {
 	if len(content) < headerBytes || string(content[:8]) != magic {
-		return corruptError(file, 0, "the file doesn't begin with the header of its kind")
+		return corruptError(file, 0, "the file doesn't begin with a header of its type")
 	}
 	if binary.LittleEndian.Uint32(content[20:]) != headerChecksum(content, payload) {
 		return corruptError(file, 0, "the header's checksum doesn't match")
@@ -43,7 +43,7 @@
 		return &Error{Operation: "recover", Kind: UnsupportedFormat, File: file, Err: err}
 	}
 	if binary.LittleEndian.Uint64(content[12:]) != number {
-		return corruptError(file, 0, "the header's number is not that of the file")
+		return corruptError(file, 0, "the header's number doesn't match the file")
 	}
 	return nil
 }
--- a/pkg/journaler/inspect.go
+++ b/pkg/journaler/inspect.go
@@ -4,33 +4,32 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Report is the contents of a data folder, for an operator. Its JSON names are
-// kebab case.
+// Report describes the contents of a data folder for an operator. Its JSON names are kebab case.
 type Report struct {
 	Segments  []SegmentReport  `json:"segments"`
 	Snapshots []SnapshotReport `json:"snapshots"`
-	// Leftovers are files that the next Open removes.
+	// Leftovers are temporary files that the next Open removes.
 	Leftovers []string `json:"leftovers,omitempty"`
 }
 
-// SegmentReport is one file of the log.
+// SegmentReport describes one segment file of the log.
 type SegmentReport struct {
 	File   string           `json:"file"`
 	Bytes  identifier.Bytes `json:"bytes"`
 	Frames []FrameReport    `json:"frames"`
-	// Problem says what is wrong, with the offset; empty if nothing is. While a
-	// daemon writes to the folder, the frame in writing looks like a torn tail.
+	// Problem describes the damage with its offset; empty if there is none. While a daemon
+	// writes to the folder, the frame being written looks like a torn tail.
 	Problem string `json:"problem,omitempty"`
 }
 
-// FrameReport is what one sync made durable.
+// FrameReport describes one frame, which one sync made durable.
 type FrameReport struct {
 	Offset  int64            `json:"offset"`
 	Bytes   identifier.Bytes `json:"bytes"`
 	Records []RecordReport   `json:"records"`
 }
 
-// RecordReport is one record, without the data of its entry.
+// RecordReport describes one record. Data is the size of the entry's data.
 type RecordReport struct {
 	Kind      RecordKind       `json:"kind"`
 	Position  *Position        `json:"position,omitempty"`
@@ -39,7 +38,7 @@
 	HardState *HardState       `json:"hard-state,omitempty"`
 }
 
-// SnapshotReport is one snapshot file, without its data.
+// SnapshotReport describes one snapshot file. Data is the size of its data.
 type SnapshotReport struct {
 	File     string           `json:"file"`
 	Position Position         `json:"position"`
@@ -47,9 +46,9 @@
 	Problem  string           `json:"problem,omitempty"`
 }
 
-// Inspect reads a data folder and changes nothing. It takes no lock, so it may
-// run beside a daemon. It reports damage instead of failing on it; its own error
-// has the kind read-failed.
+// Inspect reads a data folder without changing it. It takes no lock, so it may run while a
+// daemon uses the folder. It reports damage instead of failing on it; its own error has the kind
+// read-failed.
 func Inspect(folder string) (Report, error) {
 	inspected := Journal{Folder: folder, FileSystem: Disk{}}
 	return inspected.inspect()
@@ -61,14 +60,14 @@
 		return Report{}, err
 	}
 	report := Report{Leftovers: contents.temporary}
-	for number, part := range contents.segments {
-		content, err := journal.FileSystem.Read(journal.path(part.name()))
+	for number, segment := range contents.segments {
+		content, err := journal.FileSystem.Read(journal.path(segment.name()))
 		if err != nil {
-			return Report{}, storageError("inspect", part.name(), ReadFailed, err)
+			return Report{}, storageError("inspect", segment.name(), ReadFailed, err)
 		}
-		inspected := inspectSegment(part, content)
-		if number > 0 && contents.segments[number-1].sequence+1 != part.sequence && inspected.Problem == "" {
-			inspected.Problem = "the segment before it is missing"
+		inspected := inspectSegment(segment, content)
+		if number > 0 && contents.segments[number-1].sequence+1 != segment.sequence && inspected.Problem == "" {
+			inspected.Problem = "the previous segment is missing"
 		}
 		report.Segments = append(report.Segments, inspected)
 	}
@@ -78,21 +77,21 @@
 	return report, nil
 }
 
-func inspectSegment(part segment, content []byte) SegmentReport {
-	report := SegmentReport{File: part.name(), Bytes: identifier.Bytes(len(content))}
-	if err := checkHeader(part.name(), content, segmentMagic, part.sequence, nil); err != nil {
+func inspectSegment(segment segment, content []byte) SegmentReport {
+	report := SegmentReport{File: segment.name(), Bytes: identifier.Bytes(len(content))}
+	if err := checkHeader(segment.name(), content, segmentMagic, segment.sequence, nil); err != nil {
 		report.Problem = err.Error()
 		return report
 	}
 	for offset := int64(headerBytes); offset < int64(len(content)); {
-		payload, next, valid := readFrame(content, part.sequence, offset)
+		payload, next, valid := readFrame(content, segment.sequence, offset)
 		if !valid {
-			report.Problem = describeDamage(part, content, offset)
+			report.Problem = describeDamage(segment, content, offset)
 			break
 		}
 		records, err := decodeGroup(payload)
 		if err != nil {
-			report.Problem = corruptError(part.name(), offset, err.Error()).Error()
+			report.Problem = corruptError(segment.name(), offset, err.Error()).Error()
 			break
 		}
 		frame := FrameReport{Offset: offset, Bytes: identifier.Bytes(next - offset)}
@@ -105,11 +104,11 @@
 	return report
 }
 
-func describeDamage(part segment, content []byte, offset int64) string {
-	if _, found := findFrame(content, part.sequence, offset+1); found {
-		return corruptError(part.name(), offset, "a damaged frame, and a valid one follows").Error()
+func describeDamage(segment segment, content []byte, offset int64) string {
+	if _, found := findFrame(content, segment.sequence, offset+1); found {
+		return corruptError(segment.name(), offset, "a damaged frame, and a valid one follows").Error()
 	}
-	return corruptError(part.name(), offset, "no valid frame from here on; a torn tail, if this is the last segment").Error()
+	return corruptError(segment.name(), offset, "no valid frame from here on; a torn tail, if this is the last segment").Error()
 }
 
 func inspectRecord(found record) RecordReport {
--- a/pkg/journaler/journaler.go
+++ b/pkg/journaler/journaler.go
@@ -1,14 +1,12 @@
-// Package journaler keeps a keeper's replicated log on its disk: entries, hard
-// state and snapshots, in one data folder that survives a crash at any write.
+// Package journaler stores a keeper's replicated log on disk: entries, hard state and snapshots,
+// in one data folder that survives a crash during any write.
 //
-// A Journal acknowledges only what a successful sync has made durable. One
-// Append, or one group of a Writer, is one frame with one checksum: after a
-// crash it is there as a whole or not at all. docs/dev/JOURNAL.md holds the
-// format and the rules.
+// A Journal acknowledges only what a successful sync has made durable. One Append, or one group
+// of a Writer, is one frame with one checksum: after a crash it exists as a whole or not at all.
+// docs/dev/JOURNAL.md describes the format and the rules.
 //
-// The journal keeps no entries in memory. Whoever replicates the log holds the
-// ones that Open returned and those appended since, so reads go on when the
-// journal refuses to write.
+// The journal keeps no entries in memory. The replicator of the log holds the entries that Open
+// returned and those appended since, so it can still read them when the journal refuses writes.
 package journaler
 
 import (
@@ -21,7 +19,7 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Defaults of the exported fields, for those left zero.
+// Defaults of exported fields that are zero.
 const (
 	DefaultSegmentBytes identifier.Bytes = 8 << 20
 	DefaultGroupBytes   identifier.Bytes = 1 << 20
@@ -30,30 +28,29 @@
 
 const lockFile = "lock"
 
-// Journal is the durable log in one data folder. Its exported fields are set
-// before Open. Its methods may be called from several goroutines.
+// Journal is the durable log in one data folder. Set the exported fields before Open. Its methods
+// are safe for concurrent use.
 type Journal struct {
-	// Folder is the data folder; Open creates it if it isn't there.
+	// Folder is the data folder; Open creates it if it doesn't exist.
 	Folder string
-	// FileSystem is the disk; nil means the host's own.
+	// FileSystem is the disk; nil means the host's file system.
 	FileSystem FileSystem
-	// SegmentBytes is the size from which the log goes on in a new file.
+	// SegmentBytes is the size of a segment from which on the log continues in a new one.
 	SegmentBytes identifier.Bytes
 
-	// snapshotMutex lets only one snapshot be written at a time. It is taken
-	// before mutex, so that appends go on while a large snapshot is written.
+	// snapshotMutex allows only one snapshot to be written at a time. It is locked before
+	// mutex, so that appends can proceed while a large snapshot is written.
 	snapshotMutex sync.Mutex
 
 	mutex    sync.Mutex
 	lock     io.Closer
 	active   File
 	segments []segment
-	// durableEnd is the offset in the active segment behind the last frame that
-	// was synced.
+	// durableEnd is the offset in the active segment after the last synced frame.
 	durableEnd int64
 	state      logState
-	// resetPending says that the log restarted behind a snapshot and that the
-	// record of it goes in front of the next frame.
+	// resetPending reports that the log restarted after a snapshot, and that the snapshot
+	// marker must be written as the first record of the next frame.
 	resetPending bool
 	broken       error
 }
@@ -61,22 +58,20 @@
 // Recovered is what Open found in the data folder.
 type Recovered struct {
 	HardState HardState
-	// Snapshot is nil when there is none.
+	// Snapshot is nil if there is none.
 	Snapshot *Snapshot
 	// Entries follow the snapshot without a gap.
 	Entries []Entry
-	// CutBytes is the length of the torn tail that was cut; zero after a clean
-	// stop.
+	// CutBytes is the length of the torn tail that was removed; zero after a clean stop.
 	CutBytes identifier.Bytes
-	// DamagedSnapshots names the snapshot files that were passed over for an
+	// DamagedSnapshots names the damaged snapshot files that were skipped in favour of an
 	// older one.
 	DamagedSnapshots []string
 }
 
-// Open locks the folder, recovers what is durable and makes the journal ready
-// for Append. Its errors have the kinds locked, corrupt-record,
-// missing-segment, missing-snapshot, unsupported-format, disk-full,
-// write-failed, sync-failed and read-failed.
+// Open locks the folder, recovers the durable state and makes the journal ready for Append. Its
+// errors have the kinds locked, corrupt-record, missing-segment, missing-snapshot,
+// unsupported-format, disk-full, write-failed, sync-failed and read-failed.
 func (journal *Journal) Open() (Recovered, error) {
 	journal.mutex.Lock()
 	defer journal.mutex.Unlock()
@@ -100,7 +95,7 @@
 	return recovered, nil
 }
 
-// Close releases the folder. What was acknowledged is durable already.
+// Close closes the files and releases the lock. What was acknowledged is already durable.
 func (journal *Journal) Close() error {
 	journal.snapshotMutex.Lock()
 	defer journal.snapshotMutex.Unlock()
@@ -109,15 +104,15 @@
 	return journal.release()
 }
 
-// Position tells the last durable index and its term, and the hard state.
+// Position returns the last durable position and the durable hard state.
 func (journal *Journal) Position() (Position, HardState) {
 	journal.mutex.Lock()
 	defer journal.mutex.Unlock()
 	return journal.state.lastPosition(), journal.state.hardState
 }
 
-// Broken returns the failure after which the journal refuses all writes, or nil.
-// Only a new Open, which reads the disk afresh, ends that.
+// Broken returns the failure since which the journal refuses all writes, or nil. Only closing and
+// reopening the journal, which reads the disk again, ends that state.
 func (journal *Journal) Broken() error {
 	journal.mutex.Lock()
 	defer journal.mutex.Unlock()
@@ -157,7 +152,7 @@
 	return filepath.Join(journal.Folder, name)
 }
 
-// usable refuses work on a journal that is closed or broken.
+// usable returns an error if the journal is closed or broken.
 func (journal *Journal) usable(operation string) error {
 	if journal.lock == nil {
 		return &Error{Operation: operation, Kind: Invalid, Err: eris.New("the journal is not open")}
@@ -168,9 +163,8 @@
 	return nil
 }
 
-// markBroken keeps the first failure and returns the cause. A full disk that
-// could not be cleaned up after isn't reported as one, since a caller would then
-// wait for room in vain.
+// markBroken records the first failure and returns the cause. A full disk after which the cleanup
+// failed is reported as write-failed, since a caller would otherwise wait for space in vain.
 func (journal *Journal) markBroken(cause *Error) error {
 	if cause.Kind == DiskFull {
 		cause.Kind = WriteFailed
--- a/pkg/journaler/logstate.go
+++ b/pkg/journaler/logstate.go
@@ -9,10 +9,10 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// logState is what must be known of the log to check a batch before it is
-// written. Replay and append run the same apply.
+// logState is the part of the log's state that is needed to validate a batch before it is
+// written. Replay and append use the same apply method.
 type logState struct {
-	// base is the position that the entries in the segments follow.
+	// base is the position before the first entry in the segments.
 	base Position
 	// terms holds the first index of each term among those entries.
 	terms     []Position
@@ -26,7 +26,7 @@
 	return state
 }
 
-// termAt returns the term of the entry at index, and whether it is known.
+// termAt returns the term of the entry at an index, and whether it is known.
 func (state *logState) termAt(index identifier.LogIndex) (identifier.Term, bool) {
 	if index == state.base.Index {
 		return state.base.Term, true
@@ -34,8 +34,8 @@
 	if index < state.base.Index || index > state.last {
 		return 0, false
 	}
-	behind := sort.Search(len(state.terms), func(run int) bool { return state.terms[run].Index > index })
-	return state.terms[behind-1].Term, true
+	next := sort.Search(len(state.terms), func(run int) bool { return state.terms[run].Index > index })
+	return state.terms[next-1].Term, true
 }
 
 func (state *logState) lastPosition() Position {
@@ -43,21 +43,21 @@
 	return Position{Index: state.last, Term: term}
 }
 
-// continues tells whether the log holds the entry that a snapshot ends at, so
-// that the entries behind it stay good.
-func (state *logState) continues(snapshot Position) bool {
+// contains reports whether the log contains the last entry that a snapshot covers, so that the
+// entries after it stay valid.
+func (state *logState) contains(snapshot Position) bool {
 	term, known := state.termAt(snapshot.Index)
 	return known && term == snapshot.Term
 }
 
-// restartBehind drops all entries.
-func (state *logState) restartBehind(position Position) {
+// resetTo drops all entries; the log continues after position.
+func (state *logState) resetTo(position Position) {
 	state.base = position
 	state.terms = nil
 	state.last = position.Index
 }
 
-// apply changes the state by one record, or says why the record doesn't fit.
+// apply applies one record to the state. It returns an error if the record doesn't fit.
 func (state *logState) apply(change record) error {
 	switch change.Kind {
 	case RecordSegmentStart:
@@ -69,7 +69,7 @@
 	case RecordTruncateFrom:
 		return state.applyTruncate(change.Position.Index)
 	case RecordSnapshotMarker:
-		state.restartBehind(*change.Position)
+		state.resetTo(*change.Position)
 	}
 	return nil
 }
@@ -79,7 +79,7 @@
 		state.base.Term = change.Position.Term
 	}
 	if *change.Position != state.lastPosition() || *change.HardState != state.hardState {
-		return eris.New("the segment doesn't continue the one before it")
+		return eris.New("the segment doesn't continue the previous one")
 	}
 	return nil
 }
@@ -107,8 +107,8 @@
 	kept := sort.Search(len(state.terms), func(run int) bool { return state.terms[run].Index >= from })
 	state.terms = state.terms[:kept]
 	if state.last < state.base.Index {
-		// Only in replay: these entries stood in segments that a later snapshot
-		// let drop. Their terms are unknown and no longer matter.
+		// This happens only in replay: these entries were in segments that were
+		// dropped after a later snapshot. Their terms are unknown and no longer matter.
 		state.base = Position{Index: state.last}
 	}
 	return nil
@@ -118,9 +118,9 @@
 	return state.base.Index > 0 && state.base.Term == 0
 }
 
-// admit checks a batch, applies it and returns its records. After an error the
-// state is worthless.
-func (state *logState) admit(batch Batch) ([]record, error) {
+// applyBatch validates a batch, applies it and returns its records. After an error the state
+// must be discarded.
+func (state *logState) applyBatch(batch Batch) ([]record, error) {
 	var records []record
 	if batch.TruncateFrom != 0 {
 		if err := state.checkTruncate(batch.TruncateFrom); err != nil {
@@ -143,10 +143,10 @@
 	return records, checkHardState(before, state.hardState, state.last)
 }
 
-// checkTruncate keeps a faulty replicator from removing what a quorum accepted:
-// one would notice an accepted configuration that is gone after a change of
-// leader. A leader never conflicts with committed entries, so a truncation at
-// or below the commit index is always a fault.
+// checkTruncate prevents a faulty replicator from removing entries that a quorum has accepted:
+// an accepted configuration would visibly be gone after a change of leader. A leader never
+// conflicts with committed entries, so a truncation at or below the commit index is always a
+// fault.
 func (state *logState) checkTruncate(from identifier.LogIndex) error {
 	if from <= max(state.snapshot.Index, state.hardState.Commit) {
 		return eris.Errorf("entry %d is committed and can't be truncated", from)
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// checkHardState refuses a hard state that goes back, votes twice in a term or
-// commits what the log doesn't hold.
+// checkHardState rejects a hard state that goes backwards, votes twice in a term or commits
+// entries that the log doesn't contain.
 func checkHardState(before, after HardState, last identifier.LogIndex) error {
 	switch {
 	case after.Term < before.Term:
--- a/pkg/journaler/main_test.go
+++ b/pkg/journaler/main_test.go
@@ -8,8 +8,8 @@
 
 const longRunChecks = "20000"
 
-// TestMain fixes the seed, so that CI runs the same sequences each time. With
-// -long the seed is drawn and the run is longer.
+// TestMain fixes the seed so that CI runs the same sequences each time. With -long the seed is
+// random and the number of checks is higher.
 func TestMain(m *testing.M) {
 	long := flag.Bool("long", false, "fuzz longer, with a random seed")
 	flag.Parse()
--- a/pkg/journaler/model_test.go
+++ b/pkg/journaler/model_test.go
@@ -12,11 +12,11 @@
 
 const folder = "data"
 
-// model is the oracle: the log as plain slices, without segments or frames.
+// model is the oracle: it holds the log as plain slices, without segments or frames.
 type model struct {
 	hardState journaler.HardState
 	snapshot  *journaler.Snapshot
-	entries   []journaler.Entry // behind the snapshot
+	entries   []journaler.Entry // after the snapshot
 }
 
 func (oracle model) base() journaler.Position {
@@ -57,7 +57,7 @@
 	return oracle
 }
 
-// text is the whole state, for comparison and golden files.
+// text formats the whole state for comparisons and golden files.
 func (oracle model) text() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "term=%d voted-for=%q commit=%d\n", oracle.hardState.Term, oracle.hardState.VotedFor, oracle.hardState.Commit)
--- a/pkg/journaler/record.go
+++ b/pkg/journaler/record.go
@@ -11,37 +11,37 @@
 
 //go:generate enumer -type=RecordKind -transform=kebab -text -output=recordkind_enumer.go
 
-// RecordKind tells what a record does when the log is replayed. The numbers are
-// on disk: never change one, add new ones at the end.
+// RecordKind is the effect of a record when the log is replayed. The numbers are stored on disk:
+// never change one, and add new ones at the end.
 type RecordKind int
 
 const (
-	// RecordSegmentStart opens each segment: it repeats the hard state and the
-	// last position, so that the segments before it can be dropped.
+	// RecordSegmentStart is the first record of each segment. It repeats the hard state and
+	// the last position, so that earlier segments can be dropped.
 	RecordSegmentStart RecordKind = iota
 	// RecordEntry appends an entry.
 	RecordEntry
 	// RecordHardState replaces the hard state.
 	RecordHardState
-	// RecordTruncateFrom removes the entry at its index and all behind it.
+	// RecordTruncateFrom removes the entry at its index and all later ones.
 	RecordTruncateFrom
-	// RecordSnapshotMarker drops all entries: the log goes on behind a snapshot
-	// that doesn't continue it.
+	// RecordSnapshotMarker drops all entries: the log restarts after a snapshot whose last
+	// entry it doesn't contain.
 	RecordSnapshotMarker
 )
 
-// recordOverhead is about what a record takes on disk besides an entry's data.
+// recordOverhead is the approximate size of a record on disk, excluding the entry's data.
 const recordOverhead = 32
 
 type record struct {
 	Kind      RecordKind `cbor:"1,keyasint"`
 	Entry     *Entry     `cbor:"2,keyasint,omitempty"`
 	HardState *HardState `cbor:"3,keyasint,omitempty"`
-	// Position is the end of the log for a segment start, the snapshot's for a
-	// marker; a truncation uses only its index.
+	// Position is the end of the log in a segment start and the snapshot's position in a
+	// snapshot marker; a truncation uses only the index.
 	Position *Position `cbor:"4,keyasint,omitempty"`
-	// PreviousBytes is the length of the segment before, in a segment start. An
-	// older segment that lost whole frames at its end is told by it.
+	// PreviousBytes is the length of the previous segment, in a segment start. It reveals an
+	// older segment that has lost whole frames at its end.
 	PreviousBytes int64 `cbor:"5,keyasint,omitempty"`
 }
 
@@ -52,8 +52,8 @@
 
 var decodeMode = newDecodeMode()
 
-// newDecodeMode lifts the library's limit on array lengths, which one large
-// group would pass; a frame's checksum was checked before it is decoded.
+// newDecodeMode raises the library's limit on array lengths, which one large group would exceed.
+// That is safe because a frame's checksum is verified before it is decoded.
 func newDecodeMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: math.MaxInt32}.DecMode()
 	if err != nil {
@@ -67,29 +67,29 @@
 	if err := decodeMode.Unmarshal(payload, &decoded); err != nil {
 		return nil, eris.Wrap(err, "decode the records")
 	}
-	for _, found := range decoded.Records {
-		if err := found.check(); err != nil {
+	for _, change := range decoded.Records {
+		if err := change.check(); err != nil {
 			return nil, err
 		}
 	}
 	return decoded.Records, nil
 }
 
-// check sees to it that the fields that the kind needs are there.
-func (found record) check() error {
+// check returns an error if a field that the record's kind requires is missing.
+func (record record) check() error {
 	complete := false
-	switch found.Kind {
+	switch record.Kind {
 	case RecordSegmentStart:
-		complete = found.HardState != nil && found.Position != nil
+		complete = record.HardState != nil && record.Position != nil
 	case RecordEntry:
-		complete = found.Entry != nil
+		complete = record.Entry != nil
 	case RecordHardState:
-		complete = found.HardState != nil
+		complete = record.HardState != nil
 	case RecordTruncateFrom, RecordSnapshotMarker:
-		complete = found.Position != nil
+		complete = record.Position != nil
 	}
 	if !complete {
-		return eris.Errorf("a record of kind %s is not known or lacks a field", found.Kind)
+		return eris.Errorf("a record of kind %s is not known or lacks a field", record.Kind)
 	}
 	return nil
 }
--- a/pkg/journaler/recover.go
+++ b/pkg/journaler/recover.go
@@ -9,7 +9,7 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// folderContents is what stands in a data folder, by kind.
+// folderContents lists the files of a data folder by kind.
 type folderContents struct {
 	segments  []segment  // oldest first
 	snapshots []Position // newest first
@@ -37,9 +37,8 @@
 	return contents, nil
 }
 
-// splitAtGap returns the newest segments that follow each other without a gap,
-// and the older ones.
-func splitAtGap(segments []segment) (older, run []segment) {
+// splitAtGap returns the newest segments with contiguous sequence numbers, and the older ones.
+func splitAtGap(segments []segment) (older, contiguous []segment) {
 	first := max(len(segments)-1, 0)
 	for first > 0 && segments[first-1].sequence+1 == segments[first].sequence {
 		first--
@@ -47,15 +46,15 @@
 	return segments[:first], segments[first:]
 }
 
-// recover reads the folder, cuts a torn tail and makes sure that all it returns
-// is durable.
+// recover reads the folder, removes a torn tail and ensures that everything it returns is
+// durable.
 func (journal *Journal) recover() (Recovered, error) {
 	contents, err := listFolder(journal.FileSystem, journal.Folder)
 	if err != nil {
 		return Recovered{}, err
 	}
-	older, run := splitAtGap(contents.segments)
-	replayed, err := journal.replay(run, len(contents.snapshots) > 0)
+	older, contiguous := splitAtGap(contents.segments)
+	replayed, err := journal.replay(contiguous, len(contents.snapshots) > 0)
 	if err != nil {
 		return Recovered{}, err
 	}
@@ -66,7 +65,7 @@
 	if err := replayed.checkCoverage(snapshot, older, damaged); err != nil {
 		return Recovered{}, err
 	}
-	if err := journal.settle(replayed, older, contents.temporary); err != nil {
+	if err := journal.finishRecovery(replayed, older, contents.temporary); err != nil {
 		return Recovered{}, err
 	}
 	recovered := Recovered{
@@ -76,14 +75,14 @@
 		DamagedSnapshots: damaged,
 	}
 	if snapshot != nil {
-		journal.takeSnapshot(snapshot.Position())
+		journal.applySnapshot(snapshot.Position())
 	}
-	recovered.Entries = replayed.entriesBehind(journal.state)
+	recovered.Entries = replayed.entriesAfter(journal.state)
 	return recovered, nil
 }
 
-// newestSnapshot reads the newest snapshot that is intact, and names the damaged
-// ones that it passed over.
+// newestSnapshot reads the newest intact snapshot and returns the names of the damaged ones that
+// it skipped.
 func (journal *Journal) newestSnapshot(positions []Position) (*Snapshot, []string, error) {
 	var damaged []string
 	for _, position := range positions {
@@ -100,8 +99,8 @@
 	return nil, damaged, nil
 }
 
-// checkCoverage refuses a log whose beginning stands in no readable snapshot.
-// Serving from what is left would make accepted entries vanish.
+// checkCoverage returns an error if no readable snapshot covers the missing beginning of the log.
+// Continuing with the remaining entries would lose accepted ones.
 func (replayed *replay) checkCoverage(snapshot *Snapshot, older []segment, damaged []string) error {
 	covered := Position{}
 	if snapshot != nil {
@@ -124,13 +123,12 @@
 	return &Error{Operation: "recover", Kind: MissingSnapshot, File: file, Err: err}
 }
 
-// settle makes what was replayed durable and opens its last segment for more.
+// finishRecovery makes the replayed log durable and opens its last segment for writing.
 //
-// A failed sync can leave the last frame in the kernel's cache only, marked
-// clean: it reads back, yet is not on the disk, and no sync would write it. So
-// the last frame is written again before the sync. One frame is enough, since
-// nothing is ever written behind a frame that isn't synced.
-func (journal *Journal) settle(replayed *replay, older []segment, temporary []string) error {
+// A failed sync can leave the last frame only in the kernel's cache, marked clean: it can be read
+// but is not on the disk, and no sync would write it. So the last frame is written again before
+// the sync. One frame is enough, since nothing is ever written after a frame that isn't synced.
+func (journal *Journal) finishRecovery(replayed *replay, older []segment, temporary []string) error {
 	journal.state = replayed.state
 	journal.segments = replayed.segments
 	if err := journal.removeLeftovers(replayed, older, temporary); err != nil {
@@ -159,12 +157,12 @@
 	return nil
 }
 
-// removeLeftovers removes what a crash left behind: half-written snapshots, a
-// half-created segment, and segments that a snapshot covers.
+// removeLeftovers removes what a crash left behind: partially written snapshots, a partially
+// created segment, and segments that a snapshot covers.
 func (journal *Journal) removeLeftovers(replayed *replay, older []segment, temporary []string) error {
 	names := slices.Clone(temporary)
-	for _, part := range older {
-		names = append(names, part.name())
+	for _, segment := range older {
+		names = append(names, segment.name())
 	}
 	if replayed.tornCreation != nil {
 		names = append(names, replayed.tornCreation.name())
@@ -177,8 +175,8 @@
 	return nil
 }
 
-// entriesBehind returns the entries behind the snapshot of the settled state.
-func (replayed *replay) entriesBehind(state logState) []Entry {
+// entriesAfter returns the entries after the snapshot of the recovered state.
+func (replayed *replay) entriesAfter(state logState) []Entry {
 	if state.last <= state.snapshot.Index {
 		return nil
 	}
@@ -186,85 +184,84 @@
 	return replayed.entries[skipped:]
 }
 
-// replay is the log as the segments tell it.
+// replay is the log as read from the segments.
 type replay struct {
 	state    logState
 	segments []segment
 	// entries follow state.base without a gap.
 	entries []Entry
-	// end is the offset behind the last valid frame of the last segment.
+	// end is the offset after the last valid frame of the last segment.
 	end int64
-	// lastFrame is what settle writes again: the last frame, with the header
-	// when there is no other.
+	// lastFrame is what finishRecovery writes again: the last frame, with the file header if
+	// it is the only frame.
 	lastFrame    []byte
 	cutBytes     identifier.Bytes
 	tornCreation *segment
 }
 
-func (journal *Journal) replay(run []segment, snapshots bool) (*replay, error) {
+func (journal *Journal) replay(contiguous []segment, snapshots bool) (*replay, error) {
 	replayed := &replay{}
-	if len(run) == 0 && snapshots {
+	if len(contiguous) == 0 && snapshots {
 		err := eris.New("there is a snapshot, but no segment with the hard state")
 		return nil, &Error{Operation: "recover", Kind: MissingSegment, File: journal.Folder, Err: err}
 	}
-	for number, part := range run {
-		content, err := journal.FileSystem.Read(journal.path(part.name()))
+	for number, segment := range contiguous {
+		content, err := journal.FileSystem.Read(journal.path(segment.name()))
 		if err != nil {
-			return nil, storageError("recover", part.name(), ReadFailed, err)
+			return nil, storageError("recover", segment.name(), ReadFailed, err)
 		}
-		last := number == len(run)-1
-		mayBeTorn := last && (number > 0 || part.sequence == firstSequence && !snapshots)
-		if mayBeTorn && isTornCreation(part, content) {
-			replayed.tornCreation = &part
+		last := number == len(contiguous)-1
+		mayBeTorn := last && (number > 0 || segment.sequence == firstSequence && !snapshots)
+		if mayBeTorn && isTornCreation(segment, content) {
+			replayed.tornCreation = &segment
 			replayed.cutBytes = identifier.Bytes(len(content))
 			return replayed, nil
 		}
-		if err := replayed.readSegment(part, content, last); err != nil {
+		if err := replayed.readSegment(segment, content, last); err != nil {
 			return nil, err
 		}
 	}
 	return replayed, nil
 }
 
-// isTornCreation tells whether a crash interrupted the creation of a segment: its
-// header or its start is damaged, and no frame stands behind. Nothing was
-// acknowledged in it then.
-func isTornCreation(part segment, content []byte) bool {
-	if len(content) > tornCreationBytes || hasStart(part, content) {
+// isTornCreation reports whether a crash interrupted the creation of a segment: its header or its
+// segment start is damaged and no valid frame follows. Then nothing in it was acknowledged.
+func isTornCreation(segment segment, content []byte) bool {
+	if len(content) > tornCreationBytes || hasSegmentStart(segment, content) {
 		return false
 	}
 	behindStart := min(headerBytes+1, int64(len(content)))
-	_, found := findFrame(content, part.sequence, behindStart)
+	_, found := findFrame(content, segment.sequence, behindStart)
 	return !found
 }
 
-// hasStart tells whether a segment begins as each does, or is of a version that
-// can't be judged.
-func hasStart(part segment, content []byte) bool {
-	err := checkHeader(part.name(), content, segmentMagic, part.sequence, nil)
+// hasSegmentStart reports whether a segment begins with a valid header and frame, or is of an
+// unsupported format version, of which that is unknown.
+func hasSegmentStart(segment segment, content []byte) bool {
+	err := checkHeader(segment.name(), content, segmentMagic, segment.sequence, nil)
 	if kind, _ := KindOf(err); err != nil && kind == UnsupportedFormat {
 		return true
 	}
 	if err != nil {
 		return false
 	}
-	_, _, valid := readFrame(content, part.sequence, headerBytes)
+	_, _, valid := readFrame(content, segment.sequence, headerBytes)
 	return valid
 }
 
 // readSegment replays one segment. Only the last one may end in a torn frame.
-func (replayed *replay) readSegment(part segment, content []byte, last bool) error {
-	if err := checkHeader(part.name(), content, segmentMagic, part.sequence, nil); err != nil {
+func (replayed *replay) readSegment(segment segment, content []byte, last bool) error {
+	if err := checkHeader(segment.name(), content, segmentMagic, segment.sequence, nil); err != nil {
 		return err
 	}
 	offset := int64(headerBytes)
 	for offset < int64(len(content)) {
-		payload, next, valid := readFrame(content, part.sequence, offset)
+		payload, next, valid := readFrame(content, segment.sequence, offset)
 		if !valid {
-			return replayed.endAtDamage(part, content, offset, last)
+			return replayed.endAtDamage(segment, content, offset, last)
 		}
-		if err := replayed.readFrame(&part, payload, offset); err != nil {
-			return corruptError(part.name(), offset, err.Error())
+		if err := replayed.readFrame(&segment, payload, offset); err != nil {
+			return corruptError(segment.name(), offset, err.Error())
 		}
 		replayed.lastFrame = content[offset:next]
 		if offset == headerBytes {
@@ -274,33 +271,32 @@
 		replayed.end = offset
 	}
 	if offset == headerBytes {
-		return corruptError(part.name(), offset, "the segment has no start")
+		return corruptError(segment.name(), offset, "the segment has no start")
 	}
-	replayed.segments = append(replayed.segments, part)
+	replayed.segments = append(replayed.segments, segment)
 	return nil
 }
 
-// endAtDamage cuts a torn tail and refuses any other damage. A crash can tear
-// only the last frame of the last segment, since each frame is synced before the
-// next is written. A valid frame behind the damage, or a later segment, was
-// acknowledged after the damaged one: cutting there would lose entries that
-// others count on.
-func (replayed *replay) endAtDamage(part segment, content []byte, offset int64, last bool) error {
+// endAtDamage removes a torn tail and returns an error for any other damage. A crash can tear
+// only the last frame of the last segment, since each frame is synced before the next is written.
+// A valid frame after the damage, or a later segment, was acknowledged after the damaged one:
+// removing it would lose entries that other hosts rely on.
+func (replayed *replay) endAtDamage(segment segment, content []byte, offset int64, last bool) error {
 	if !last {
-		return corruptError(part.name(), offset, "a damaged frame, and a later segment follows")
+		return corruptError(segment.name(), offset, "a damaged frame, and a later segment follows")
 	}
 	if offset == headerBytes {
-		return corruptError(part.name(), offset, "the segment's start is damaged")
+		return corruptError(segment.name(), offset, "the segment's start is damaged")
 	}
-	if behind, found := findFrame(content, part.sequence, offset+1); found {
-		return corruptError(part.name(), offset, fmt.Sprintf("a damaged frame, and a valid one follows at offset %d", behind))
+	if behind, found := findFrame(content, segment.sequence, offset+1); found {
+		return corruptError(segment.name(), offset, fmt.Sprintf("a damaged frame, and a valid one follows at offset %d", behind))
 	}
 	replayed.cutBytes = identifier.Bytes(int64(len(content)) - offset)
-	replayed.segments = append(replayed.segments, part)
+	replayed.segments = append(replayed.segments, segment)
 	return nil
 }
 
-func (replayed *replay) readFrame(part *segment, payload []byte, offset int64) error {
+func (replayed *replay) readFrame(segment *segment, payload []byte, offset int64) error {
 	records, err := decodeGroup(payload)
 	if err != nil {
 		return err
@@ -311,14 +307,14 @@
 			return eris.New("a segment start is missing or out of place")
 		}
 		if starts {
-			part.startLast = change.Position.Index
+			segment.startLast = change.Position.Index
 		}
 		if starts && len(replayed.segments) == 0 {
-			replayed.begin(change)
+			replayed.initState(change)
 			continue
 		}
 		if starts && change.PreviousBytes != replayed.end {
-			return eris.Errorf("the segment before ended at offset %d, now at %d", change.PreviousBytes, replayed.end)
+			return eris.Errorf("the previous segment ended at offset %d and now ends at %d", change.PreviousBytes, replayed.end)
 		}
 		if err := replayed.apply(change); err != nil {
 			return err
@@ -327,10 +323,10 @@
 	return nil
 }
 
-// begin takes the state over from the start of the oldest segment.
-func (replayed *replay) begin(start record) {
+// initState initializes the state from the start of the oldest segment.
+func (replayed *replay) initState(start record) {
 	replayed.state.hardState = *start.HardState
-	replayed.state.restartBehind(*start.Position)
+	replayed.state.resetTo(*start.Position)
 }
 
 func (replayed *replay) apply(change record) error {
--- a/pkg/journaler/scenario_test.go
+++ b/pkg/journaler/scenario_test.go
@@ -21,7 +21,7 @@
 //	snapshot index=I term=T                   SaveSnapshot
 //	room bytes=N | fail-sync                  set a fault
 //	flip file=F at=N | remove file=F          damage a file; at below zero counts from its end
-//	files, position                           what stands there
+//	files, position                           print the files, or the journal's position
 type scenario struct {
 	disk    *fakedisk.Disk
 	journal *journaler.Journal
@@ -51,7 +51,7 @@
 	case "snapshot":
 		return outcome(test.snapshot(t, command))
 	case "room":
-		command.ScanArgs(t, "bytes", &test.disk.Room)
+		command.ScanArgs(t, "bytes", &test.disk.FreeBytes)
 	case "fail-sync":
 		test.disk.FailSyncs = 1
 	case "flip":
--- a/pkg/journaler/snapshot.go
+++ b/pkg/journaler/snapshot.go
@@ -28,12 +28,11 @@
 	return position, name == snapshotName(position)
 }
 
-// SaveSnapshot makes a snapshot durable and drops the log that it covers. When
-// the log holds no entry at the snapshot's index and term, as on a keeper that
-// lags behind, the whole log is dropped and goes on behind the snapshot.
-// Appends go on while the file is written. The kinds of its errors are those of
-// Append; one at or below the snapshot that is there, or that contradicts what is
-// committed, is invalid.
+// SaveSnapshot makes a snapshot durable and drops the part of the log that it covers. If the log
+// has no entry at the snapshot's index and term, as on a keeper that lags behind, the whole log
+// is dropped and continues after the snapshot. Appends can proceed while the file is written. Its
+// errors have the same kinds as those of Append. A snapshot that isn't newer than the existing
+// one, or that contradicts committed entries, is invalid.
 func (journal *Journal) SaveSnapshot(snapshot Snapshot) error {
 	journal.snapshotMutex.Lock()
 	defer journal.snapshotMutex.Unlock()
@@ -50,8 +49,8 @@
 	return journal.adoptSnapshot(name, snapshot.Position())
 }
 
-// LoadSnapshot reads the newest snapshot, or returns nil when there is none. It
-// also serves a broken journal.
+// LoadSnapshot reads the newest snapshot, or returns nil if there is none. It also works on a
+// broken journal.
 func (journal *Journal) LoadSnapshot() (*Snapshot, error) {
 	journal.snapshotMutex.Lock()
 	defer journal.snapshotMutex.Unlock()
@@ -64,14 +63,14 @@
 	return readSnapshot(journal.FileSystem, journal.path(snapshotName(position)), snapshotName(position))
 }
 
-// checkSnapshot refuses a snapshot that would take the log back.
+// checkSnapshot rejects a snapshot that would roll the log back.
 func (journal *Journal) checkSnapshot(snapshot Position) error {
 	if err := journal.usable("save snapshot"); err != nil {
 		return err
 	}
 	state := &journal.state
 	backwards := snapshot.Index <= state.snapshot.Index
-	uncommits := snapshot.Index <= state.hardState.Commit && !state.continues(snapshot)
+	uncommits := snapshot.Index <= state.hardState.Commit && !state.contains(snapshot)
 	if backwards || uncommits || snapshot.Term == 0 {
 		err := eris.Errorf("index %d of term %d conflicts with the snapshot at %d and the commit at %d",
 			snapshot.Index, snapshot.Term, state.snapshot.Index, state.hardState.Commit)
@@ -80,8 +79,8 @@
 	return nil
 }
 
-// writeTemporary writes and syncs the file under a name that recovery ignores: a
-// crash in the middle leaves the older snapshot in force.
+// writeTemporary writes and syncs the file under a name that recovery ignores. After a crash
+// during the write, the older snapshot stays valid.
 func (journal *Journal) writeTemporary(name string, snapshot Snapshot) error {
 	payload, err := cbor.Marshal(snapshot)
 	if err != nil {
@@ -94,7 +93,7 @@
 	}
 	_, err = file.WriteAt(content, 0)
 	if err != nil {
-		_ = file.Close() // the file goes away
+		_ = file.Close() // the file is removed
 		_ = journal.FileSystem.Remove(journal.path(name))
 		return journal.snapshotFailed(storageError("save snapshot", name, WriteFailed, err))
 	}
@@ -105,23 +104,23 @@
 	return nil
 }
 
-// snapshotFailed breaks the journal unless the disk was merely full: the disk
-// that failed under the snapshot is the one under the log.
+// snapshotFailed breaks the journal unless the disk is only full, because the disk that failed to
+// write the snapshot also holds the log.
 func (journal *Journal) snapshotFailed(cause *Error) error {
 	journal.mutex.Lock()
 	defer journal.mutex.Unlock()
-	return journal.unlessFull(cause)
+	return journal.breakUnlessFull(cause)
 }
 
-func (journal *Journal) unlessFull(cause *Error) error {
+func (journal *Journal) breakUnlessFull(cause *Error) error {
 	if cause.Kind == DiskFull {
 		return cause
 	}
 	return journal.markBroken(cause)
 }
 
-// adoptSnapshot gives the file its name and the log its new beginning, with no
-// append between the two.
+// adoptSnapshot renames the file to its final name and updates the log's state, with no append
+// between the two.
 func (journal *Journal) adoptSnapshot(name string, position Position) error {
 	journal.mutex.Lock()
 	defer journal.mutex.Unlock()
@@ -129,32 +128,32 @@
 		return err
 	}
 	if err := journal.FileSystem.Rename(journal.path(name+temporarySuffix), journal.path(name)); err != nil {
-		return journal.unlessFull(storageError("save snapshot", name, WriteFailed, err))
+		return journal.breakUnlessFull(storageError("save snapshot", name, WriteFailed, err))
 	}
 	if err := journal.FileSystem.SyncFolder(journal.Folder); err != nil {
 		return journal.markBroken(storageError("save snapshot", name, SyncFailed, err))
 	}
 	previous := journal.state.snapshot
-	journal.takeSnapshot(position)
+	journal.applySnapshot(position)
 	if err := journal.dropSegments(); err != nil {
 		return err
 	}
 	return journal.dropSnapshots(previous)
 }
 
-// takeSnapshot fits the state to a snapshot that is durable. Recovery does the
-// same, so a crash before the marker is written changes nothing.
-func (journal *Journal) takeSnapshot(position Position) {
+// applySnapshot updates the state for a durable snapshot. Recovery does the same, so a crash
+// before the snapshot marker is written makes no difference.
+func (journal *Journal) applySnapshot(position Position) {
 	journal.state.snapshot = position
-	if journal.state.continues(position) {
+	if journal.state.contains(position) {
 		return
 	}
-	journal.state.restartBehind(position)
+	journal.state.resetTo(position)
 	journal.resetPending = true
 }
 
-// dropSnapshots removes the snapshots that are of no use any more. The previous
-// one stays as long as the log still holds all that came behind it.
+// dropSnapshots removes obsolete snapshots. The previous one is kept as long as the log still
+// contains all entries after it.
 func (journal *Journal) dropSnapshots(previous Position) error {
 	names, err := journal.FileSystem.List(journal.Folder)
 	if err != nil {
@@ -173,7 +172,7 @@
 	return nil
 }
 
-// readSnapshot reads one file and checks it.
+// readSnapshot reads one snapshot file and validates it.
 func readSnapshot(fileSystem FileSystem, path, name string) (*Snapshot, error) {
 	content, err := fileSystem.Read(path)
 	if err != nil {
@@ -188,7 +187,7 @@
 		return nil, corruptError(name, headerBytes, err.Error())
 	}
 	if position, _ := parseSnapshotName(name); position != snapshot.Position() {
-		return nil, corruptError(name, headerBytes, "the contents are not those that the name tells")
+		return nil, corruptError(name, headerBytes, "the position in the contents doesn't match the file name")
 	}
 	return &snapshot, nil
 }
--- a/pkg/journaler/writer.go
+++ b/pkg/journaler/writer.go
@@ -9,44 +9,43 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Ticket names a batch that was handed to a Writer.
+// Ticket identifies a batch that was submitted to a Writer; the submitter chooses it.
 type Ticket uint64
 
-// Result tells what became of one batch.
+// Result is the outcome of one batch.
 type Result struct {
 	Ticket Ticket
-	// Err is nil once the batch is durable.
+	// Err is nil if the batch is durable.
 	Err error
 }
 
-// Durable is what a Writer reports after each sync.
+// Durable is the report of a Writer after each sync.
 type Durable struct {
 	// Results are in the order of Submit.
 	Results []Result
-	// Last is the last durable position, HardState the durable hard state.
+	// Last is the last durable position and HardState the durable hard state.
 	Last      Position
 	HardState HardState
 }
 
-// Writer makes batches of many submitters durable with one write and one sync a
-// group: while one sync runs, the batches that arrive form the next group. Its
-// exported fields are set before Run and Submit.
+// Writer makes the batches of many submitters durable with one write and one sync per group:
+// batches that arrive during a sync form the next group. Set the exported fields before Run and
+// Submit.
 type Writer struct {
 	Journal *Journal
-	// Done is called on the goroutine of Run, in order; it must not wait for
-	// another result.
+	// Done is called on the goroutine of Run, in order. It must not wait for another result.
 	Done func(Durable)
-	// GroupBytes bounds a group, and with it the time that one write takes.
+	// GroupBytes is the maximum size of a group, which limits the time that one write takes.
 	GroupBytes identifier.Bytes
-	// QueueBytes bounds what waits; a Submit beyond it is refused.
+	// QueueBytes is the maximum size of the queue; a Submit that exceeds it is refused.
 	QueueBytes identifier.Bytes
 
-	once    sync.Once
-	wake    chan struct{}
-	mutex   sync.Mutex
-	queue   []submitted
-	queued  identifier.Bytes
-	stopped bool
+	once        sync.Once
+	wake        chan struct{}
+	mutex       sync.Mutex
+	queue       []submitted
+	queuedBytes identifier.Bytes
+	stopped     bool
 }
 
 type submitted struct {
@@ -54,9 +53,8 @@
 	batch  Batch
 }
 
-// Submit queues a batch and returns at once. Its errors have the kinds
-// queue-full and stopped. A batch that builds on one that came to nothing comes
-// back as invalid: its entries would leave a gap.
+// Submit queues a batch and returns at once. Its errors have the kinds queue-full and stopped. A
+// batch that follows a failed one gets the result invalid, because its entries would leave a gap.
 func (writer *Writer) Submit(ticket Ticket, batch Batch) error {
 	writer.prepare()
 	writer.mutex.Lock()
@@ -64,21 +62,20 @@
 	if writer.stopped {
 		return &Error{Operation: "submit", Kind: Stopped, Err: eris.New("the writer has ended")}
 	}
-	// One batch is always taken, so that one above the bound isn't refused for
-	// ever.
-	if len(writer.queue) > 0 && writer.queued+batch.size() > writer.QueueBytes {
-		return &Error{Operation: "submit", Kind: QueueFull, Err: eris.New("the disk is slower than the batches come")}
+	// An empty queue accepts any batch, so that one above the bound isn't refused forever.
+	if len(writer.queue) > 0 && writer.queuedBytes+batch.size() > writer.QueueBytes {
+		return &Error{Operation: "submit", Kind: QueueFull, Err: eris.New("the queue is full, because the disk is slower than batches arrive")}
 	}
 	writer.queue = append(writer.queue, submitted{ticket: ticket, batch: batch})
-	writer.queued += batch.size()
+	writer.queuedBytes += batch.size()
 	select {
 	case writer.wake <- struct{}{}:
-	default: // Run is due to look already
+	default: // a wake-up is already pending
 	}
 	return nil
 }
 
-// Run writes until the context ends, then what is still queued, and returns.
+// Run writes batches until the context is done, then writes what is still queued and returns.
 func (writer *Writer) Run(ctx context.Context) {
 	writer.prepare()
 	for {
@@ -112,13 +109,13 @@
 }
 
 func (writer *Writer) drain() {
-	for taken := writer.take(); len(taken) > 0; taken = writer.take() {
+	for taken := writer.nextGroup(); len(taken) > 0; taken = writer.nextGroup() {
 		writer.writeGroup(taken)
 	}
 }
 
-// take removes the next group from the queue.
-func (writer *Writer) take() []submitted {
+// nextGroup removes the next group from the queue and returns it; it is empty if the queue is.
+func (writer *Writer) nextGroup() []submitted {
 	writer.mutex.Lock()
 	defer writer.mutex.Unlock()
 	count := 0
@@ -129,7 +126,7 @@
 	}
 	taken := writer.queue[:count:count]
 	writer.queue = writer.queue[count:]
-	writer.queued -= size
+	writer.queuedBytes -= size
 	return taken
 }
 
--- a/pkg/journaler/writer_test.go
+++ b/pkg/journaler/writer_test.go
@@ -10,8 +10,8 @@
 	"github.com/stoathitch/stoathitch/pkg/journaler/fakedisk"
 )
 
-// countingDisk counts syncs on the way to another disk. The first append's sync
-// waits until release is closed.
+// countingDisk wraps another disk and counts its syncs. The sync of the first append blocks until
+// release is closed.
 type countingDisk struct {
 	journaler.FileSystem
 	syncs   int
@@ -31,16 +31,16 @@
 
 func (file countingFile) Sync() error {
 	file.disk.syncs++
-	if file.disk.syncs == 2 { // the first is that of the segment's start
+	if file.disk.syncs == 2 { // the first is the sync of the segment's start
 		close(file.disk.entered)
 		<-file.disk.release
 	}
 	return file.File.Sync()
 }
 
-// Symptom: each claim waits for a sync of its own.
-// Sequence: many batches arrive while the sync of the first runs.
-// Cause looked for: a writer that doesn't form groups, or reports out of order.
+// TestWriterSharesOneSync guards against claims that each wait for a sync of their own. Many
+// batches arrive while the sync of the first one runs; the writer must form one group of them and
+// report the results in order.
 func TestWriterSharesOneSync(t *testing.T) {
 	const batches = 200
 	disk := &countingDisk{FileSystem: fakedisk.New(1), entered: make(chan struct{}), release: make(chan struct{})}
@@ -82,9 +82,9 @@
 	}
 }
 
-// Symptom: the daemon's memory grows while its disk hangs.
-// Sequence: more batches are submitted than the queue holds, and none is written.
-// Cause looked for: a queue without a bound.
+// TestWriterRefusesBeyondItsQueue guards against a queue without a bound, which makes the daemon's
+// memory grow while its disk hangs. More batches are submitted than the queue holds, and none is
+// written.
 func TestWriterRefusesBeyondItsQueue(t *testing.T) {
 	writer := &journaler.Writer{QueueBytes: 100}
 	batch := journaler.Batch{Entries: []journaler.Entry{entry(1, 1, "a claim")}}
@@ -96,7 +96,7 @@
 	}
 }
 
-// The same journal on the host's own file system: lock, restart and inspection.
+// TestOnTheHostsDisk checks locking, restart and inspection on the host's file system.
 func TestOnTheHostsDisk(t *testing.T) {
 	journal := &journaler.Journal{Folder: t.TempDir(), SegmentBytes: 300}
 	if _, err := journal.Open(); err != nil {
