--- a/pkg/tracer/codec.go
+++ b/pkg/tracer/codec.go
@@ -6,9 +6,9 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// The read and write methods of each event stand together here, so that a field
-// that one of them forgets is seen beside the other. The parser reads and the
-// writer writes the fields "at" and "event" themselves.
+// This file keeps the read and write methods of each event together, so that a
+// field that is missing in one of them is easy to notice. The field "event" is read
+// by the parser; the fields "at" and "event" are written by newLine.
 
 func (head *Head) read(reader *fieldReader) { head.At = reader.moment("at") }
 
@@ -25,7 +25,7 @@
 	}
 	job.Repeatable = reader.boolean("repeatable")
 	if reader.has("may-run") {
-		job.MayRun = names[identifier.FailureDomain](reader, "may-run")
+		job.MayRun = readNames[identifier.FailureDomain](reader, "may-run")
 	}
 	job.Deadline = identifier.Never
 	if reader.has("deadline") {
@@ -102,10 +102,10 @@
 	expect.Head.read(reader)
 	if reader.has("submission") {
 		expect.Submission = identifier.SubmissionID(reader.text("submission"))
-		expect.Outcome = enumerated(reader, "outcome", OutcomeString)
+		expect.Outcome = readEnum(reader, "outcome", OutcomeString)
 		return
 	}
-	expect.Count = enumerated(reader, "count", FigureString)
+	expect.Count = readEnum(reader, "count", FigureString)
 	expect.AtMost = reader.number("at-most")
 }
 
@@ -119,9 +119,9 @@
 	writer.number("at-most", expect.AtMost)
 }
 
-// enumerated reads a field whose text is one of an enum's names. The generated
-// parsers also take other cases of a name; a trace must have its very text.
-func enumerated[Enum interface {
+// readEnum reads a field whose text is a name of an enum value. The generated
+// parsers ignore upper and lower case; a trace must have the exact text.
+func readEnum[Enum interface {
 	~int
 	String() string
 }](reader *fieldReader, name string, parse func(string) (Enum, error)) Enum {
--- a/pkg/tracer/deployment.go
+++ b/pkg/tracer/deployment.go
@@ -8,35 +8,37 @@
 )
 
 // Deployment is the first line of a trace: the hosts and the network that the
-// events happen to.
+// events refer to.
 type Deployment struct {
 	Head
 	FailureDomains             []identifier.FailureDomain
 	EntryHostsPerFailureDomain int
 	ExecutorsPerFailureDomain  int
-	// Slots and Connections are those of each executor.
+	// Slots and Connections are counts per executor.
 	Slots       identifier.Slots
 	Connections int
-	// OneWay is the delay between failure domains, ClientOneWay that between a
-	// caller and an entry host.
+	// OneWay is the one-way network delay between failure domains; ClientOneWay is
+	// the one between a caller and an entry host.
 	OneWay       time.Duration
 	ClientOneWay time.Duration
-	// Sync is the cost of one synced write.
+	// Sync is how long one synced write takes.
 	Sync time.Duration
 	Seed uint64
 }
 
-// Executor returns the id of the numbered executor of a failure domain, from 0.
+// Executor returns the id of an executor by its number within the failure
+// domain; numbers start at 0.
 func Executor(domain identifier.FailureDomain, number int) identifier.BackendServerID {
 	return identifier.BackendServerID(fmt.Sprintf("%s-%d", domain, number))
 }
 
-// EntryHost returns the id of the numbered entry host of a failure domain, from 0.
+// EntryHost returns the id of an entry host by its number within the failure
+// domain; numbers start at 0.
 func EntryHost(domain identifier.FailureDomain, number int) identifier.HostID {
 	return identifier.HostID(fmt.Sprintf("%s-entry-%d", domain, number))
 }
 
-// AllSlots returns the slots of all executors together.
+// AllSlots returns the total number of slots of all executors.
 func (deployment *Deployment) AllSlots() identifier.Slots {
 	executors := len(deployment.FailureDomains) * deployment.ExecutorsPerFailureDomain
 	return identifier.Slots(executors) * deployment.Slots
@@ -44,7 +46,7 @@
 
 func (deployment *Deployment) read(reader *fieldReader) {
 	deployment.At = reader.moment("at")
-	deployment.FailureDomains = names[identifier.FailureDomain](reader, "failure-domains")
+	deployment.FailureDomains = readNames[identifier.FailureDomain](reader, "failure-domains")
 	deployment.EntryHostsPerFailureDomain = reader.count("entry-hosts-per-failure-domain")
 	deployment.ExecutorsPerFailureDomain = reader.count("executors-per-failure-domain")
 	deployment.Slots = identifier.Slots(reader.count("slots"))
--- a/pkg/tracer/directory.go
+++ b/pkg/tracer/directory.go
@@ -2,8 +2,8 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// directory knows every id that an event may refer to: those of the deployment,
-// and the submissions that earlier lines have sent.
+// directory holds every id that an event may refer to: the ids of the deployment
+// and the submissions of earlier lines.
 type directory struct {
 	failureDomains map[identifier.FailureDomain]bool
 	backendServers map[identifier.BackendServerID]bool
@@ -20,7 +20,7 @@
 	}
 	for _, domain := range deployment.FailureDomains {
 		if result.failureDomains[domain] {
-			return nil, problem(ErrorBadValue, "failure domain %q stands twice", domain)
+			return nil, newParseError(ErrorBadValue, "failure domain %q stands twice", domain)
 		}
 		result.failureDomains[domain] = true
 		result.addHosts(deployment, domain)
@@ -41,21 +41,21 @@
 	if directory.failureDomains[domain] {
 		return nil
 	}
-	return problem(ErrorUnknownReference, "no failure domain %q in the deployment", domain)
+	return newParseError(ErrorUnknownReference, "no failure domain %q in the deployment", domain)
 }
 
 func (directory *directory) checkEntryHost(host identifier.HostID) *Error {
 	if directory.entryHosts[host] {
 		return nil
 	}
-	return problem(ErrorUnknownReference, "no entry host %q in the deployment", host)
+	return newParseError(ErrorUnknownReference, "no entry host %q in the deployment", host)
 }
 
 func (directory *directory) checkSubmission(submission identifier.SubmissionID) *Error {
 	if directory.submissions[submission] {
 		return nil
 	}
-	return problem(ErrorUnknownReference, "no submission %q on an earlier line", submission)
+	return newParseError(ErrorUnknownReference, "no submission %q on an earlier line", submission)
 }
 
 func (job *Job) check(directory *directory) *Error {
@@ -89,7 +89,7 @@
 	if directory.backendServers[fault.BackendServer] {
 		return nil
 	}
-	return problem(ErrorUnknownReference, "no backend server %q in the deployment", fault.BackendServer)
+	return newParseError(ErrorUnknownReference, "no backend server %q in the deployment", fault.BackendServer)
 }
 
 func (fault *EntryHostFault) check(directory *directory) *Error {
--- a/pkg/tracer/error.go
+++ b/pkg/tracer/error.go
@@ -8,10 +8,10 @@
 
 //go:generate enumer -type=ErrorKind -trimprefix=Error -transform=kebab -text
 
-// ErrorKind says what is wrong with a trace.
+// ErrorKind is the reason why a trace could not be read or written.
 type ErrorKind int
 
-// The kinds of errors.
+// The kinds of errors; all but ErrorReading and ErrorWriting are faults in the trace.
 const (
 	ErrorMalformed ErrorKind = iota
 	ErrorNoDeployment
@@ -26,7 +26,8 @@
 	ErrorWriting
 )
 
-// Error is the one error type of this package. Line counts from 1.
+// Error is the error type of all functions of this package. Line is the line
+// number within the trace, from 1.
 type Error struct {
 	Operation string
 	Kind      ErrorKind
@@ -39,12 +40,12 @@
 	return fmt.Sprintf("%s: line %d: %s: %v", traceError.Operation, traceError.Line, traceError.Kind, traceError.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (traceError *Error) Unwrap() error { return traceError.Err }
 
 const operationParse = "parse trace"
 
-// problem returns a parse error whose line is not known yet; the parser fills it in.
-func problem(kind ErrorKind, format string, arguments ...any) *Error {
+// newParseError returns a parse error without a line number, which Parse sets.
+func newParseError(kind ErrorKind, format string, arguments ...any) *Error {
 	return &Error{Operation: operationParse, Kind: kind, Err: eris.Errorf(format, arguments...)}
 }
--- a/pkg/tracer/event.go
+++ b/pkg/tracer/event.go
@@ -6,12 +6,12 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Event is one line of a trace after the first. The set of events is closed:
-// the structs of this package are all there are.
+// Event is one line of a trace after the first. Only the structs of this package
+// implement it.
 type Event interface {
-	// Kind says what happens.
+	// Kind returns the kind of the event, which is written to the field "event".
 	Kind() Kind
-	// Moment says when, as an offset from the start of the trace.
+	// Moment returns the time of the event as an offset from the start of the trace.
 	Moment() identifier.Moment
 
 	read(reader *fieldReader)
@@ -19,22 +19,22 @@
 	check(directory *directory) *Error
 }
 
-// Trace is a deployment and what happens to it, in order of time.
+// Trace is a deployment and the events in it, ordered by time.
 type Trace struct {
 	Deployment Deployment
 	Events     []Event
 }
 
-// Head is what every event has.
+// Head holds the time of an event, the field that all events have.
 type Head struct {
 	At identifier.Moment
 }
 
-// Moment says when the event happens.
+// Moment returns the time of the event as an offset from the start of the trace.
 func (head *Head) Moment() identifier.Moment { return head.At }
 
-// Job is one sending of a job by its caller. The same submission in a later Job
-// is a resend; the same job under a new submission is a resubmission.
+// Job is a request that submits a job. A later Job with the same submission is a
+// resend; the same job under a new submission is a resubmission.
 type Job struct {
 	Head
 	Job           identifier.JobID
@@ -43,31 +43,34 @@
 	Team          identifier.TeamID
 	Class         identifier.ClassName
 	FailureDomain identifier.FailureDomain
-	// EntryHost is where the platform's balancer sent the job; empty means any
-	// living entry host of the failure domain, or else of another.
+	// EntryHost is the host that the platform's load balancer sent the job to.
+	// Empty means any living entry host of the failure domain, or of another one
+	// if this one has none.
 	EntryHost  identifier.HostID
 	Repeatable bool
-	// MayRun is empty for the default: the own failure domain, then the others.
+	// MayRun lists the allowed failure domains in order of preference. Empty means
+	// the default: FailureDomain first, then the others.
 	MayRun []identifier.FailureDomain
-	// Deadline is identifier.Never for a job that has none.
+	// Deadline is identifier.Never for a job without a deadline.
 	Deadline identifier.Moment
 	Tasks    []Task
 }
 
-// Task is one task of a job. Declared is what the caller said of its run time.
+// Task is one task of a job. RunTime is its real run time, Declared the run time
+// that the caller declared.
 type Task struct {
 	RunTime  time.Duration
 	Declared time.Duration
 }
 
-// Cancel is a caller's cancellation of a submission.
+// Cancel is the cancellation of a submission by its caller.
 type Cancel struct {
 	Head
 	Submission identifier.SubmissionID
 }
 
-// Expect states what must hold at the end of the replay: either the outcome of
-// one submission (Submission is set), or a bound on a figure.
+// Expect is an assertion that is checked at the end of the replay: either the
+// outcome of one submission, if Submission is set, or an upper bound on a figure.
 type Expect struct {
 	Head
 	Submission identifier.SubmissionID
@@ -85,11 +88,11 @@
 // Kind returns KindExpect.
 func (expect *Expect) Kind() Kind { return KindExpect }
 
-// NamesSubmission tells whether the expectation is about one submission rather
+// NamesSubmission reports whether the expectation is about one submission rather
 // than about a figure.
 func (expect *Expect) NamesSubmission() bool { return expect.Submission != "" }
 
-// LongestRunTime returns the longest run time among the job's tasks.
+// LongestRunTime returns the longest real run time among the job's tasks.
 func (job *Job) LongestRunTime() time.Duration {
 	longest := time.Duration(0)
 	for _, task := range job.Tasks {
@@ -98,7 +101,7 @@
 	return longest
 }
 
-// Work returns the sum of the run times of the job's tasks.
+// Work returns the sum of the real run times of the job's tasks.
 func (job *Job) Work() time.Duration {
 	work := time.Duration(0)
 	for _, task := range job.Tasks {
@@ -107,8 +110,8 @@
 	return work
 }
 
-// FailureDomains returns where the job may run, in the order of preference, with
-// the default filled in.
+// FailureDomains returns the failure domains that the job may run in, in order of
+// preference; it applies the default if MayRun is empty.
 func (job *Job) FailureDomains(deployment *Deployment) []identifier.FailureDomain {
 	if len(job.MayRun) > 0 {
 		return job.MayRun
@@ -122,8 +125,8 @@
 	return domains
 }
 
-// newEvent returns an empty event of the kind, or nil for one that has no place
-// after the first line.
+// newEvent returns an empty event of the kind, or nil for KindDeployment, which is
+// allowed on the first line only.
 func newEvent(kind Kind) Event {
 	switch kind {
 	case KindJob:
--- a/pkg/tracer/fault.go
+++ b/pkg/tracer/fault.go
@@ -2,65 +2,69 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// BackendServerFault is what the faults of one backend server share.
+// BackendServerFault holds the fields that all faults of one backend server share.
 type BackendServerFault struct {
 	Head
 	BackendServer identifier.BackendServerID
 }
 
-// EntryHostFault is what the faults of one entry host share.
+// EntryHostFault holds the fields that all faults of one entry host share.
 type EntryHostFault struct {
 	Head
 	EntryHost identifier.HostID
 }
 
-// FailureDomainFault is what the faults of one failure domain share.
+// FailureDomainFault holds the fields that all faults of one failure domain share.
 type FailureDomainFault struct {
 	Head
 	FailureDomain identifier.FailureDomain
 }
 
-// BackendServerDies ends a backend server and all that runs there.
+// BackendServerDies terminates a backend server and every task that runs on it.
 type BackendServerDies struct{ BackendServerFault }
 
-// BackendServerReturns brings a backend server back, whatever fault it had.
+// BackendServerReturns brings a backend server back to normal, whichever fault it
+// had.
 type BackendServerReturns struct{ BackendServerFault }
 
 // BackendServerLeaves makes a backend server announce that it is leaving.
 type BackendServerLeaves struct{ BackendServerFault }
 
-// BackendServerFailsEveryTask makes a backend server fail each task at once.
+// BackendServerFailsEveryTask makes a backend server fail each task immediately.
 type BackendServerFailsEveryTask struct{ BackendServerFault }
 
-// BackendServerSlows multiplies the run times at a backend server by Factor.
+// BackendServerSlows multiplies the run times of tasks on a backend server by
+// Factor, which is above zero.
 type BackendServerSlows struct {
 	BackendServerFault
 	Factor float64
 }
 
-// BackendServerSilent makes a backend server stop answering while its
+// BackendServerSilent makes a backend server stop responding while its
 // connections stay open.
 type BackendServerSilent struct{ BackendServerFault }
 
-// EntryHostDies ends an entry host at once.
+// EntryHostDies terminates an entry host without a graceful shutdown.
 type EntryHostDies struct{ EntryHostFault }
 
-// EntryHostReturns starts an entry host again, with empty memory.
+// EntryHostReturns restarts an entry host without its former state in memory.
 type EntryHostReturns struct{ EntryHostFault }
 
-// EntryHostShutsDown asks an entry host to end gracefully.
+// EntryHostShutsDown requests a graceful shutdown of an entry host.
 type EntryHostShutsDown struct{ EntryHostFault }
 
-// EntryHostIsolated silently cuts an entry host off from all others.
+// EntryHostIsolated drops all messages between an entry host and all other
+// hosts, without an error on either side.
 type EntryHostIsolated struct{ EntryHostFault }
 
-// EntryHostRejoins ends an EntryHostIsolated.
+// EntryHostRejoins ends the fault EntryHostIsolated.
 type EntryHostRejoins struct{ EntryHostFault }
 
-// FailureDomainCutOff silently cuts a failure domain off from the others.
+// FailureDomainCutOff drops all messages between a failure domain and the other
+// failure domains, without an error on either side.
 type FailureDomainCutOff struct{ FailureDomainFault }
 
-// FailureDomainRejoins ends a FailureDomainCutOff.
+// FailureDomainRejoins ends the fault FailureDomainCutOff.
 type FailureDomainRejoins struct{ FailureDomainFault }
 
 // Kind returns KindBackendServerDies.
--- a/pkg/tracer/fieldreader.go
+++ b/pkg/tracer/fieldreader.go
@@ -10,13 +10,13 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// maximumCount bounds the sizes of a deployment, so that a mistyped one is
-// refused instead of filling the memory.
-const maximumCount = 100_000
+// maxCount is the upper bound of the sizes of a deployment. A mistyped size is
+// rejected by it instead of using up the memory.
+const maxCount = 100_000
 
-// fieldReader hands out the fields of one JSON object and remembers the first
-// error. Field names are compared exactly: encoding/json alone would take "AT"
-// for "at" and let the last of two equal fields win without a word.
+// fieldReader reads the fields of one JSON object and keeps the first error. Field
+// names are case-sensitive and must be unique: encoding/json alone would accept
+// "AT" for "at", and silently use the last one of two fields with the same name.
 type fieldReader struct {
 	fields map[string]json.RawMessage
 	order  []string
@@ -27,7 +27,7 @@
 	reader := &fieldReader{fields: make(map[string]json.RawMessage)}
 	decoder := json.NewDecoder(bytes.NewReader(object))
 	if opening, err := decoder.Token(); err != nil || opening != json.Delim('{') {
-		return nil, problem(ErrorMalformed, "not a JSON object")
+		return nil, newParseError(ErrorMalformed, "not a JSON object")
 	}
 	for decoder.More() {
 		if err := reader.addField(decoder); err != nil {
@@ -35,10 +35,10 @@
 		}
 	}
 	if _, err := decoder.Token(); err != nil {
-		return nil, problem(ErrorMalformed, "not a whole JSON object: %v", err)
+		return nil, newParseError(ErrorMalformed, "not a whole JSON object: %v", err)
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return nil, problem(ErrorMalformed, "more than one JSON object on the line")
+		return nil, newParseError(ErrorMalformed, "more than one JSON object on the line")
 	}
 	return reader, nil
 }
@@ -46,29 +46,29 @@
 func (reader *fieldReader) addField(decoder *json.Decoder) *Error {
 	token, err := decoder.Token()
 	if err != nil {
-		return problem(ErrorMalformed, "not a JSON object: %v", err)
+		return newParseError(ErrorMalformed, "not a JSON object: %v", err)
 	}
 	name, _ := token.(string)
 	var value json.RawMessage
 	if err := decoder.Decode(&value); err != nil {
-		return problem(ErrorMalformed, "not a JSON object: %v", err)
+		return newParseError(ErrorMalformed, "not a JSON object: %v", err)
 	}
 	if _, repeated := reader.fields[name]; repeated {
-		return problem(ErrorRepeatedField, "field %q stands twice", name)
+		return newParseError(ErrorRepeatedField, "field %q stands twice", name)
 	}
 	reader.fields[name] = value
 	reader.order = append(reader.order, name)
 	return nil
 }
 
-// finish reports the first error, or a field that nobody has asked for.
+// finish returns the first error, or an error for a field that was not read.
 func (reader *fieldReader) finish() *Error {
 	if reader.err != nil {
 		return reader.err
 	}
 	for _, name := range reader.order {
 		if _, unread := reader.fields[name]; unread {
-			return problem(ErrorUnknownField, "field %q has no place here", name)
+			return newParseError(ErrorUnknownField, "field %q has no place here", name)
 		}
 	}
 	return nil
@@ -76,7 +76,7 @@
 
 func (reader *fieldReader) fail(kind ErrorKind, format string, arguments ...any) {
 	if reader.err == nil {
-		reader.err = problem(kind, format, arguments...)
+		reader.err = newParseError(kind, format, arguments...)
 	}
 }
 
@@ -85,8 +85,9 @@
 	return found
 }
 
-// take returns the raw value of a required field, or nil after an error.
-func (reader *fieldReader) take(name string) json.RawMessage {
+// consume removes a required field and returns its raw value, or nil if the field
+// is missing.
+func (reader *fieldReader) consume(name string) json.RawMessage {
 	value, found := reader.fields[name]
 	if !found {
 		reader.fail(ErrorMissingField, "field %q is missing", name)
@@ -96,9 +97,10 @@
 	return value
 }
 
-// decode fills target from a required field and tells whether it could.
+// decode decodes a required field into target and reports whether it succeeded.
+// wanted describes the expected value in the error.
 func (reader *fieldReader) decode(name string, target any, wanted string) bool {
-	value := reader.take(name)
+	value := reader.consume(name)
 	if value == nil {
 		return false
 	}
@@ -125,8 +127,8 @@
 
 func (reader *fieldReader) count(name string) int {
 	result := 0
-	if reader.decode(name, &result, "a whole number") && (result < 1 || result > maximumCount) {
-		reader.fail(ErrorBadValue, "field %q must be from 1 to %d, not %d", name, maximumCount, result)
+	if reader.decode(name, &result, "a whole number") && (result < 1 || result > maxCount) {
+		reader.fail(ErrorBadValue, "field %q must be from 1 to %d, not %d", name, maxCount, result)
 	}
 	return result
 }
@@ -161,8 +163,8 @@
 	return identifier.Moment(reader.duration(name))
 }
 
-// names reads a list of names that must have at least one.
-func names[Name ~string](reader *fieldReader, field string) []Name {
+// readNames reads a list of at least one name; no name may be empty.
+func readNames[Name ~string](reader *fieldReader, field string) []Name {
 	var result []Name
 	if !reader.decode(field, &result, "a list of names") {
 		return nil
--- a/pkg/tracer/fieldwriter.go
+++ b/pkg/tracer/fieldwriter.go
@@ -10,7 +10,7 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// fieldWriter builds one JSON object field by field, in the order of the calls.
+// fieldWriter builds one JSON object. Its fields are in the order of the calls.
 type fieldWriter struct {
 	line []byte
 }
@@ -67,7 +67,7 @@
 	writer.line = append(writer.line, ']')
 }
 
-// listSeparator returns what stands before the list element at position.
+// listSeparator returns the character before the list element at position.
 func listSeparator(position int) byte {
 	if position == 0 {
 		return '['
@@ -75,8 +75,8 @@
 	return ','
 }
 
-// appendText appends a JSON string without the HTML escapes of json.Marshal,
-// which would change the bytes of a name that holds an ampersand.
+// appendText appends a JSON string. It doesn't use json.Marshal, whose HTML
+// escapes would change the bytes of a name that contains an ampersand.
 func appendText(line []byte, text string) []byte {
 	if strings.IndexFunc(text, needsEscape) < 0 {
 		line = append(line, '"')
@@ -92,13 +92,14 @@
 	return append(line, bytes.TrimSuffix(buffer.Bytes(), []byte("\n"))...)
 }
 
-// needsEscape is true of each character that a JSON string may not hold as it is,
-// and of the rarer ones that are left to the library.
+// needsEscape reports whether appendText leaves the character to encoding/json:
+// JSON strings must escape it, or it is outside of printable ASCII.
 func needsEscape(character rune) bool {
 	return character < ' ' || character > '~' || character == '"' || character == '\\'
 }
 
-// durationUnits are the units that a written duration may have, largest first.
+// durationUnits are the units of formatDuration, largest first; smaller values are
+// written in nanoseconds.
 var durationUnits = []struct {
 	unit time.Duration
 	name string
@@ -108,8 +109,8 @@
 	{time.Microsecond, "us"},
 }
 
-// formatDuration writes a duration in one unit, as people write them in traces:
-// "60s", "1.2s" and "250us", where time.Duration's own form gives "1m0s".
+// formatDuration formats a duration in a single unit, as people write them in
+// traces: "60s", "1.2s" and "250us". Duration.String would return "1m0s" for 60s.
 func formatDuration(value time.Duration) string {
 	if value == 0 {
 		return "0s"
@@ -122,8 +123,8 @@
 	return strconv.FormatInt(int64(value), 10) + "ns"
 }
 
-// decimal writes value in units with no more decimals than needed. It uses whole
-// numbers only: a float would round long traces with nanosecond times.
+// decimal formats value as a multiple of unit with no more decimals than needed. It
+// uses integers only, since floats would round nanosecond times in long traces.
 func decimal(value, unit time.Duration) string {
 	text := strconv.FormatInt(int64(value/unit), 10)
 	rest := value % unit
--- a/pkg/tracer/kind.go
+++ b/pkg/tracer/kind.go
@@ -4,10 +4,10 @@
 //go:generate enumer -type=Outcome -trimprefix=Outcome -transform=kebab -text
 //go:generate enumer -type=Figure -trimprefix=Figure -transform=kebab -text
 
-// Kind says what happens in an event; its text is the value of the field "event".
+// Kind is the kind of an event; its text is the value of the field "event".
 type Kind int
 
-// The kinds of events.
+// The kinds of events; KindDeployment is allowed on the first line only.
 const (
 	KindDeployment Kind = iota
 	KindJob
@@ -28,21 +28,22 @@
 	KindExpect
 )
 
-// Outcome is how a submission ended, as its caller was told.
+// Outcome is the result of a submission as reported to its caller.
 type Outcome int
 
-// The outcomes that a trace may state.
+// The outcomes that an Expect may require.
 const (
 	OutcomeComplete Outcome = iota
 	OutcomeFailed
 	OutcomeRefused
 )
 
-// Figure names one number that a replay prints and that a trace may bound.
+// Figure is a metric of a replay that an Expect may give an upper bound for.
 type Figure int
 
-// The figures. ResponseOverIdeal is the mean over the complete jobs, Violations
-// their number, ControlBytesPerSecond that of the entry host with the most.
+// The figures. FigureResponseOverIdeal is the mean over all complete jobs,
+// FigureViolations the number of violations, and FigureControlBytesPerSecond the
+// value of the entry host with the highest one.
 const (
 	FigureJobs Figure = iota
 	FigureTasks
--- a/pkg/tracer/parser.go
+++ b/pkg/tracer/parser.go
@@ -10,15 +10,16 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// maximumLine bounds one line of a trace: a job of some hundred thousand tasks.
-const maximumLine = 16 << 20
+// maxLineBytes is the longest line that Parse accepts, enough for a job of several
+// hundred thousand tasks.
+const maxLineBytes = 16 << 20
 
-// Parse reads a whole trace. On any fault of it the result is nil and the error
-// an *Error that names the line.
+// Parse reads a whole trace. If any line is invalid or can't be read, the result is
+// nil and the error is an *Error with the number of that line.
 func Parse(source io.Reader) (*Trace, error) {
 	parser := &parser{trace: &Trace{}}
 	scanner := bufio.NewScanner(source)
-	scanner.Buffer(nil, maximumLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		parser.line++
 		if err := parser.parseLine(scanner.Bytes()); err != nil {
@@ -36,10 +37,10 @@
 }
 
 type parser struct {
-	trace     *Trace
-	directory *directory
-	line      int
-	latest    identifier.Moment
+	trace      *Trace
+	directory  *directory
+	line       int
+	lastMoment identifier.Moment
 }
 
 func (parser *parser) readingError(err error) error {
@@ -72,14 +73,14 @@
 	}
 	kind, err := KindString(text)
 	if err != nil || kind.String() != text {
-		return 0, problem(ErrorUnknownEvent, "no event is named %q", text)
+		return 0, newParseError(ErrorUnknownEvent, "no event is named %q", text)
 	}
 	return kind, nil
 }
 
 func (parser *parser) parseDeployment(kind Kind, reader *fieldReader) *Error {
 	if kind != KindDeployment {
-		return problem(ErrorNoDeployment, "the first line must be the deployment, not %q", kind)
+		return newParseError(ErrorNoDeployment, "the first line must be the deployment, not %q", kind)
 	}
 	parser.trace.Deployment.read(reader)
 	if err := reader.finish(); err != nil {
@@ -87,24 +88,24 @@
 	}
 	directory, err := newDirectory(&parser.trace.Deployment)
 	parser.directory = directory
-	parser.latest = parser.trace.Deployment.At
+	parser.lastMoment = parser.trace.Deployment.At
 	return err
 }
 
 func (parser *parser) parseEvent(kind Kind, reader *fieldReader) *Error {
 	event := newEvent(kind)
 	if event == nil {
-		return problem(ErrorUnknownEvent, "event %q has its place on the first line only", kind)
+		return newParseError(ErrorUnknownEvent, "event %q has its place on the first line only", kind)
 	}
 	event.read(reader)
 	if err := reader.finish(); err != nil {
 		return err
 	}
-	if event.Moment().Before(parser.latest) {
-		return problem(ErrorTimeBackwards, "time goes back from %s to %s",
-			formatMoment(parser.latest), formatMoment(event.Moment()))
+	if event.Moment().Before(parser.lastMoment) {
+		return newParseError(ErrorTimeBackwards, "time goes back from %s to %s",
+			formatMoment(parser.lastMoment), formatMoment(event.Moment()))
 	}
-	parser.latest = event.Moment()
+	parser.lastMoment = event.Moment()
 	if err := event.check(parser.directory); err != nil {
 		return err
 	}
--- a/pkg/tracer/tracer_test.go
+++ b/pkg/tracer/tracer_test.go
@@ -14,17 +14,17 @@
 	`"entry-hosts-per-failure-domain":3,"executors-per-failure-domain":17,"slots":8,"connections":60,` +
 	`"one-way":"1ms","client-one-way":"1ms","sync":"4ms","seed":1}` + "\n"
 
-// TestGolden runs the scenarios of testdata: "trace" parses its input as a whole
-// trace, "events" parses it behind a good deployment line. Both print what the
-// writer makes of it, or the error.
+// TestGolden runs the commands in testdata/golden: "trace" parses its input as a
+// whole trace, "events" parses it after a valid deployment line. Both print the
+// parsed trace as Write encodes it, or the error.
 func TestGolden(t *testing.T) {
 	datadriven.Walk(t, "testdata/golden", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, data *datadriven.TestData) string {
 			switch data.Cmd {
 			case "trace":
-				return rewrite(t, data.Input)
+				return parseAndWrite(t, data.Input)
 			case "events":
-				result := rewrite(t, goldenDeployment+data.Input)
+				result := parseAndWrite(t, goldenDeployment+data.Input)
 				return strings.TrimPrefix(result, goldenDeployment)
 			}
 			t.Fatalf("unknown command %q", data.Cmd)
@@ -33,10 +33,10 @@
 	})
 }
 
-func rewrite(t *testing.T, source string) string {
+func parseAndWrite(t *testing.T, source string) string {
 	trace, err := Parse(strings.NewReader(source))
 	if err != nil {
-		requireLine(t, err)
+		requireLineNumber(t, err)
 		return err.Error() + "\n"
 	}
 	return write(t, trace)
@@ -51,7 +51,7 @@
 	return buffer.String()
 }
 
-func requireLine(t *testing.T, err error) {
+func requireLineNumber(t *testing.T, err error) {
 	t.Helper()
 	var traceError *Error
 	if !errors.As(err, &traceError) || traceError.Line < 1 {
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if result := rewrite(t, string(source)); result != string(source) {
+	if result := parseAndWrite(t, string(source)); result != string(source) {
 		t.Fatalf("the writer changed the trace:\n%s", result)
 	}
 }
@@ -81,11 +81,11 @@
 	f.Fuzz(func(t *testing.T, source string) {
 		trace, err := Parse(strings.NewReader(source))
 		if err != nil {
-			requireLine(t, err)
+			requireLineNumber(t, err)
 			return
 		}
 		first := write(t, trace)
-		if second := rewrite(t, first); second != first {
+		if second := parseAndWrite(t, first); second != first {
 			t.Fatalf("not stable:\n%s\n%s", first, second)
 		}
 	})
--- a/pkg/tracer/writer.go
+++ b/pkg/tracer/writer.go
@@ -10,8 +10,8 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Write writes the trace, one event a line. What Write has written, Parse reads
-// back and Write writes again with the same bytes.
+// Write writes the trace with one event per line. Parsing its output and writing
+// the result again gives the same bytes.
 func Write(target io.Writer, trace *Trace) error {
 	buffered := bufio.NewWriter(target)
 	deployment := newLine(KindDeployment, trace.Deployment.At)
@@ -35,7 +35,8 @@
 	return writer
 }
 
-// flush ends the line. The buffer keeps the first error until it is flushed.
+// flush ends the line and writes it to the buffer. An error is ignored here, since
+// the buffer returns the first one again when it is flushed.
 func (writer *fieldWriter) flush(buffered *bufio.Writer) {
 	writer.line = append(writer.line, '}', '\n')
 	_, _ = buffered.Write(writer.line)
