--- a/pkg/generator/bursts.go
+++ b/pkg/generator/bursts.go
@@ -7,8 +7,8 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// operationalLength returns the length of the trace in nanoseconds on the scale
-// of operational time, on which a burst of factor ten lasts ten times as long.
+// operationalLength returns the length of the trace in nanoseconds of operational
+// time, in which a burst of factor ten lasts ten times as long.
 func operationalLength(parameters *Parameters) float64 {
 	length := float64(parameters.Length)
 	for _, burst := range parameters.Bursts {
@@ -17,27 +17,28 @@
 	return length
 }
 
-// momentAt returns the moment of the trace at a point of operational time.
+// momentAt converts operational time, in nanoseconds, to a moment of the trace.
 func momentAt(parameters *Parameters, operational float64) identifier.Moment {
 	latest := identifier.Moment(0)
 	for _, burst := range parameters.Bursts {
-		calm := float64(burst.From.Sub(latest))
-		if operational < calm {
+		beforeBurst := float64(burst.From.Sub(latest))
+		if operational < beforeBurst {
 			break
 		}
-		operational -= calm
-		heavy := float64(burst.To.Sub(burst.From)) * burst.Factor
-		if operational < heavy {
+		operational -= beforeBurst
+		burstLength := float64(burst.To.Sub(burst.From)) * burst.Factor
+		if operational < burstLength {
 			return burst.From.Add(time.Duration(operational / burst.Factor))
 		}
-		operational -= heavy
+		operational -= burstLength
 		latest = burst.To
 	}
 	return latest.Add(time.Duration(operational))
 }
 
-// ordered tells whether the bursts follow each other within the trace.
-func ordered(bursts []Burst, length time.Duration) bool {
+// burstsAreOrdered reports whether the bursts are sorted, don't overlap, lie within
+// the trace, and have valid lengths and factors.
+func burstsAreOrdered(bursts []Burst, length time.Duration) bool {
 	latest := identifier.Moment(0)
 	return !slices.ContainsFunc(bursts, func(burst Burst) bool {
 		wrong := burst.From < latest || burst.To <= burst.From || burst.Factor <= 0 || burst.To > identifier.Moment(length)
--- a/pkg/generator/chooser.go
+++ b/pkg/generator/chooser.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// chooser makes the random choices of one trace from its seed.
+// chooser makes the random choices for one trace. They depend on the seed only.
 type chooser struct {
 	random *rand.Rand
 }
 
-// streamConstant sets the generator's stream of random numbers apart from others
-// that have the same seed.
+// streamConstant separates this stream of random numbers from others with the same
+// seed.
 const streamConstant = 0x9e3779b97f4a7c15
 
 func newChooser(seed uint64) *chooser {
 	return &chooser{random: rand.New(rand.NewPCG(seed, streamConstant))}
 }
 
-// happens is true with the given probability.
+// happens returns true with the probability share.
 func (chooser *chooser) happens(share float64) bool {
 	return chooser.random.Float64() < share
 }
 
 func (chooser *chooser) number(below int) int { return chooser.random.IntN(below) }
 
-// between spreads evenly.
+// between draws from a uniform distribution.
 func (chooser *chooser) between(from, to time.Duration) time.Duration {
 	return from + time.Duration(chooser.random.Float64()*float64(to-from))
 }
 
-// betweenOnLogScale spreads evenly on a logarithmic scale.
+// betweenOnLogScale draws from a log-uniform distribution.
 func (chooser *chooser) betweenOnLogScale(from, to time.Duration) time.Duration {
 	exponent := chooser.random.Float64() * math.Log(float64(to)/float64(from))
 	return time.Duration(float64(from) * math.Exp(exponent))
 }
 
-// exponential returns a waiting time with the mean 1.
+// exponential draws a waiting time from an exponential distribution with mean 1.
 func (chooser *chooser) exponential() float64 { return chooser.random.ExpFloat64() }
 
-// weighted returns the position of one of the weights, each as likely as its
-// part in their sum.
+// weighted returns a random position; the probability of each is proportional to
+// its weight.
 func (chooser *chooser) weighted(count int, weight func(position int) float64) int {
 	sum := 0.0
 	for position := range count {
@@ -57,7 +57,7 @@
 	return count - 1
 }
 
-// runTime draws the run time of one task, in whole milliseconds.
+// runTime draws the run time of one task, rounded to a millisecond.
 func (chooser *chooser) runTime(runTimes *RunTimes) time.Duration {
 	if chooser.happens(runTimes.SlowShare) {
 		return chooser.between(runTimes.SlowFrom, runTimes.SlowTo).Round(time.Millisecond)
--- a/pkg/generator/defaults.go
+++ b/pkg/generator/defaults.go
@@ -7,27 +7,30 @@
 	"github.com/stoathitch/stoathitch/pkg/tracer"
 )
 
-// PhucTin returns the parameters of a calm trace of Phuc Tin's estimate-desk.
+// PhucTin returns the default parameters for the deployment of Phuc Tin's
+// estimate-desk, without faults or bursts.
 func PhucTin(seed uint64) *Parameters {
-	parameters := calm(seed, "thu-duc", "tan-binh", "binh-chanh")
+	parameters := defaultParameters(seed, "thu-duc", "tan-binh", "binh-chanh")
 	parameters.CallerPrefix = "garage"
 	parameters.Teams = []Team{{"estimates", 6}, {"adjusters", 3}, {"towing", 1}}
 	parameters.Classes = []Class{{"counter", 7}, {"desk", 2}, {"nightly", 1}}
 	return parameters
 }
 
-// BSV returns the parameters of a calm trace of BSV's claims-desk.
+// BSV returns the default parameters for the deployment of BSV's claims-desk,
+// without faults or bursts.
 func BSV(seed uint64) *Parameters {
-	parameters := calm(seed, "leuven", "roeselare", "geel")
+	parameters := defaultParameters(seed, "leuven", "roeselare", "geel")
 	parameters.CallerPrefix = "advisor"
 	parameters.Teams = []Team{{"parcels", 5}, {"declarations", 3}, {"entitlements", 2}}
 	parameters.Classes = []Class{{"table", 6}, {"desk", 3}, {"nightly", 1}}
 	return parameters
 }
 
-// calm returns what both deployments have in common, at the sizes of today. Most
-// tasks take from 50 ms to a second and a few several seconds, as the brief says.
-func calm(seed uint64, domains ...identifier.FailureDomain) *Parameters {
+// defaultParameters returns the parameters that both deployments share, with the
+// present sizes of the deployments. As the requirements say, most tasks take from
+// 50 ms to a second and a few take several seconds.
+func defaultParameters(seed uint64, domains ...identifier.FailureDomain) *Parameters {
 	return &Parameters{
 		Deployment: tracer.Deployment{
 			FailureDomains:             domains,
@@ -51,8 +54,8 @@
 			SlowFrom:  2 * time.Second,
 			SlowTo:    6 * time.Second,
 		},
-		FarOffShare:        0.1,
-		FarOffFactor:       10,
+		MisdeclaredShare:   0.1,
+		MisdeclaredFactor:  10,
 		Callers:            200,
 		NotRepeatableShare: 0.1,
 	}
--- a/pkg/generator/generator.go
+++ b/pkg/generator/generator.go
@@ -9,13 +9,14 @@
 	"github.com/stoathitch/stoathitch/pkg/tracer"
 )
 
-// timeGrain is the precision of generated moments, which keeps the lines short.
-const timeGrain = 10 * time.Microsecond
+// timePrecision is the precision of generated moments. It keeps the lines short.
+const timePrecision = 10 * time.Microsecond
 
-// declaredGrain is the precision of declared run times.
-const declaredGrain = 10 * time.Millisecond
+// declaredPrecision is the precision of declared run times, and the shortest one.
+const declaredPrecision = 10 * time.Millisecond
 
-// Generate makes the trace that the parameters describe.
+// Generate returns the trace that the parameters describe, or an error with
+// ErrorBadParameter if one of them is invalid.
 func Generate(parameters *Parameters) (*tracer.Trace, error) {
 	if err := parameters.check(); err != nil {
 		return nil, err
@@ -39,20 +40,20 @@
 	chooser    *chooser
 }
 
-// arrivals returns jobs in the order of their arrival. They are drawn on a scale
-// of operational time, on which the rate of arrivals is constant, until their
-// work suffices for the load; then that scale is fitted to the trace's length.
+// arrivals returns jobs in the order of their arrival. Jobs are drawn in operational
+// time, in which the arrival rate is constant, until their work amounts to the
+// load; then operational time is scaled to the length of the trace.
 func (generation *generation) arrivals() []*tracer.Job {
 	parameters := generation.parameters
 	operational := operationalLength(parameters)
-	wanted := time.Duration(parameters.Load * float64(parameters.Deployment.AllSlots()) * operational)
-	allowed := wanted + overshoot(parameters)
+	wantedWork := time.Duration(parameters.Load * float64(parameters.Deployment.AllSlots()) * operational)
+	maxWork := wantedWork + maxExcessWork(parameters)
 	var jobs []*tracer.Job
 	var positions []float64
 	position, work := 0.0, time.Duration(0)
-	for work < wanted {
+	for work < wantedWork {
 		job := generation.job(len(jobs))
-		if work+job.Work() > allowed {
+		if work+job.Work() > maxWork {
 			continue
 		}
 		position += generation.chooser.exponential()
@@ -61,16 +62,16 @@
 		positions = append(positions, position)
 	}
 	for number, job := range jobs {
-		place(job, momentAt(parameters, positions[number]/position*operational), parameters)
+		schedule(job, momentAt(parameters, positions[number]/position*operational), parameters)
 	}
 	return jobs
 }
 
-// overshoot returns how much more work than wanted a trace may have. The last
-// jobs are drawn again until they fit, because one of 110 tasks alone is a
-// percent of the work of ten seconds. A job of the narrowest width always fits,
-// so that the drawing ends.
-func overshoot(parameters *Parameters) time.Duration {
+// maxExcessWork returns by how much the work of a trace may exceed the requested
+// work. The last jobs are drawn again until they fit, because a single job of 110
+// tasks is one percent of the work of ten seconds. A job of the narrowest width
+// always fits, so the loop terminates.
+func maxExcessWork(parameters *Parameters) time.Duration {
 	narrowest := parameters.Widths[0].Tasks
 	for _, width := range parameters.Widths {
 		narrowest = min(narrowest, width.Tasks)
@@ -79,9 +80,10 @@
 	return longest * time.Duration(narrowest)
 }
 
-// place moves a job, whose deadline counts from zero so far, to its moment.
-func place(job *tracer.Job, at identifier.Moment, parameters *Parameters) {
-	job.At = grained(at)
+// schedule sets the arrival of a job. It also sets the deadline of a job that has
+// one; until then the deadline is zero.
+func schedule(job *tracer.Job, at identifier.Moment, parameters *Parameters) {
+	job.At = roundMoment(at)
 	if job.Deadline != identifier.Never {
 		job.Deadline = job.At.Add(job.LongestRunTime() + parameters.DeadlineSlack)
 	}
@@ -119,17 +121,17 @@
 	parameters, chooser := generation.parameters, generation.chooser
 	runTime := chooser.runTime(&parameters.RunTimes)
 	declared := float64(runTime)
-	if chooser.happens(parameters.FarOffShare) {
+	if chooser.happens(parameters.MisdeclaredShare) {
 		if chooser.happens(0.5) {
-			declared *= parameters.FarOffFactor
+			declared *= parameters.MisdeclaredFactor
 		} else {
-			declared /= parameters.FarOffFactor
+			declared /= parameters.MisdeclaredFactor
 		}
 	}
-	rounded := time.Duration(declared).Round(declaredGrain)
-	return tracer.Task{RunTime: runTime, Declared: max(rounded, declaredGrain)}
+	rounded := time.Duration(declared).Round(declaredPrecision)
+	return tracer.Task{RunTime: runTime, Declared: max(rounded, declaredPrecision)}
 }
 
-func grained(moment identifier.Moment) identifier.Moment {
-	return identifier.Moment(time.Duration(moment).Round(timeGrain))
+func roundMoment(moment identifier.Moment) identifier.Moment {
+	return identifier.Moment(time.Duration(moment).Round(timePrecision))
 }
--- a/pkg/generator/generator_test.go
+++ b/pkg/generator/generator_test.go
@@ -13,20 +13,20 @@
 	"github.com/stoathitch/stoathitch/pkg/tracer"
 )
 
-var writeTraces = flag.Bool("write-traces", false, "write the kept traces anew instead of comparing them")
+var writeTraces = flag.Bool("write-traces", false, "overwrite the checked-in traces instead of comparing them")
 
-const tracesFolder = "../../testdata/traces"
+const tracesDirectory = "../../testdata/traces"
 
-// maximumTraceSize keeps the kept traces small enough for a repository.
-const maximumTraceSize = 1 << 20
+// maxTraceBytes keeps the checked-in traces small enough for a repository.
+const maxTraceBytes = 1 << 20
 
-// The kept traces are what the generator makes of their parameters, can be
-// parsed, and are written again with the same bytes.
+// The traces in testdata/traces must be equal to what the generator returns for their
+// presets. They must parse, and keep their bytes when they are written again.
 func TestKeptTraces(t *testing.T) {
 	for _, preset := range Presets() {
 		t.Run(preset.Name, func(t *testing.T) {
 			content := encode(t, generate(t, preset.Parameters))
-			if len(content) > maximumTraceSize {
+			if len(content) > maxTraceBytes {
 				t.Errorf("the trace has %d bytes", len(content))
 			}
 			trace, err := tracer.Parse(bytes.NewReader(content))
@@ -36,12 +36,12 @@
 			if !bytes.Equal(encode(t, trace), content) {
 				t.Error("the trace changes when it is parsed and written again")
 			}
-			requireKept(t, filepath.Join(tracesFolder, preset.Name+".trace"), content)
+			requireSameContent(t, filepath.Join(tracesDirectory, preset.Name+".trace"), content)
 		})
 	}
 }
 
-func requireKept(t *testing.T, path string, content []byte) {
+func requireSameContent(t *testing.T, path string, content []byte) {
 	t.Helper()
 	if *writeTraces {
 		if err := os.WriteFile(path, content, 0o644); err != nil {
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(kept, content) {
-		t.Errorf("%s is not what the generator makes; run with -write-traces if that is meant", path)
+		t.Errorf("%s differs from the generated trace; run with -write-traces if that is intended", path)
 	}
 }
 
@@ -86,8 +86,8 @@
 	return jobs
 }
 
-// A generator whose load is off by some percent would make policies look better
-// or worse than they are just where it matters, near saturation.
+// A load that is off by some percent would make policies look better or worse than
+// they are near saturation, where the difference matters most.
 func TestLoadIsExact(t *testing.T) {
 	for _, load := range []float64{0.5, 0.7, 0.8, 0.9, 0.95} {
 		parameters := PhucTin(1)
@@ -138,7 +138,7 @@
 	}
 	factor := float64(within) / (float64(outside) / 2)
 	if factor < 8.5 || factor > 11.5 {
-		t.Errorf("the burst has %.2f times the calm rate", factor)
+		t.Errorf("the burst has %.2f times the normal rate", factor)
 	}
 }
 
@@ -170,7 +170,7 @@
 		case first == nil:
 			sent[job.Job] = job
 		case first.Caller != job.Caller || len(first.Tasks) != len(job.Tasks):
-			t.Fatalf("job %s changed when it was sent again", job.Job)
+			t.Fatalf("job %s changed when it was resent or resubmitted", job.Job)
 		case first.Submission == job.Submission:
 			resends++
 		default:
@@ -179,7 +179,7 @@
 	}
 	for _, count := range []int{resends, resubmissions} {
 		if share := float64(count) / float64(len(sent)); math.Abs(share-0.2) > 0.05 {
-			t.Errorf("%.3f of the jobs are sent again", share)
+			t.Errorf("%.3f of the jobs are resent or resubmitted", share)
 		}
 	}
 }
--- a/pkg/generator/parameters.go
+++ b/pkg/generator/parameters.go
@@ -7,59 +7,61 @@
 	"github.com/stoathitch/stoathitch/pkg/tracer"
 )
 
-// Parameters say what a generated trace is like. Shares are from 0 to 1; weights
-// are relative to each other within their list.
+// Parameters describe a generated trace. Shares are from 0 to 1; weights are
+// relative to the other weights of the same list.
 type Parameters struct {
 	Deployment tracer.Deployment
-	// Seed drives every choice of the generator.
+	// Seed is the seed of all random choices of the generator.
 	Seed uint64
-	// Length is how long jobs arrive.
+	// Length is the time during which jobs arrive.
 	Length time.Duration
-	// Load is the share of all slots that the work would keep busy on average,
+	// Load is the share of all slots that the tasks would keep busy on average,
 	// outside of bursts.
 	Load     float64
 	Widths   []Width
 	RunTimes RunTimes
-	// FarOffShare is the share of tasks whose declared run time is FarOffFactor
-	// times too long or too short.
-	FarOffShare  float64
-	FarOffFactor float64
-	Teams        []Team
-	Classes      []Class
-	// CallerPrefix and Callers name the callers: prefix-0, prefix-1 and so on.
+	// MisdeclaredShare is the share of tasks whose declared run time is too long or too
+	// short by MisdeclaredFactor.
+	MisdeclaredShare  float64
+	MisdeclaredFactor float64
+	Teams             []Team
+	Classes           []Class
+	// CallerPrefix and Callers give the names of the callers, prefix-0, prefix-1 and
+	// so on, and their number.
 	CallerPrefix string
 	Callers      int
 	// NotRepeatableShare is the share of jobs that may run at most once.
 	NotRepeatableShare float64
-	// DeadlineShare is the share of jobs with a deadline, which lies
-	// DeadlineSlack after the end of their longest task.
+	// DeadlineShare is the share of jobs with a deadline. The deadline is the arrival
+	// plus the run time of the longest task plus DeadlineSlack.
 	DeadlineShare float64
 	DeadlineSlack time.Duration
-	// HotEntryHost gets HotShare of the jobs, whatever their failure domain; the
-	// balancer spreads the others. Empty for no skew.
+	// HotEntryHost receives HotShare of the jobs regardless of their failure domain;
+	// the load balancer distributes the others. Empty for no skew.
 	HotEntryHost identifier.HostID
 	HotShare     float64
 	Resends      Repeats
-	// Resubmissions send the job again under a new submission.
+	// Resubmissions submit the same job under a new submission.
 	Resubmissions Repeats
-	// Cancellations are spread over the trace; the waves come at once.
+	// Cancellations are distributed over the trace; each wave cancels many jobs at
+	// the same moment.
 	Cancellations     Repeats
 	CancellationWaves []CancellationWave
 	Bursts            []Burst
-	// Faults and Expectations are taken over as they are.
+	// Faults and Expectations are added to the trace unchanged.
 	Faults       []tracer.Event
 	Expectations []tracer.Event
 }
 
-// Width is a number of tasks of a job and the weight, among all jobs, of the
-// jobs that have it.
+// Width is a number of tasks per job, and the weight of the jobs with that number
+// among all jobs.
 type Width struct {
 	Tasks  int
 	Weight float64
 }
 
-// RunTimes says how long tasks run: short ones spread evenly on a logarithmic
-// scale, a share of slow ones spread evenly.
+// RunTimes is the distribution of the run times of tasks: log-uniform for short
+// tasks, uniform for slow ones, which are SlowShare of all tasks.
 type RunTimes struct {
 	ShortFrom, ShortTo time.Duration
 	SlowShare          float64
@@ -78,29 +80,29 @@
 	Weight float64
 }
 
-// Repeats says that a share of the jobs has something done again or done to it
-// some time after it was sent, from half of After to one and a half.
+// Repeats selects the share of jobs that are resent, resubmitted or cancelled, and
+// the delay after their arrival: uniform from 0.5 to 1.5 times After.
 type Repeats struct {
 	Share float64
 	After time.Duration
 }
 
-// CancellationWave cancels at one moment a share of the jobs that were sent
-// within the window before.
+// CancellationWave cancels, at the moment At, a share of the jobs that arrived
+// within the window before it.
 type CancellationWave struct {
 	At     identifier.Moment
 	Window time.Duration
 	Share  float64
 }
 
-// Burst multiplies the rate of arrivals from From until To.
+// Burst multiplies the arrival rate by Factor from From until To.
 type Burst struct {
 	From, To identifier.Moment
 	Factor   float64
 }
 
-// EqualTasks returns a mix of widths in which each width has the same number of
-// tasks, so that wide jobs are rare and narrow ones many: the default mix.
+// EqualTasks returns widths whose weights give each width the same total number of
+// tasks, so that wide jobs are rare and narrow ones frequent. This is the default.
 func EqualTasks(widths ...int) []Width {
 	mix := make([]Width, 0, len(widths))
 	for _, tasks := range widths {
--- a/pkg/generator/presets.go
+++ b/pkg/generator/presets.go
@@ -7,15 +7,15 @@
 	"github.com/stoathitch/stoathitch/pkg/tracer"
 )
 
-// Preset names the parameters of one of the traces that the project keeps.
+// Preset is a name and the parameters of a trace in testdata/traces.
 type Preset struct {
 	Name       string
 	Parameters *Parameters
 }
 
-// Presets returns the traces that the project keeps, each for both deployments.
-// They are scaled down in length and load, not in hosts. What they state at
-// their end follows from the promises; it is no aim for speed.
+// Presets returns the presets of all scenarios for both deployments. They are scaled
+// down in length and load, but have as many hosts as the deployments. The bounds
+// that they expect follow from the guarantees; they are no performance targets.
 func Presets() []Preset {
 	var presets []Preset
 	for _, deployment := range deployments {
@@ -30,7 +30,7 @@
 	return presets
 }
 
-// FindPreset returns the preset of that name, or nil.
+// FindPreset returns the preset with the given name, or nil if there is none.
 func FindPreset(name string) *Preset {
 	for _, preset := range Presets() {
 		if preset.Name == name {
@@ -49,23 +49,23 @@
 	{"bsv", BSV, 101},
 }
 
-// bound is the most that a figure may be at the end of a trace.
+// bound is the maximum of a figure at the end of a trace.
 type bound struct {
 	figure tracer.Figure
 	atMost float64
 }
 
 var (
-	noViolation  = bound{tracer.FigureViolations, 0}
-	allAnswered  = bound{tracer.FigureJobsUnanswered, 0}
-	noneFailed   = bound{tracer.FigureJobsFailed, 0}
-	noneRefused  = bound{tracer.FigureJobsRefused, 0}
-	promisesKept = []bound{noViolation, allAnswered}
+	noViolation = bound{tracer.FigureViolations, 0}
+	allAnswered = bound{tracer.FigureJobsUnanswered, 0}
+	noneFailed  = bound{tracer.FigureJobsFailed, 0}
+	noneRefused = bound{tracer.FigureJobsRefused, 0}
+	guarantees  = []bound{noViolation, allAnswered}
 )
 
 func failedAtMost(count float64) bound { return bound{tracer.FigureJobsFailed, count} }
 
-// settlingTime is how long after the last arrival the outcomes are stated.
+// settlingTime is the time between the end of arrivals and the expectations.
 const settlingTime = time.Minute
 
 func (parameters *Parameters) expect(bounds ...bound) {
@@ -76,36 +76,38 @@
 	}
 }
 
-// scenario changes a calm trace into another one.
+// scenario changes the default parameters, those of a calm trace, and has the bounds
+// that the changed trace must keep.
 type scenario struct {
 	name   string
 	change func(parameters *Parameters)
 	bounds []bound
 }
 
-// A black hole may fail about ten tasks, each of another job, before it is
-// noticed, and some more as it is tried out; a silent server holds at most as
-// many tasks as it has slots, and as many again on their way to it.
+// The maximum number of failed jobs. A black hole, which fails every task, may fail
+// about ten tasks of different jobs before it is detected, and some more when it is
+// probed. A silent server has at most as many tasks as slots, and as many again in
+// transit to it.
 const (
 	blackHoleFailures = 40
 	silentFailures    = 24
 )
 
 var scenarios = []scenario{
-	{"calm", func(*Parameters) {}, with(promisesKept, noneFailed, noneRefused, bound{tracer.FigureResponseOverIdealP99, 2})},
-	{"burst", burst, with(promisesKept, noneFailed)},
-	{"black-hole", blackHole, with(promisesKept, failedAtMost(blackHoleFailures))},
-	{"silent", silent, with(promisesKept, failedAtMost(silentFailures))},
-	{"leaving", leaving, with(promisesKept, noneFailed, noneRefused)},
-	{"cancellation-wave", cancellationWave, promisesKept},
-	{"cut-off", cutOff, promisesKept},
-	{"rolling-restart", rollingRestart, with(promisesKept, noneFailed)},
-	{"two-faults", twoFaults, with(promisesKept, failedAtMost(blackHoleFailures+silentFailures))},
-	{"resends", resends, with(promisesKept, noneFailed, noneRefused)},
-	{"resubmissions-while-cut-off", resubmissionsWhileCutOff, promisesKept},
+	{"calm", func(*Parameters) {}, joinBounds(guarantees, noneFailed, noneRefused, bound{tracer.FigureResponseOverIdealP99, 2})},
+	{"burst", burst, joinBounds(guarantees, noneFailed)},
+	{"black-hole", blackHole, joinBounds(guarantees, failedAtMost(blackHoleFailures))},
+	{"silent", silent, joinBounds(guarantees, failedAtMost(silentFailures))},
+	{"leaving", leaving, joinBounds(guarantees, noneFailed, noneRefused)},
+	{"cancellation-wave", cancellationWave, guarantees},
+	{"cut-off", cutOff, guarantees},
+	{"rolling-restart", rollingRestart, joinBounds(guarantees, noneFailed)},
+	{"two-faults", twoFaults, joinBounds(guarantees, failedAtMost(blackHoleFailures+silentFailures))},
+	{"resends", resends, joinBounds(guarantees, noneFailed, noneRefused)},
+	{"resubmissions-while-cut-off", resubmissionsWhileCutOff, guarantees},
 	{"entry-host-dies", entryHostDies, []bound{noViolation}},
 }
 
-func with(bounds []bound, more ...bound) []bound {
+func joinBounds(bounds []bound, more ...bound) []bound {
 	return append(append([]bound{}, bounds...), more...)
 }
--- a/pkg/generator/randomfaults.go
+++ b/pkg/generator/randomfaults.go
@@ -10,96 +10,98 @@
 )
 
 const (
-	// longestFault is the longest time from a random fault to its end.
+	// longestFault is the upper bound of the time from a random fault to its end.
 	longestFault = 8 * time.Second
-	// randomSlowdown is the factor of backend servers that are slowed at random.
+	// randomSlowdown is the factor by which a random fault slows a backend server.
 	randomSlowdown = 8
-	// faultStream keeps the choice of faults apart from that of the work, so that
-	// the same seed without faults makes the same jobs.
+	// faultStream is the random stream for faults. It is separate from the stream for
+	// jobs, so that the same seed gives the same jobs with and without faults.
 	faultStream = 0x6661756c74
 )
 
-// AddRandomFaults adds faults of every kind at random moments, each with its end
-// some seconds later. They may overlap as they like.
+// AddRandomFaults adds count faults of random kinds at random moments. Each of them
+// ends less than longestFault later. Faults may overlap.
 func (parameters *Parameters) AddRandomFaults(count int) {
-	drawing := &faultDrawing{parameters: parameters, random: rand.New(rand.NewPCG(parameters.Seed, faultStream))}
+	faultGenerator := &faultGenerator{parameters: parameters, random: rand.New(rand.NewPCG(parameters.Seed, faultStream))}
 	for range count {
-		begin, end := drawing.fault()
+		begin, end := faultGenerator.fault()
 		parameters.Faults = append(parameters.Faults, begin, end)
 	}
 	slices.SortStableFunc(parameters.Faults, byMoment)
 }
 
-type faultDrawing struct {
+type faultGenerator struct {
 	parameters *Parameters
 	random     *rand.Rand
 }
 
-// faultMakers make a fault and its end, one for each kind.
-var faultMakers = []func(struck struckPlaces) (tracer.Event, tracer.Event){
-	func(struck struckPlaces) (tracer.Event, tracer.Event) {
-		return &tracer.EntryHostDies{EntryHostFault: struck.host(struck.from)}, &tracer.EntryHostReturns{EntryHostFault: struck.host(struck.to)}
+// faultConstructors has a function for each kind of fault, which returns the fault
+// and the event that ends it.
+var faultConstructors = []func(target target) (tracer.Event, tracer.Event){
+	func(target target) (tracer.Event, tracer.Event) {
+		return &tracer.EntryHostDies{EntryHostFault: target.entryHostFault(target.from)}, &tracer.EntryHostReturns{EntryHostFault: target.entryHostFault(target.to)}
 	},
-	func(struck struckPlaces) (tracer.Event, tracer.Event) {
-		return &tracer.EntryHostIsolated{EntryHostFault: struck.host(struck.from)}, &tracer.EntryHostRejoins{EntryHostFault: struck.host(struck.to)}
+	func(target target) (tracer.Event, tracer.Event) {
+		return &tracer.EntryHostIsolated{EntryHostFault: target.entryHostFault(target.from)}, &tracer.EntryHostRejoins{EntryHostFault: target.entryHostFault(target.to)}
 	},
-	func(struck struckPlaces) (tracer.Event, tracer.Event) {
-		return &tracer.EntryHostShutsDown{EntryHostFault: struck.host(struck.from)}, &tracer.EntryHostReturns{EntryHostFault: struck.host(struck.to)}
+	func(target target) (tracer.Event, tracer.Event) {
+		return &tracer.EntryHostShutsDown{EntryHostFault: target.entryHostFault(target.from)}, &tracer.EntryHostReturns{EntryHostFault: target.entryHostFault(target.to)}
 	},
-	func(struck struckPlaces) (tracer.Event, tracer.Event) {
-		return &tracer.BackendServerDies{BackendServerFault: struck.server(struck.from)}, struck.serverReturns()
+	func(target target) (tracer.Event, tracer.Event) {
+		return &tracer.BackendServerDies{BackendServerFault: target.backendServerFault(target.from)}, target.backendServerReturns()
 	},
-	func(struck struckPlaces) (tracer.Event, tracer.Event) {
-		return &tracer.BackendServerSilent{BackendServerFault: struck.server(struck.from)}, struck.serverReturns()
+	func(target target) (tracer.Event, tracer.Event) {
+		return &tracer.BackendServerSilent{BackendServerFault: target.backendServerFault(target.from)}, target.backendServerReturns()
 	},
-	func(struck struckPlaces) (tracer.Event, tracer.Event) {
-		return &tracer.BackendServerSlows{BackendServerFault: struck.server(struck.from), Factor: randomSlowdown}, struck.serverReturns()
+	func(target target) (tracer.Event, tracer.Event) {
+		return &tracer.BackendServerSlows{BackendServerFault: target.backendServerFault(target.from), Factor: randomSlowdown}, target.backendServerReturns()
 	},
-	func(struck struckPlaces) (tracer.Event, tracer.Event) {
-		return &tracer.BackendServerLeaves{BackendServerFault: struck.server(struck.from)}, struck.serverReturns()
+	func(target target) (tracer.Event, tracer.Event) {
+		return &tracer.BackendServerLeaves{BackendServerFault: target.backendServerFault(target.from)}, target.backendServerReturns()
 	},
-	func(struck struckPlaces) (tracer.Event, tracer.Event) {
-		return &tracer.BackendServerFailsEveryTask{BackendServerFault: struck.server(struck.from)}, struck.serverReturns()
+	func(target target) (tracer.Event, tracer.Event) {
+		return &tracer.BackendServerFailsEveryTask{BackendServerFault: target.backendServerFault(target.from)}, target.backendServerReturns()
 	},
-	func(struck struckPlaces) (tracer.Event, tracer.Event) {
-		return &tracer.FailureDomainCutOff{FailureDomainFault: struck.domainFault(struck.from)},
-			&tracer.FailureDomainRejoins{FailureDomainFault: struck.domainFault(struck.to)}
+	func(target target) (tracer.Event, tracer.Event) {
+		return &tracer.FailureDomainCutOff{FailureDomainFault: target.failureDomainFault(target.from)},
+			&tracer.FailureDomainRejoins{FailureDomainFault: target.failureDomainFault(target.to)}
 	},
 }
 
-func (drawing *faultDrawing) fault() (tracer.Event, tracer.Event) {
-	deployment := &drawing.parameters.Deployment
-	from := identifier.Moment(drawing.random.Int64N(int64(drawing.parameters.Length)))
-	struck := struckPlaces{
-		from:   grained(from),
-		to:     grained(from.Add(time.Duration(drawing.random.Int64N(int64(longestFault))))),
-		domain: deployment.FailureDomains[drawing.random.IntN(len(deployment.FailureDomains))],
+func (faultGenerator *faultGenerator) fault() (tracer.Event, tracer.Event) {
+	deployment := &faultGenerator.parameters.Deployment
+	from := identifier.Moment(faultGenerator.random.Int64N(int64(faultGenerator.parameters.Length)))
+	target := target{
+		from:   roundMoment(from),
+		to:     roundMoment(from.Add(time.Duration(faultGenerator.random.Int64N(int64(longestFault))))),
+		domain: deployment.FailureDomains[faultGenerator.random.IntN(len(deployment.FailureDomains))],
 	}
-	struck.entryHost = tracer.EntryHost(struck.domain, drawing.random.IntN(deployment.EntryHostsPerFailureDomain))
-	struck.backendServer = tracer.Executor(struck.domain, drawing.random.IntN(deployment.ExecutorsPerFailureDomain))
-	return faultMakers[drawing.random.IntN(len(faultMakers))](struck)
+	target.entryHost = tracer.EntryHost(target.domain, faultGenerator.random.IntN(deployment.EntryHostsPerFailureDomain))
+	target.backendServer = tracer.Executor(target.domain, faultGenerator.random.IntN(deployment.ExecutorsPerFailureDomain))
+	return faultConstructors[faultGenerator.random.IntN(len(faultConstructors))](target)
 }
 
-// struckPlaces are the places and the two moments of one fault.
-type struckPlaces struct {
+// target holds the moments at which one random fault starts and ends, and the hosts
+// and the failure domain that it may hit.
+type target struct {
 	from, to      identifier.Moment
 	domain        identifier.FailureDomain
 	entryHost     identifier.HostID
 	backendServer identifier.BackendServerID
 }
 
-func (struck struckPlaces) host(at identifier.Moment) tracer.EntryHostFault {
-	return tracer.EntryHostFault{Head: tracer.Head{At: at}, EntryHost: struck.entryHost}
+func (target target) entryHostFault(at identifier.Moment) tracer.EntryHostFault {
+	return tracer.EntryHostFault{Head: tracer.Head{At: at}, EntryHost: target.entryHost}
 }
 
-func (struck struckPlaces) server(at identifier.Moment) tracer.BackendServerFault {
-	return tracer.BackendServerFault{Head: tracer.Head{At: at}, BackendServer: struck.backendServer}
+func (target target) backendServerFault(at identifier.Moment) tracer.BackendServerFault {
+	return tracer.BackendServerFault{Head: tracer.Head{At: at}, BackendServer: target.backendServer}
 }
 
-func (struck struckPlaces) serverReturns() tracer.Event {
-	return &tracer.BackendServerReturns{BackendServerFault: struck.server(struck.to)}
+func (target target) backendServerReturns() tracer.Event {
+	return &tracer.BackendServerReturns{BackendServerFault: target.backendServerFault(target.to)}
 }
 
-func (struck struckPlaces) domainFault(at identifier.Moment) tracer.FailureDomainFault {
-	return tracer.FailureDomainFault{Head: tracer.Head{At: at}, FailureDomain: struck.domain}
+func (target target) failureDomainFault(at identifier.Moment) tracer.FailureDomainFault {
+	return tracer.FailureDomainFault{Head: tracer.Head{At: at}, FailureDomain: target.domain}
 }
--- a/pkg/generator/repeats.go
+++ b/pkg/generator/repeats.go
@@ -8,7 +8,8 @@
 	"github.com/stoathitch/stoathitch/pkg/tracer"
 )
 
-// repeatAndCancel returns the jobs and all that their callers do besides.
+// repeatAndCancel returns the jobs together with their resends, resubmissions and
+// cancellations.
 func (generation *generation) repeatAndCancel(jobs []*tracer.Job) []tracer.Event {
 	parameters := generation.parameters
 	events := make([]tracer.Event, 0, len(jobs))
@@ -21,7 +22,7 @@
 			events = append(events, generation.resubmission(job))
 		}
 		if generation.chooser.happens(parameters.Cancellations.Share) {
-			events = append(events, cancel(job, generation.later(job.At, parameters.Cancellations)))
+			events = append(events, cancel(job, generation.repeatMoment(job.At, parameters.Cancellations)))
 		}
 	}
 	for _, wave := range parameters.CancellationWaves {
@@ -30,25 +31,26 @@
 	return events
 }
 
-// resend sends the same submission again, through any entry host of any failure
-// domain: the balancer does not know where the first sending went.
+// resend returns a resend of the same submission to a random entry host of any
+// failure domain: the load balancer doesn't know which host received the first one.
 func (generation *generation) resend(job *tracer.Job) *tracer.Job {
-	again := *job
-	again.At = generation.later(job.At, generation.parameters.Resends)
-	again.EntryHost = generation.anyEntryHost()
-	return &again
+	repeated := *job
+	repeated.At = generation.repeatMoment(job.At, generation.parameters.Resends)
+	repeated.EntryHost = generation.anyEntryHost()
+	return &repeated
 }
 
-// resubmission sends the same job under a new submission.
+// resubmission returns the same job under a new submission, sent to a random entry
+// host. A deadline moves with the arrival.
 func (generation *generation) resubmission(job *tracer.Job) *tracer.Job {
-	again := *job
-	again.At = generation.later(job.At, generation.parameters.Resubmissions)
-	again.EntryHost = generation.anyEntryHost()
-	again.Submission = identifier.SubmissionID(fmt.Sprintf("%s-again", job.Submission))
+	repeated := *job
+	repeated.At = generation.repeatMoment(job.At, generation.parameters.Resubmissions)
+	repeated.EntryHost = generation.anyEntryHost()
+	repeated.Submission = identifier.SubmissionID(fmt.Sprintf("%s-again", job.Submission))
 	if job.Deadline != identifier.Never {
-		again.Deadline = again.At.Add(job.Deadline.Sub(job.At))
+		repeated.Deadline = repeated.At.Add(job.Deadline.Sub(job.At))
 	}
-	return &again
+	return &repeated
 }
 
 func (generation *generation) anyEntryHost() identifier.HostID {
@@ -57,8 +59,8 @@
 	return tracer.EntryHost(domain, generation.chooser.number(deployment.EntryHostsPerFailureDomain))
 }
 
-func (generation *generation) later(at identifier.Moment, repeats Repeats) identifier.Moment {
-	return grained(at.Add(generation.chooser.between(repeats.After/2, repeats.After*3/2)))
+func (generation *generation) repeatMoment(at identifier.Moment, repeats Repeats) identifier.Moment {
+	return roundMoment(at.Add(generation.chooser.between(repeats.After/2, repeats.After*3/2)))
 }
 
 func (generation *generation) cancelWave(jobs []*tracer.Job, wave CancellationWave) []tracer.Event {
