--- a/pkg/recorder/error.go
+++ b/pkg/recorder/error.go
@@ -8,16 +8,16 @@
 
 //go:generate enumer -type=ErrorKind -trimprefix=Error -transform=kebab -text
 
-// ErrorKind says what is wrong with a log.
+// ErrorKind is the reason why logs could not be converted.
 type ErrorKind int
 
-// The kinds of errors.
+// The kinds of errors: a line or field that can't be parsed, and logs without a job.
 const (
 	ErrorMalformed ErrorKind = iota
 	ErrorNoJobs
 )
 
-// Error is the one error type of this package.
+// Error is the error type of all functions of this package.
 type Error struct {
 	Operation string
 	Kind      ErrorKind
@@ -33,5 +33,5 @@
 	return fmt.Sprintf("%s: %s: %v", recorderError.Operation, recorderError.Kind, recorderError.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (recorderError *Error) Unwrap() error { return recorderError.Err }
--- a/pkg/recorder/recorder.go
+++ b/pkg/recorder/recorder.go
@@ -1,8 +1,8 @@
-// Package recorder makes traces of what entry hosts logged, so that an operator
-// can replay a day of their own.
+// Package recorder converts the logs of entry hosts into a trace, so that an
+// operator can replay a day of their own deployment.
 //
-// The daemon writes key=value lines. Three events are read; every other line is
-// passed over:
+// The daemon writes key=value lines. The recorder reads lines with one of three
+// events and skips all other lines:
 //
 //	time=... event=job-received submission=s-17 job=j-17 caller=garage-7
 //	  team=estimates class=counter failure-domain=thu-duc
@@ -11,10 +11,10 @@
 //	time=... event=job-ended submission=s-17 outcome=complete run-times=120ms,80ms
 //	time=... event=job-cancelled submission=s-17
 //
-// "time" is RFC 3339 with fractions. "remaining" is the time to the deadline and
-// absent without one. "declared" has one duration for each task, "run-times" the
-// times that backend servers told, in the same order; a task that never ended has
-// none, and its declared time stands in.
+// "time" is RFC 3339 with fractional seconds. "remaining" is the time until the
+// deadline; it is absent if the job has none. "declared" has one duration per task.
+// "run-times" has the run times that backend servers reported, in the same order.
+// A task that never ended has an empty one; the trace has its declared time instead.
 package recorder
 
 import (
@@ -29,24 +29,27 @@
 	"github.com/stoathitch/stoathitch/pkg/tracer"
 )
 
-// The network that a recorded trace assumes; a log does not tell it.
+// Assumed values, which logs don't contain.
 const (
 	assumedOneWay      = time.Millisecond
 	assumedSync        = 4 * time.Millisecond
 	assumedConnections = 60
-	// assumedRunTime stands in for a task of which nothing is known.
+	// assumedRunTime is the run time of a task that has neither a declared nor a
+	// reported one.
 	assumedRunTime = 250 * time.Millisecond
 )
 
-// Recorder reads logs. Set the exported fields before Record.
+// Recorder converts logs into traces. Set the exported fields before calling Record.
 type Recorder struct {
-	// ExecutorsPerFailureDomain and Slots are sizes that a log does not tell.
+	// ExecutorsPerFailureDomain and Slots (per executor) are the sizes of the
+	// deployment, which logs don't contain.
 	ExecutorsPerFailureDomain int
 	Slots                     identifier.Slots
 }
 
-// Record makes one trace of the logs of one or more entry hosts. Times count from
-// the first event.
+// Record merges the logs of one or more entry hosts into one trace. Times in the
+// trace are offsets from the first event. The error is ErrorMalformed for an invalid
+// line, ErrorNoJobs if no job was received.
 func (recorder *Recorder) Record(logs []io.Reader) (*tracer.Trace, error) {
 	var lines []*line
 	for _, log := range logs {
@@ -59,7 +62,7 @@
 	slices.SortStableFunc(lines, func(first, second *line) int { return first.at.Compare(second.at) })
 	recording := newRecording()
 	for _, line := range lines {
-		if err := recording.take(line); err != nil {
+		if err := recording.handleLine(line); err != nil {
 			return nil, err
 		}
 	}
@@ -69,7 +72,7 @@
 	return recording.trace(recorder), nil
 }
 
-// line is a log line with one of the events.
+// line is a log line with one of the three events.
 type line struct {
 	at     time.Time
 	event  string
--- a/pkg/recorder/recorder_test.go
+++ b/pkg/recorder/recorder_test.go
@@ -11,8 +11,8 @@
 	"github.com/stoathitch/stoathitch/pkg/tracer"
 )
 
-// TestRecord makes traces of logs; a line "---" divides the logs of two hosts.
-// What is recorded must be a trace that the parser takes.
+// TestRecord converts the logs in testdata/logs; a line "---" separates the logs of
+// two hosts. The parser must accept the recorded trace.
 func TestRecord(t *testing.T) {
 	datadriven.RunTest(t, "testdata/logs", func(t *testing.T, data *datadriven.TestData) string {
 		var logs []io.Reader
--- a/pkg/recorder/recording.go
+++ b/pkg/recorder/recording.go
@@ -12,7 +12,7 @@
 	"github.com/stoathitch/stoathitch/pkg/tracer"
 )
 
-// recording is a trace in the making.
+// recording collects the events of a trace while log lines are read.
 type recording struct {
 	start   time.Time
 	events  []tracer.Event
@@ -28,7 +28,7 @@
 	}
 }
 
-func (recording *recording) take(line *line) error {
+func (recording *recording) handleLine(line *line) error {
 	if recording.start.IsZero() {
 		recording.start = line.at
 	}
@@ -36,9 +36,9 @@
 	submission := identifier.SubmissionID(line.fields["submission"])
 	switch line.event {
 	case eventJobReceived:
-		return recording.receive(line, at, submission)
+		return recording.handleJobReceived(line, at, submission)
 	case eventJobEnded:
-		return recording.end(line, submission)
+		return recording.handleJobEnded(line, submission)
 	}
 	if recording.jobs[submission] != nil {
 		recording.events = append(recording.events, &tracer.Cancel{Head: tracer.Head{At: at}, Submission: submission})
@@ -46,7 +46,7 @@
 	return nil
 }
 
-func (recording *recording) receive(line *line, at identifier.Moment, submission identifier.SubmissionID) error {
+func (recording *recording) handleJobReceived(line *line, at identifier.Moment, submission identifier.SubmissionID) error {
 	job := &tracer.Job{
 		Head:          tracer.Head{At: at},
 		Submission:    submission,
@@ -66,12 +66,12 @@
 		job.MayRun = append(job.MayRun, identifier.FailureDomain(domain))
 		recording.addDomain(identifier.FailureDomain(domain))
 	}
-	declared, err := durations(line.fields["declared"])
+	declared, err := parseDurations(line.fields["declared"])
 	if err != nil || len(declared) == 0 {
 		return malformedField("declared", line, err)
 	}
 	for _, length := range declared {
-		job.Tasks = append(job.Tasks, tracer.Task{RunTime: stoodIn(length), Declared: stoodIn(length)})
+		job.Tasks = append(job.Tasks, tracer.Task{RunTime: orAssumedRunTime(length), Declared: orAssumedRunTime(length)})
 	}
 	if text, given := line.fields["remaining"]; given {
 		remaining, err := time.ParseDuration(text)
@@ -87,9 +87,10 @@
 	return nil
 }
 
-// end fills in the run times that backend servers told.
-func (recording *recording) end(line *line, submission identifier.SubmissionID) error {
-	runTimes, err := durations(line.fields["run-times"])
+// handleJobEnded sets the run times that backend servers reported, in the first Job
+// of the submission and in its resends.
+func (recording *recording) handleJobEnded(line *line, submission identifier.SubmissionID) error {
+	runTimes, err := parseDurations(line.fields["run-times"])
 	if err != nil {
 		return malformedField("run-times", line, err)
 	}
@@ -109,8 +110,8 @@
 	}
 }
 
-// addHost numbers the hosts of a failure domain in the order of their first job,
-// because a trace names its hosts by number.
+// addHost returns the id of a host within the trace. Ids in traces contain a number,
+// so the hosts of a failure domain are numbered in the order of their first job.
 func (recording *recording) addHost(domain identifier.FailureDomain, host identifier.HostID) identifier.HostID {
 	if host == "" {
 		return ""
@@ -144,7 +145,7 @@
 	}
 }
 
-func stoodIn(length time.Duration) time.Duration {
+func orAssumedRunTime(length time.Duration) time.Duration {
 	if length <= 0 {
 		return assumedRunTime
 	}
@@ -158,8 +159,8 @@
 	return strings.Split(text, ",")
 }
 
-// durations reads a list; an empty item is zero.
-func durations(text string) ([]time.Duration, error) {
+// parseDurations parses a comma-separated list; an empty item is zero.
+func parseDurations(text string) ([]time.Duration, error) {
 	var lengths []time.Duration
 	for _, item := range splitList(text) {
 		length := time.Duration(0)
