--- a/pkg/reporter/chart.go
+++ b/pkg/reporter/chart.go
@@ -8,11 +8,11 @@
 	"github.com/wcharczuk/go-chart/v2"
 )
 
-// measure is one number of a row that gets a chart of its own.
+// measure is a figure of a row that is drawn as a chart of its own.
 type measure struct {
 	title string
 	value func(row Row) float64
-	// floor is where the axis begins: nothing is better than the ideal's 1.
+	// floor is the start of the value axis. Ratios over the ideal are never below 1.
 	floor float64
 }
 
@@ -29,12 +29,12 @@
 	chartHeight = 320
 	lineWidth   = 2
 	dotWidth    = 3
-	// axisMargin keeps the highest point off the edge and an axis of equal
-	// values from having no length, which the library refuses to draw.
+	// axisMargin keeps the highest point away from the edge. It also keeps an axis
+	// whose values are all equal from having no length, which the library can't draw.
 	axisMargin = 0.05
 )
 
-// drawChart returns one measure over load as SVG, with one line a policy.
+// drawChart returns an SVG chart of one measure over load, with a line per policy.
 func drawChart(measure measure, rows []Row, names []string) (template.HTML, error) {
 	drawing := chart.Chart{
 		Title:      measure.title,
@@ -46,18 +46,18 @@
 		YAxis:      chart.YAxis{Range: valueRange(measure, rows), ValueFormatter: formatValue},
 	}
 	for number, name := range names {
-		drawing.Series = append(drawing.Series, line(measure, rows, name, number))
+		drawing.Series = append(drawing.Series, newSeries(measure, rows, name, number))
 	}
 	var buffer bytes.Buffer
 	if err := drawing.Render(chart.SVG, &buffer); err != nil {
 		return "", newError("draw chart", ErrorDrawing, err)
 	}
-	// The library writes this SVG and no text of a trace stands in it but the
-	// fixed titles above; the legend is part of the page, which escapes it.
+	// The SVG needs no escaping: the library generates it, and its only texts are the
+	// fixed titles above. Names of policies are in the legend, which the page escapes.
 	return template.HTML(buffer.String()), nil
 }
 
-func line(measure measure, rows []Row, policy string, number int) chart.Series {
+func newSeries(measure measure, rows []Row, policy string, number int) chart.Series {
 	series := chart.ContinuousSeries{
 		Style: chart.Style{
 			StrokeColor: chart.GetDefaultColor(number),
@@ -75,8 +75,8 @@
 	return series
 }
 
-// loadTicks marks the loads that were replayed. The library takes the ends of the
-// axis from the outermost ticks, which have no label.
+// loadTicks returns a labelled tick for each replayed load. The library ends the axis
+// at the outermost ticks, so one without a label is added at either end.
 func loadTicks(rows []Row) []chart.Tick {
 	low, high := rows[0].Load, rows[len(rows)-1].Load
 	ticks := []chart.Tick{{Value: max(low-axisMargin, 0)}}
--- a/pkg/reporter/doc.go
+++ b/pkg/reporter/doc.go
@@ -1,8 +1,7 @@
-// Package reporter draws the figures of many replays, by policy and load, as one
-// HTML page.
+// Package reporter renders the figures of many replays, by policy and load, as a
+// single HTML page.
 //
-// The page holds its charts as SVG and loads nothing from outside. go-echarts
-// would be the richer library, but its pages fetch their script from a host on
-// the network at the moment of reading, which an operator's machine may not
-// reach.
+// The page embeds its charts as SVG and loads nothing over the network. go-echarts
+// has more features, but its pages load a script from another host when they are
+// opened, and an operator's machine may not reach that host.
 package reporter
--- a/pkg/reporter/error.go
+++ b/pkg/reporter/error.go
@@ -8,17 +8,17 @@
 
 //go:generate enumer -type=ErrorKind -trimprefix=Error -transform=kebab -text
 
-// ErrorKind says why a report was not made.
+// ErrorKind is the reason why a report could not be written.
 type ErrorKind int
 
-// The kinds of errors.
+// The kinds of errors: no rows, a failure of the chart library, a failed write.
 const (
 	ErrorNoRows ErrorKind = iota
 	ErrorDrawing
 	ErrorWriting
 )
 
-// Error is the one error type of this package.
+// Error is the error type of all functions of this package.
 type Error struct {
 	Operation string
 	Kind      ErrorKind
@@ -34,5 +34,5 @@
 	return fmt.Sprintf("%s: %s: %v", reportError.Operation, reportError.Kind, reportError.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (reportError *Error) Unwrap() error { return reportError.Err }
--- a/pkg/reporter/page.go
+++ b/pkg/reporter/page.go
@@ -14,7 +14,7 @@
 
 var pageTemplate = template.Must(template.New("page").Parse(pageSource))
 
-// page, section and legendEntry are what the template prints.
+// page, section and legendEntry are the data of the template in page.html.
 type page struct {
 	Title    string
 	Sections []section
@@ -32,13 +32,14 @@
 	Colour template.CSS
 }
 
-// Write writes the report as one HTML page. The same rows give the same bytes.
+// Write writes the report as one HTML page. The same rows give the same bytes. The
+// error is ErrorNoRows if there are no rows.
 func Write(target io.Writer, title string, rows []Row) error {
 	if len(rows) == 0 {
 		return newError("write report", ErrorNoRows, eris.New("there is nothing to draw"))
 	}
 	content := page{Title: title}
-	for _, group := range byScenario(rows) {
+	for _, group := range groupByScenario(rows) {
 		section, err := newSection(group)
 		if err != nil {
 			return err
@@ -53,7 +54,7 @@
 
 func newSection(group scenarioRows) (section, error) {
 	result := section{Scenario: group.scenario, Rows: group.rows}
-	names := policies(group.rows)
+	names := policyNames(group.rows)
 	for number, name := range names {
 		result.Legend = append(result.Legend, legendEntry{Policy: name, Colour: template.CSS(chart.GetDefaultColor(number).String())})
 	}
--- a/pkg/reporter/reporter_test.go
+++ b/pkg/reporter/reporter_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-var outputFile = flag.String("report-file", "", "also write the example report there, to look at it")
+var outputFile = flag.String("report-file", "", "also write the example report to this file for inspection")
 
 func exampleRows() []Row {
 	return []Row{
@@ -31,8 +31,8 @@
 	return buffer.String()
 }
 
-// The page must be readable on a machine without a network: a link in it that
-// loads something would leave the charts blank there.
+// The page must be usable on a machine without network access: if it loaded its
+// scripts or images from elsewhere, the charts would be blank there.
 func TestPageLoadsNothingFromOutside(t *testing.T) {
 	content := render(t)
 	loading := regexp.MustCompile(`(?i)<script|<link|<img|<iframe|\bsrc=|@import|url\(`)
--- a/pkg/reporter/row.go
+++ b/pkg/reporter/row.go
@@ -2,12 +2,13 @@
 
 import "slices"
 
-// Row is the outcome of one replay. Response times are ratios over the ideal.
+// Row holds the figures of one replay. Mean, P50, P99 and Max are response times,
+// as ratios over the ideal response time.
 type Row struct {
-	// Scenario names what was replayed; rows of one scenario share their charts.
+	// Scenario is the name of the replayed scenario; its rows share their charts.
 	Scenario string
 	Policy   string
-	// Load is the share of all slots that the work keeps busy, from 0 to 1.
+	// Load is the share of all slots that the tasks keep busy, from 0 to 1.
 	Load                  float64
 	Mean, P50, P99, Max   float64
 	WastedPerTask         float64
@@ -18,14 +19,14 @@
 	ControlBytesPerSecond float64
 }
 
-// scenarioRows are the rows of one scenario in the order of load.
+// scenarioRows holds the rows of one scenario, sorted by load.
 type scenarioRows struct {
 	scenario string
 	rows     []Row
 }
 
-// byScenario groups rows, keeping the order in which scenarios first appear.
-func byScenario(rows []Row) []scenarioRows {
+// groupByScenario groups rows by scenario, in the order of first appearance.
+func groupByScenario(rows []Row) []scenarioRows {
 	var groups []scenarioRows
 	for _, row := range rows {
 		position := slices.IndexFunc(groups, func(group scenarioRows) bool { return group.scenario == row.Scenario })
@@ -51,9 +52,9 @@
 	return 0
 }
 
-// policies returns the policies of the rows in the order of their names, so that
-// a policy has the same colour in each chart.
-func policies(rows []Row) []string {
+// policyNames returns the sorted names of the policies, so that a policy has the same
+// colour in each chart.
+func policyNames(rows []Row) []string {
 	var names []string
 	for _, row := range rows {
 		if !slices.Contains(names, row.Policy) {
