--- a/pkg/coordinator/intentplanner.go
+++ b/pkg/coordinator/intentplanner.go
@@ -32,7 +32,7 @@
 	epoch   identifier.Epoch
 	since   identifier.LogIndex
 	at      identifier.Moment
-	picture *planner.Picture
+	picture *planner.DomainStatus
 }
 
 // watchedPlan is what this keeper records of an unconfirmed intent.
@@ -117,7 +117,7 @@
 	first := intentPlanner.drivers.Get(sync.FailureDomain) == nil || intentPlanner.drivers.Get(sync.FailureDomain).picture == nil
 	if !first && driver.picture == nil {
 		// A new driver knows no workers yet, but their capacity is the same as before.
-		driver.picture = &planner.Picture{FailureDomain: sync.FailureDomain, Rooms: intentPlanner.drivers.Get(sync.FailureDomain).picture.Rooms, Settling: true}
+		driver.picture = &planner.DomainStatus{FailureDomain: sync.FailureDomain, Rooms: intentPlanner.drivers.Get(sync.FailureDomain).picture.Rooms, Settling: true}
 	}
 	intentPlanner.drivers.Put(sync.FailureDomain, driver)
 	intentPlanner.sendNews(machine, from, sync.FailureDomain, sync.Since)
@@ -254,7 +254,7 @@
 			proposer.Pictures = append(proposer.Pictures, *driver.picture)
 			continue
 		}
-		proposer.Pictures = append(proposer.Pictures, planner.Picture{FailureDomain: domain, Settling: true})
+		proposer.Pictures = append(proposer.Pictures, planner.DomainStatus{FailureDomain: domain, Settling: true})
 	}
 	return proposer
 }
--- a/pkg/coordinator/intents.go
+++ b/pkg/coordinator/intents.go
@@ -57,7 +57,7 @@
 	Epoch         identifier.Epoch         `cbor:"2,keyasint,omitempty"`
 	Since         identifier.LogIndex      `cbor:"3,keyasint,omitempty"`
 	// Picture is nil until the driver runs.
-	Picture *planner.Picture `cbor:"4,keyasint,omitempty"`
+	Picture *planner.DomainStatus `cbor:"4,keyasint,omitempty"`
 }
 
 // WorkerEvent carries messages or events of a worker.
--- a/pkg/describer/exchange_test.go
+++ b/pkg/describer/exchange_test.go
@@ -31,13 +31,13 @@
 // plan answers an intent as the system does.
 func (exchange *exchange) plan(name identifier.IntentName) {
 	record := exchange.machine.Get(name)
-	picture := planner.Picture{FailureDomain: "thu-duc"}
+	picture := planner.DomainStatus{FailureDomain: "thu-duc"}
 	for _, rack := range []identifier.RackID{"thu-duc-rack-0", "thu-duc-rack-1"} {
 		capacity := identifier.Resources{MilliCPU: 16_000, Memory: 64 << 30}
 		picture.Rooms = append(picture.Rooms, placer.Room{Rack: rack, Capacity: capacity, Free: capacity})
 	}
 	proposer := &planner.Proposer{
-		ConfirmWithin: planner.DefaultConfirmWithin, Pictures: []planner.Picture{picture}, Correct: exchange.machine.Correction,
+		ConfirmWithin: planner.DefaultConfirmWithin, Pictures: []planner.DomainStatus{picture}, Correct: exchange.machine.Correction,
 		Quota: placer.Quota{Limit: identifier.Resources{MilliCPU: 32_000}},
 	}
 	plan := proposer.Propose(exchange.wall, record.Spec)
--- a/pkg/planner/driver.go
+++ b/pkg/planner/driver.go
@@ -177,11 +177,11 @@
 }
 
 // Picture returns the capacities and loads that plans are based on.
-func (driver *Driver[P]) Picture(now identifier.Moment) Picture {
+func (driver *Driver[P]) Picture(now identifier.Moment) DomainStatus {
 	if driver.intents == nil {
-		return Picture{FailureDomain: driver.FailureDomain, Settling: true}
+		return DomainStatus{FailureDomain: driver.FailureDomain, Settling: true}
 	}
-	picture := Picture{FailureDomain: driver.FailureDomain, Rooms: driver.Placer.Rooms()}
+	picture := DomainStatus{FailureDomain: driver.FailureDomain, Rooms: driver.Placer.Rooms()}
 	picture.Settling = now.Before(driver.workersKnownAt) || driver.workers.Len() == 0
 	loads := driver.Placer.Loads(now)
 	picture.Loads = loads[:]
--- a/pkg/planner/golden_test.go
+++ b/pkg/planner/golden_test.go
@@ -121,7 +121,7 @@
 	capacity := scanNeed(t, data)
 	free = int64(capacity.MilliCPU)
 	data.MaybeScanArgs(t, "free", &free)
-	picture := Picture{FailureDomain: identifier.FailureDomain(domain), Loads: make([]placer.Load, 3)}
+	picture := DomainStatus{FailureDomain: identifier.FailureDomain(domain), Loads: make([]placer.Load, 3)}
 	for number := range count {
 		room := placer.Room{Rack: identifier.RackID(fmt.Sprint(domain, "-r", number/8)), Capacity: capacity, Free: capacity}
 		room.Free.MilliCPU = identifier.MilliCPU(free)
--- a/pkg/planner/news.go
+++ b/pkg/planner/news.go
@@ -95,6 +95,6 @@
 }
 
 // Capacity returns the total capacity of the picture's workers.
-func (picture *Picture) Capacity() DomainCapacity {
+func (picture *DomainStatus) Capacity() DomainCapacity {
 	return DomainCapacity{FailureDomain: picture.FailureDomain, Capacity: picture.capacity()}
 }
--- a/pkg/planner/picture.go
+++ b/pkg/planner/picture.go
@@ -5,9 +5,9 @@
 	"github.com/stoathitch/stoathitch/pkg/placer"
 )
 
-// Picture holds the capacities and loads of a failure domain's workers. Its Driver reports
+// DomainStatus holds the capacities and loads of a failure domain's workers. Its Driver reports
 // it, and plans are based on it.
-type Picture struct {
+type DomainStatus struct {
 	FailureDomain identifier.FailureDomain `cbor:"1,keyasint,omitempty"`
 	Rooms         []placer.Room            `cbor:"2,keyasint,omitempty"`
 	// Loads holds the load of each urgency, indexed by urgency.
@@ -18,7 +18,7 @@
 }
 
 // capacity returns the total capacity of all workers.
-func (picture *Picture) capacity() identifier.Resources {
+func (picture *DomainStatus) capacity() identifier.Resources {
 	var sum identifier.Resources
 	for _, room := range picture.Rooms {
 		sum = sum.Add(room.Capacity)
@@ -27,7 +27,7 @@
 }
 
 // fitNow returns how many tasks of a need fit into the free capacity.
-func (picture *Picture) fitNow(need identifier.Resources) int {
+func (picture *DomainStatus) fitNow(need identifier.Resources) int {
 	count := 0
 	for _, room := range picture.Rooms {
 		count += need.CountIn(room.Free)
@@ -36,7 +36,7 @@
 }
 
 // fitEmpty returns how many tasks of a need would fit if nothing ran.
-func (picture *Picture) fitEmpty(need identifier.Resources) int {
+func (picture *DomainStatus) fitEmpty(need identifier.Resources) int {
 	count := 0
 	for _, room := range picture.Rooms {
 		count += need.CountIn(room.Capacity)
@@ -46,7 +46,7 @@
 
 // workAhead returns the work, in milli-cpu times seconds, that runs before a batch of an
 // urgency.
-func (picture *Picture) workAhead(urgency placer.Urgency) int64 {
+func (picture *DomainStatus) workAhead(urgency placer.Urgency) int64 {
 	work := int64(0)
 	for level, load := range picture.Loads {
 		switch {
@@ -61,7 +61,7 @@
 }
 
 // preemptible returns the load that a batch of an urgency may preempt.
-func (picture *Picture) preemptible(urgency placer.Urgency) placer.Load {
+func (picture *DomainStatus) preemptible(urgency placer.Urgency) placer.Load {
 	var sum placer.Load
 	if urgency < placer.UrgencyUrgent {
 		return sum
@@ -74,7 +74,7 @@
 }
 
 // reserve subtracts the need of count tasks from the free capacity.
-func (picture *Picture) reserve(need identifier.Resources, count int) {
+func (picture *DomainStatus) reserve(need identifier.Resources, count int) {
 	for position := range picture.Rooms {
 		room := &picture.Rooms[position]
 		taken := min(need.CountIn(room.Free), count)
@@ -87,7 +87,7 @@
 }
 
 // byRack splits count tasks over the racks by how many fit in each.
-func (picture *Picture) byRack(need identifier.Resources, count int) []RackCount {
+func (picture *DomainStatus) byRack(need identifier.Resources, count int) []RackCount {
 	now := picture.fitNow(need) >= count
 	var racks []identifier.RackID
 	var weights []int
--- a/pkg/planner/proposer.go
+++ b/pkg/planner/proposer.go
@@ -25,7 +25,7 @@
 	// ConfirmWithin is how long a plan can be confirmed.
 	ConfirmWithin time.Duration
 	// Pictures are those of all reachable failure domains, in order.
-	Pictures []Picture
+	Pictures []DomainStatus
 	// Quota is that of the intent's team over all failure domains.
 	Quota placer.Quota
 	// Correct returns the learned correction for a kind of batch; nil means no corrections.
@@ -36,7 +36,7 @@
 type draft struct {
 	plan       Plan
 	spec       Spec
-	pictures   []Picture
+	pictures   []DomainStatus
 	startDelay time.Duration
 	endDelay   time.Duration
 	queued     bool
@@ -100,8 +100,8 @@
 }
 
 // allowedPictures returns copies of the pictures in which the spec may run.
-func (proposer *Proposer) allowedPictures(spec Spec) []Picture {
-	var pictures []Picture
+func (proposer *Proposer) allowedPictures(spec Spec) []DomainStatus {
+	var pictures []DomainStatus
 	for _, picture := range proposer.Pictures {
 		if len(spec.MayRun) == 0 || slices.Contains(spec.MayRun, picture.FailureDomain) {
 			picture.Rooms = slices.Clone(picture.Rooms)
@@ -184,7 +184,7 @@
 
 // estimateBatch estimates when a failure domain's part of a batch starts and ends, and what
 // it preempts.
-func (draft *draft) estimateBatch(picture *Picture, batch Batch, count, allowed int) {
+func (draft *draft) estimateBatch(picture *DomainStatus, batch Batch, count, allowed int) {
 	now := picture.fitNow(batch.Need)
 	total := max(picture.fitEmpty(batch.Need), 1)
 	if allowed < count {
@@ -213,7 +213,7 @@
 
 // estimatePreemptions estimates how many less urgent tasks are preempted to start short more
 // tasks.
-func (draft *draft) estimatePreemptions(picture *Picture, need identifier.Resources, short int) {
+func (draft *draft) estimatePreemptions(picture *DomainStatus, need identifier.Resources, short int) {
 	below := picture.preemptible(draft.spec.Urgency)
 	if below.Running == 0 || below.Used.MilliCPU == 0 {
 		return
--- a/pkg/planner/refuse.go
+++ b/pkg/planner/refuse.go
@@ -45,7 +45,7 @@
 
 // clipCorrection reverts a correction that no worker or quota could hold, since the declared
 // need may still run.
-func (proposer *Proposer) clipCorrection(pictures []Picture, declared identifier.Resources, corrected *identifier.Resources) {
+func (proposer *Proposer) clipCorrection(pictures []DomainStatus, declared identifier.Resources, corrected *identifier.Resources) {
 	_, fits := nearestWorker(pictures, *corrected)
 	if !fits || !proposer.Quota.Allows(identifier.Resources{}, 0, *corrected) {
 		*corrected = declared
@@ -57,7 +57,7 @@
 func (proposer *Proposer) knownDomains(draft *draft) []identifier.FailureDomain {
 	var known, unknown []identifier.FailureDomain
 	for _, domain := range draft.spec.MayRun {
-		exists := slices.ContainsFunc(proposer.Pictures, func(picture Picture) bool { return picture.FailureDomain == domain })
+		exists := slices.ContainsFunc(proposer.Pictures, func(picture DomainStatus) bool { return picture.FailureDomain == domain })
 		if exists {
 			known = append(known, domain)
 		} else {
@@ -99,7 +99,7 @@
 
 // nearestWorker returns the largest part of a need that a single worker's capacity covers,
 // and whether that is all of it.
-func nearestWorker(pictures []Picture, need identifier.Resources) (identifier.Resources, bool) {
+func nearestWorker(pictures []DomainStatus, need identifier.Resources) (identifier.Resources, bool) {
 	var nearest identifier.Resources
 	best := int64(-1)
 	for _, picture := range pictures {
