--- a/pkg/coordinator/intentdriver.go
+++ b/pkg/coordinator/intentdriver.go
@@ -186,7 +186,7 @@
 	intentDriver.syncAt = coordinator.now.Add(coordinator.Settings.Intents.SyncInterval)
 	message := &IntentSync{FailureDomain: coordinator.Self.FailureDomain, Epoch: intentDriver.epoch, Since: intentDriver.seenVersion}
 	if intentDriver.driver != nil {
-		picture := intentDriver.driver.Picture(coordinator.now)
+		picture := intentDriver.driver.Status(coordinator.now)
 		message.Picture = &picture
 	}
 	keepers := coordinator.keepersInOrder()
--- a/pkg/planner/driver.go
+++ b/pkg/planner/driver.go
@@ -176,8 +176,8 @@
 	return next
 }
 
-// Picture returns the capacities and loads that plans are based on.
-func (driver *Driver[P]) Picture(now identifier.Moment) DomainStatus {
+// Status returns the capacities and loads that plans are based on.
+func (driver *Driver[P]) Status(now identifier.Moment) DomainStatus {
 	if driver.intents == nil {
 		return DomainStatus{FailureDomain: driver.FailureDomain, Settling: true}
 	}
