--- a/pkg/coordinator/intentplanner.go
+++ b/pkg/coordinator/intentplanner.go
@@ -251,10 +251,10 @@
 		fresh := driver != nil && driver.picture != nil &&
 			intentPlanner.coordinator.now.Sub(driver.at) <= intentPlanner.coordinator.Settings.Intents.MaxPictureAge
 		if fresh {
-			proposer.Pictures = append(proposer.Pictures, *driver.picture)
+			proposer.Domains = append(proposer.Domains, *driver.picture)
 			continue
 		}
-		proposer.Pictures = append(proposer.Pictures, planner.DomainStatus{FailureDomain: domain, Settling: true})
+		proposer.Domains = append(proposer.Domains, planner.DomainStatus{FailureDomain: domain, Settling: true})
 	}
 	return proposer
 }
--- a/pkg/planner/golden_test.go
+++ b/pkg/planner/golden_test.go
@@ -133,13 +133,13 @@
 		used := identifier.Resources{MilliCPU: (capacity.MilliCPU - identifier.MilliCPU(free)) * identifier.MilliCPU(count)}
 		picture.Loads[0] = placer.Load{Running: running, Used: used, Work: int64(used.MilliCPU) * 60}
 	}
-	for position := range exchange.proposer.Pictures {
-		if exchange.proposer.Pictures[position].FailureDomain == picture.FailureDomain {
-			exchange.proposer.Pictures[position] = picture
+	for position := range exchange.proposer.Domains {
+		if exchange.proposer.Domains[position].FailureDomain == picture.FailureDomain {
+			exchange.proposer.Domains[position] = picture
 			return "ok\n"
 		}
 	}
-	exchange.proposer.Pictures = append(exchange.proposer.Pictures, picture)
+	exchange.proposer.Domains = append(exchange.proposer.Domains, picture)
 	return "ok\n"
 }
 
--- a/pkg/planner/proposer.go
+++ b/pkg/planner/proposer.go
@@ -24,8 +24,8 @@
 type Proposer struct {
 	// ConfirmWithin is how long a plan can be confirmed.
 	ConfirmWithin time.Duration
-	// Pictures are those of all reachable failure domains, in order.
-	Pictures []DomainStatus
+	// Domains are those of all reachable failure domains, in order.
+	Domains []DomainStatus
 	// Quota is that of the intent's team over all failure domains.
 	Quota placer.Quota
 	// Correct returns the learned correction for a kind of batch; nil means no corrections.
@@ -102,7 +102,7 @@
 // allowedPictures returns copies of the pictures in which the spec may run.
 func (proposer *Proposer) allowedPictures(spec Spec) []DomainStatus {
 	var pictures []DomainStatus
-	for _, picture := range proposer.Pictures {
+	for _, picture := range proposer.Domains {
 		if len(spec.MayRun) == 0 || slices.Contains(spec.MayRun, picture.FailureDomain) {
 			picture.Rooms = slices.Clone(picture.Rooms)
 			pictures = append(pictures, picture)
--- a/pkg/planner/refuse.go
+++ b/pkg/planner/refuse.go
@@ -17,7 +17,7 @@
 	nearest.MayRun = proposer.knownDomains(draft)
 	pictures := draft.pictures
 	if len(pictures) == 0 {
-		pictures = proposer.Pictures
+		pictures = proposer.Domains
 		nearest.MayRun = nil
 	}
 	for number := range nearest.Batches {
@@ -57,7 +57,7 @@
 func (proposer *Proposer) knownDomains(draft *draft) []identifier.FailureDomain {
 	var known, unknown []identifier.FailureDomain
 	for _, domain := range draft.spec.MayRun {
-		exists := slices.ContainsFunc(proposer.Pictures, func(picture DomainStatus) bool { return picture.FailureDomain == domain })
+		exists := slices.ContainsFunc(proposer.Domains, func(picture DomainStatus) bool { return picture.FailureDomain == domain })
 		if exists {
 			known = append(known, domain)
 		} else {
