--- a/pkg/coordinator/intentdriver.go
+++ b/pkg/coordinator/intentdriver.go
@@ -205,7 +205,7 @@
 
 // handleNews applies decisions of the log. News with an epoch or version below those of this driver
 // come from a keeper that lags behind, and are ignored.
-func (intentDriver *intentDriver) handleNews(news *planner.News) {
+func (intentDriver *intentDriver) handleNews(news *planner.DriverUpdate) {
 	switch {
 	case intentDriver.epoch == 0 || news.FailureDomain != intentDriver.coordinator.Self.FailureDomain:
 		return
--- a/pkg/planner/news.go
+++ b/pkg/planner/news.go
@@ -6,8 +6,8 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// News holds the state of the log that a failure domain's driver needs.
-type News struct {
+// DriverUpdate holds the state of the log that a failure domain's driver needs.
+type DriverUpdate struct {
 	FailureDomain identifier.FailureDomain `cbor:"1,keyasint,omitempty"`
 	// Epoch is the highest one of the failure domain. A driver with a lower one is replaced.
 	Epoch identifier.Epoch `cbor:"2,keyasint,omitempty"`
@@ -29,9 +29,9 @@
 func (machine *Machine) Changed() identifier.LogIndex { return machine.lastChange }
 
 // News returns the news for a failure domain's driver that has seen the version since.
-func (machine *Machine) News(domain identifier.FailureDomain, since identifier.LogIndex) News {
+func (machine *Machine) News(domain identifier.FailureDomain, since identifier.LogIndex) DriverUpdate {
 	machine.prepare()
-	news := News{FailureDomain: domain, Epoch: machine.Epoch(domain), Since: since, Version: machine.lastChange}
+	news := DriverUpdate{FailureDomain: domain, Epoch: machine.Epoch(domain), Since: since, Version: machine.lastChange}
 	machine.records.Each(func(name identifier.IntentName, record *Record) bool {
 		if !record.activeIn(domain) {
 			return true
