--- a/pkg/coordinator/intentplanner.go
+++ b/pkg/coordinator/intentplanner.go
@@ -136,7 +136,7 @@
 }
 
 func (intentPlanner *intentPlanner) sendNews(machine *planner.Machine, host identifier.HostID, domain identifier.FailureDomain, since identifier.LogIndex) {
-	news := machine.News(domain, since)
+	news := machine.DriverUpdate(domain, since)
 	news.Capacities = intentPlanner.capacities()
 	if host == intentPlanner.coordinator.Self.Host {
 		intentPlanner.coordinator.intentDriver.handleNews(&news)
--- a/pkg/planner/news.go
+++ b/pkg/planner/news.go
@@ -28,8 +28,8 @@
 // Changed returns the index of the last change of any intent's revision.
 func (machine *Machine) Changed() identifier.LogIndex { return machine.lastChange }
 
-// News returns the news for a failure domain's driver that has seen the version since.
-func (machine *Machine) News(domain identifier.FailureDomain, since identifier.LogIndex) DriverUpdate {
+// DriverUpdate returns the news for a failure domain's driver that has seen the version since.
+func (machine *Machine) DriverUpdate(domain identifier.FailureDomain, since identifier.LogIndex) DriverUpdate {
 	machine.prepare()
 	news := DriverUpdate{FailureDomain: domain, Epoch: machine.Epoch(domain), Since: since, Version: machine.lastChange}
 	machine.records.Each(func(name identifier.IntentName, record *Record) bool {
