--- a/pkg/coordinator/intentplanner.go
+++ b/pkg/coordinator/intentplanner.go
@@ -210,7 +210,7 @@
 		return
 	}
 	watched.renewAt = now.Add(settings.RenewPlans)
-	reason, fresh := intentPlanner.proposer(machine, record).Outrun(intentPlanner.coordinator.wallTime(), record.Spec, *record.Plan)
+	reason, fresh := intentPlanner.proposer(machine, record).Outdated(intentPlanner.coordinator.wallTime(), record.Spec, *record.Plan)
 	if reason != "" {
 		intentPlanner.propose(record, watched, planner.Command{Kind: planner.CommandPlan, Plan: &fresh, Reason: reason})
 	}
--- a/pkg/planner/golden_test.go
+++ b/pkg/planner/golden_test.go
@@ -76,7 +76,7 @@
 		}
 	case "outrun":
 		record := exchange.machine.Get(command.Name)
-		reason, _ := exchange.proposer.Outrun(command.Wall, record.Spec, *record.Plan)
+		reason, _ := exchange.proposer.Outdated(command.Wall, record.Spec, *record.Plan)
 		return fmt.Sprintf("outrun: %q\n", reason)
 	case "progress":
 		command.Progress = &Progress{}
--- a/pkg/planner/proposer.go
+++ b/pkg/planner/proposer.go
@@ -73,10 +73,10 @@
 	return draft.plan
 }
 
-// Outrun returns why an unconfirmed plan no longer holds, and a new plan: the old one can't
+// Outdated returns why an unconfirmed plan no longer holds, and a new plan: the old one can't
 // run any more, loses a failure domain, can't start at once as it said, or would end far
 // later than it says. If it still holds, it is returned with an empty reason.
-func (proposer *Proposer) Outrun(wall WallTime, spec Spec, plan Plan) (string, Plan) {
+func (proposer *Proposer) Outdated(wall WallTime, spec Spec, plan Plan) (string, Plan) {
 	fresh := proposer.Propose(wall, spec)
 	if len(fresh.Refusals) > 0 {
 		return "it can no longer run", fresh
