--- a/pkg/coordinator/intentplanner.go
+++ b/pkg/coordinator/intentplanner.go
@@ -244,7 +244,7 @@
 	proposer := &planner.Proposer{
 		ConfirmWithin: intentPlanner.coordinator.Settings.Intents.ConfirmWithin,
 		Quota:         intentPlanner.coordinator.quotas.of(record.Spec.Team),
-		Correct:       machine.Correction,
+		Correction:    machine.Correction,
 	}
 	for _, domain := range intentPlanner.failureDomains() {
 		driver := intentPlanner.drivers.Get(domain)
--- a/pkg/planner/proposer.go
+++ b/pkg/planner/proposer.go
@@ -28,8 +28,8 @@
 	Domains []DomainStatus
 	// Quota is that of the intent's team over all failure domains.
 	Quota placer.Quota
-	// Correct returns the learned correction for a kind of batch; nil means no corrections.
-	Correct func(key guarder.KindKey) guarder.Correction
+	// Correction returns the learned correction for a kind of batch; nil means no corrections.
+	Correction func(key guarder.KindKey) guarder.Correction
 }
 
 // draft is the state of a plan in the making.
@@ -117,8 +117,8 @@
 	var declared []guarder.Declaration
 	for number, batch := range draft.spec.Batches {
 		correction := guarder.Neutral
-		if proposer.Correct != nil {
-			correction = proposer.Correct(guarder.KindKey{Team: draft.spec.Team, Kind: batch.Kind})
+		if proposer.Correction != nil {
+			correction = proposer.Correction(guarder.KindKey{Team: draft.spec.Team, Kind: batch.Kind})
 		}
 		if correction == guarder.Neutral {
 			draft.learned = false
