--- a/pkg/coordinator/intentplanner.go
+++ b/pkg/coordinator/intentplanner.go
@@ -242,9 +242,9 @@
 // for good while the workers there are unknown.
 func (intentPlanner *intentPlanner) proposer(machine *planner.Machine, record *planner.Record) *planner.Proposer {
 	proposer := &planner.Proposer{
-		ConfirmWithin: intentPlanner.coordinator.Settings.Intents.ConfirmWithin,
-		Quota:         intentPlanner.coordinator.quotas.of(record.Spec.Team),
-		Correction:    machine.Correction,
+		ConfirmTimeout: intentPlanner.coordinator.Settings.Intents.ConfirmWithin,
+		Quota:          intentPlanner.coordinator.quotas.of(record.Spec.Team),
+		Correction:     machine.Correction,
 	}
 	for _, domain := range intentPlanner.failureDomains() {
 		driver := intentPlanner.drivers.Get(domain)
--- a/pkg/planner/proposer.go
+++ b/pkg/planner/proposer.go
@@ -22,8 +22,8 @@
 
 // Proposer makes plans. Set the exported fields before use.
 type Proposer struct {
-	// ConfirmWithin is how long a plan can be confirmed.
-	ConfirmWithin time.Duration
+	// ConfirmTimeout is how long a plan can be confirmed.
+	ConfirmTimeout time.Duration
 	// Domains are those of all reachable failure domains, in order.
 	Domains []DomainStatus
 	// Quota is that of the intent's team over all failure domains.
@@ -228,7 +228,7 @@
 	plan := &draft.plan
 	plan.StartsAt = wall.Add(draft.startDelay)
 	plan.EndsAt = wall.Add(draft.endDelay)
-	plan.Confirmable = wall.Add(proposer.ConfirmWithin)
+	plan.Confirmable = wall.Add(proposer.ConfirmTimeout)
 	plan.Confidence = confidenceUnlearned
 	if draft.learned {
 		plan.Confidence = confidenceLearned
