--- a/pkg/coordinator/intents.go
+++ b/pkg/coordinator/intents.go
@@ -43,7 +43,7 @@
 		MaxPictureAge:  5 * time.Second,
 		ReviewInterval: time.Second,
 		RenewPlans:     5 * time.Second,
-		ConfirmWithin:  planner.DefaultConfirmWithin,
+		ConfirmWithin:  planner.DefaultConfirmTimeout,
 		Resend:         500 * time.Millisecond,
 		RetryLead:      5 * time.Second,
 		Driver:         planner.DefaultDriverSettings(),
--- a/pkg/describer/exchange_test.go
+++ b/pkg/describer/exchange_test.go
@@ -37,7 +37,7 @@
 		picture.Rooms = append(picture.Rooms, placer.Room{Rack: rack, Capacity: capacity, Free: capacity})
 	}
 	proposer := &planner.Proposer{
-		ConfirmTimeout: planner.DefaultConfirmWithin, Domains: []planner.DomainStatus{picture}, Correction: exchange.machine.Correction,
+		ConfirmTimeout: planner.DefaultConfirmTimeout, Domains: []planner.DomainStatus{picture}, Correction: exchange.machine.Correction,
 		Quota: placer.Quota{Limit: identifier.Resources{MilliCPU: 32_000}},
 	}
 	plan := proposer.Propose(exchange.wall, record.Spec)
--- a/pkg/planner/golden_test.go
+++ b/pkg/planner/golden_test.go
@@ -29,7 +29,7 @@
 		exchange := &exchange{
 			machine:  &Machine{},
 			learner:  learner,
-			proposer: &Proposer{ConfirmTimeout: DefaultConfirmWithin, Correction: learner.Correction},
+			proposer: &Proposer{ConfirmTimeout: DefaultConfirmTimeout, Correction: learner.Correction},
 		}
 		datadriven.RunTest(t, path, func(t *testing.T, data *datadriven.TestData) string {
 			return exchange.run(t, data)
--- a/pkg/planner/proposer.go
+++ b/pkg/planner/proposer.go
@@ -17,8 +17,8 @@
 	confidenceQueued    = 20
 )
 
-// DefaultConfirmWithin is the time after which an unconfirmed plan expires.
-const DefaultConfirmWithin = 10 * time.Minute
+// DefaultConfirmTimeout is the time after which an unconfirmed plan expires.
+const DefaultConfirmTimeout = 10 * time.Minute
 
 // Proposer makes plans. Set the exported fields before use.
 type Proposer struct {
--- a/pkg/planner/world_test.go
+++ b/pkg/planner/world_test.go
@@ -183,7 +183,7 @@
 // propose adds a plan to an intent.
 func (world *world) propose(name identifier.IntentName) Result {
 	record := world.machine.Get(name)
-	proposer := &Proposer{ConfirmTimeout: DefaultConfirmWithin, Domains: []DomainStatus{world.driver.Status(world.now())}, Correction: world.machine.Correction}
+	proposer := &Proposer{ConfirmTimeout: DefaultConfirmTimeout, Domains: []DomainStatus{world.driver.Status(world.now())}, Correction: world.machine.Correction}
 	plan := proposer.Propose(WallTime(world.realTime), record.Spec)
 	return world.apply(Command{Kind: CommandPlan, Name: name, Revision: record.Revision, Plan: &plan, Operator: "system"})
 }
