--- a/pkg/planner/driver.go
+++ b/pkg/planner/driver.go
@@ -29,8 +29,8 @@
 	Quarantine time.Duration
 	// QuarantinedPermille is the highest share of workers in quarantine.
 	QuarantinedPermille int
-	// CheckpointWithin is the time after which a task that is still not checkpointed is stopped.
-	CheckpointWithin time.Duration
+	// CheckpointTimeout is the time after which a task that is still not checkpointed is stopped.
+	CheckpointTimeout time.Duration
 	// RememberLost is how long a lost worker counts as one that will return; then it is removed.
 	RememberLost time.Duration
 }
@@ -45,7 +45,7 @@
 		FailuresToQuarantine: 10,
 		Quarantine:           30 * time.Second,
 		QuarantinedPermille:  250,
-		CheckpointWithin:     30 * time.Second,
+		CheckpointTimeout:    30 * time.Second,
 		RememberLost:         10 * time.Minute,
 	}
 }
--- a/pkg/planner/sweep.go
+++ b/pkg/planner/sweep.go
@@ -23,7 +23,7 @@
 		return true
 	})
 	driver.tasks.Each(func(task identifier.TaskID, running *driverTask) bool {
-		late := now.Sub(running.checkpointOrderedAt) > driver.Settings.CheckpointWithin
+		late := now.Sub(running.checkpointOrderedAt) > driver.Settings.CheckpointTimeout
 		if running.stopCause != stopCauseNone && !running.stopping && late {
 			driver.stop(task, running.stopCause, running.reason+"; its checkpoint took too long")
 		}
