--- a/pkg/planner/driver.go
+++ b/pkg/planner/driver.go
@@ -31,8 +31,8 @@
 	QuarantinedPermille int
 	// CheckpointTimeout is the time after which a task that is still not checkpointed is stopped.
 	CheckpointTimeout time.Duration
-	// RememberLost is how long a lost worker counts as one that will return; then it is removed.
-	RememberLost time.Duration
+	// LostWorkerRetention is how long a lost worker counts as one that will return; then it is removed.
+	LostWorkerRetention time.Duration
 }
 
 // DefaultDriverSettings returns the settings used where the configuration has none.
@@ -46,7 +46,7 @@
 		Quarantine:           30 * time.Second,
 		QuarantinedPermille:  250,
 		CheckpointTimeout:    30 * time.Second,
-		RememberLost:         10 * time.Minute,
+		LostWorkerRetention:  10 * time.Minute,
 	}
 }
 
--- a/pkg/planner/sweep.go
+++ b/pkg/planner/sweep.go
@@ -67,7 +67,7 @@
 		worker.failures = driver.Settings.FailuresToQuarantine - 1
 		driver.Placer.SetUsable(id, worker.usable())
 	}
-	if worker.lost && now.Sub(worker.lostAt) > driver.Settings.RememberLost && len(driver.Placer.TasksOn(id)) == 0 {
+	if worker.lost && now.Sub(worker.lostAt) > driver.Settings.LostWorkerRetention && len(driver.Placer.TasksOn(id)) == 0 {
 		driver.Placer.RemoveWorker(id)
 		driver.workers.Remove(id)
 	}
