--- a/pkg/describer/bodies.go
+++ b/pkg/describer/bodies.go
@@ -82,7 +82,7 @@
 	EndsAt       Moment                      `json:"ends-at,omitzero"`
 	Confidence   int                         `json:"confidence-percent,omitempty"`
 	ConfirmUntil Moment                      `json:"confirm-until,omitzero"`
-	Displaces    []planner.Displaced         `json:"displaces,omitempty"`
+	Displaces    []planner.Preemption        `json:"displaces,omitempty"`
 	Charged      placer.Quota                `json:"charged,omitzero"`
 	Quota        placer.Quota                `json:"quota,omitzero"`
 	Corrections  []planner.AppliedCorrection `json:"corrections,omitempty"`
--- a/pkg/planner/spec.go
+++ b/pkg/planner/spec.go
@@ -75,8 +75,8 @@
 	Count int               `cbor:"2,keyasint,omitempty" json:"count"`
 }
 
-// Displaced is the number of tasks that are expected to be preempted in a failure domain.
-type Displaced struct {
+// Preemption is the number of tasks that are expected to be preempted in a failure domain.
+type Preemption struct {
 	FailureDomain identifier.FailureDomain `cbor:"1,keyasint,omitempty" json:"failure-domain"`
 	Tasks         int                      `cbor:"2,keyasint,omitempty" json:"tasks"`
 }
@@ -95,7 +95,7 @@
 	StartsAt    WallTime            `cbor:"3,keyasint,omitempty" json:"starts-at,omitempty"`
 	EndsAt      WallTime            `cbor:"4,keyasint,omitempty" json:"ends-at,omitempty"`
 	Confidence  int                 `cbor:"5,keyasint,omitempty" json:"confidence-percent,omitempty"`
-	Displaces   []Displaced         `cbor:"6,keyasint,omitempty" json:"displaces,omitempty"`
+	Displaces   []Preemption        `cbor:"6,keyasint,omitempty" json:"displaces,omitempty"`
 	Charged     placer.Quota        `cbor:"7,keyasint,omitempty" json:"charged,omitzero"`
 	Quota       placer.Quota        `cbor:"8,keyasint,omitempty" json:"quota,omitzero"`
 	Confirmable WallTime            `cbor:"9,keyasint,omitempty" json:"confirm-until,omitempty"`
