--- a/pkg/describer/translation.go
+++ b/pkg/describer/translation.go
@@ -47,7 +47,7 @@
 	return &Plan{
 		Number: plan.Number, Allotments: plan.Allotments,
 		StartsAt: Moment(plan.StartsAt), EndsAt: Moment(plan.EndsAt), ConfirmUntil: Moment(plan.Confirmable),
-		Confidence: plan.Confidence, Displaces: plan.Displaces, Charged: plan.Charged, Quota: plan.Quota,
+		Confidence: plan.Confidence, Displaces: plan.Preemptions, Charged: plan.Charged, Quota: plan.Quota,
 		Corrections: plan.Corrections, Queued: plan.Queued, Limited: plan.Limited,
 		Refusals: plan.Refusals, Nearest: SpecOf(plan.Nearest),
 	}
--- a/pkg/planner/proposer.go
+++ b/pkg/planner/proposer.go
@@ -220,7 +220,7 @@
 	}
 	wanted := int64(need.MilliCPU) * int64(short) * int64(below.Running)
 	tasks := min((wanted+int64(below.Used.MilliCPU)-1)/int64(below.Used.MilliCPU), int64(below.Running))
-	draft.plan.Displaces = append(draft.plan.Displaces, Preemption{FailureDomain: picture.FailureDomain, Tasks: int(tasks)})
+	draft.plan.Preemptions = append(draft.plan.Preemptions, Preemption{FailureDomain: picture.FailureDomain, Tasks: int(tasks)})
 }
 
 // estimate sets the start, the end and the confidence of the plan.
--- a/pkg/planner/spec.go
+++ b/pkg/planner/spec.go
@@ -95,7 +95,7 @@
 	StartsAt    WallTime            `cbor:"3,keyasint,omitempty" json:"starts-at,omitempty"`
 	EndsAt      WallTime            `cbor:"4,keyasint,omitempty" json:"ends-at,omitempty"`
 	Confidence  int                 `cbor:"5,keyasint,omitempty" json:"confidence-percent,omitempty"`
-	Displaces   []Preemption        `cbor:"6,keyasint,omitempty" json:"displaces,omitempty"`
+	Preemptions []Preemption        `cbor:"6,keyasint,omitempty" json:"displaces,omitempty"`
 	Charged     placer.Quota        `cbor:"7,keyasint,omitempty" json:"charged,omitzero"`
 	Quota       placer.Quota        `cbor:"8,keyasint,omitempty" json:"quota,omitzero"`
 	Confirmable WallTime            `cbor:"9,keyasint,omitempty" json:"confirm-until,omitempty"`
