--- a/pkg/describer/translation.go
+++ b/pkg/describer/translation.go
@@ -46,7 +46,7 @@
 	}
 	return &Plan{
 		Number: plan.Number, Allotments: plan.Allotments,
-		StartsAt: Moment(plan.StartsAt), EndsAt: Moment(plan.EndsAt), ConfirmUntil: Moment(plan.Confirmable),
+		StartsAt: Moment(plan.StartsAt), EndsAt: Moment(plan.EndsAt), ConfirmUntil: Moment(plan.ConfirmUntil),
 		Confidence: plan.Confidence, Displaces: plan.Preemptions, Charged: plan.Charged, Quota: plan.Quota,
 		Corrections: plan.Corrections, Queued: plan.Queued, Limited: plan.Limited,
 		Refusals: plan.Refusals, Nearest: SpecOf(plan.Nearest),
--- a/pkg/planner/proposer.go
+++ b/pkg/planner/proposer.go
@@ -228,7 +228,7 @@
 	plan := &draft.plan
 	plan.StartsAt = wall.Add(draft.startDelay)
 	plan.EndsAt = wall.Add(draft.endDelay)
-	plan.Confirmable = wall.Add(proposer.ConfirmTimeout)
+	plan.ConfirmUntil = wall.Add(proposer.ConfirmTimeout)
 	plan.Confidence = confidenceUnlearned
 	if draft.learned {
 		plan.Confidence = confidenceLearned
--- a/pkg/planner/spec.go
+++ b/pkg/planner/spec.go
@@ -90,16 +90,16 @@
 // Plan is the system's proposal for a Spec.
 type Plan struct {
 	// Number counts the plans of an intent, starting at 1. Apply sets it.
-	Number      uint64              `cbor:"1,keyasint,omitempty" json:"number"`
-	Allotments  []Allotment         `cbor:"2,keyasint,omitempty" json:"allotments,omitempty"`
-	StartsAt    WallTime            `cbor:"3,keyasint,omitempty" json:"starts-at,omitempty"`
-	EndsAt      WallTime            `cbor:"4,keyasint,omitempty" json:"ends-at,omitempty"`
-	Confidence  int                 `cbor:"5,keyasint,omitempty" json:"confidence-percent,omitempty"`
-	Preemptions []Preemption        `cbor:"6,keyasint,omitempty" json:"displaces,omitempty"`
-	Charged     placer.Quota        `cbor:"7,keyasint,omitempty" json:"charged,omitzero"`
-	Quota       placer.Quota        `cbor:"8,keyasint,omitempty" json:"quota,omitzero"`
-	Confirmable WallTime            `cbor:"9,keyasint,omitempty" json:"confirm-until,omitempty"`
-	Corrections []AppliedCorrection `cbor:"10,keyasint,omitempty" json:"corrections,omitempty"`
+	Number       uint64              `cbor:"1,keyasint,omitempty" json:"number"`
+	Allotments   []Allotment         `cbor:"2,keyasint,omitempty" json:"allotments,omitempty"`
+	StartsAt     WallTime            `cbor:"3,keyasint,omitempty" json:"starts-at,omitempty"`
+	EndsAt       WallTime            `cbor:"4,keyasint,omitempty" json:"ends-at,omitempty"`
+	Confidence   int                 `cbor:"5,keyasint,omitempty" json:"confidence-percent,omitempty"`
+	Preemptions  []Preemption        `cbor:"6,keyasint,omitempty" json:"displaces,omitempty"`
+	Charged      placer.Quota        `cbor:"7,keyasint,omitempty" json:"charged,omitzero"`
+	Quota        placer.Quota        `cbor:"8,keyasint,omitempty" json:"quota,omitzero"`
+	ConfirmUntil WallTime            `cbor:"9,keyasint,omitempty" json:"confirm-until,omitempty"`
+	Corrections  []AppliedCorrection `cbor:"10,keyasint,omitempty" json:"corrections,omitempty"`
 	// Queued is the reason for which nothing can start at once; empty if something can.
 	Queued string `cbor:"11,keyasint,omitempty" json:"queued,omitempty"`
 	// Limited says how the team's quota slows the intent down; empty if it doesn't.
