--- a/pkg/coordinator/proposals.go
+++ b/pkg/coordinator/proposals.go
@@ -49,7 +49,7 @@
 	for position := range proposals.queue {
 		waiting := &proposals.queue[position]
 		if waiting.Kind == planner.CommandProgress && waiting.Name == command.Name {
-			joined := waiting.Progress.Join(*command.Progress)
+			joined := waiting.Progress.Merge(*command.Progress)
 			waiting.Progress = &joined
 			return true
 		}
--- a/pkg/planner/news.go
+++ b/pkg/planner/news.go
@@ -74,8 +74,8 @@
 	return summary
 }
 
-// Join merges two reports into one; other is the later one.
-func (progress Progress) Join(other Progress) Progress {
+// Merge merges two reports into one; other is the later one.
+func (progress Progress) Merge(other Progress) Progress {
 	joined := other
 	joined.Started = progress.Started || other.Started
 	joined.Ranges = slices.Concat(progress.Ranges, other.Ranges)
