--- a/pkg/coordinator/intentsfuzz_test.go
+++ b/pkg/coordinator/intentsfuzz_test.go
@@ -158,7 +158,7 @@
 	}
 	for _, ended := range record.Ranges {
 		for index := ended.From; index < ended.To; index++ {
-			machine.checkTask(t, planner.NameTask(record.Name, ended.Batch, index), ended.Outcome)
+			machine.checkTask(t, planner.NewTaskID(record.Name, ended.Batch, index), ended.Outcome)
 		}
 	}
 }
--- a/pkg/planner/assign.go
+++ b/pkg/planner/assign.go
@@ -76,8 +76,8 @@
 // taskSeparator separates the parts of a TaskID.
 const taskSeparator = "/"
 
-// NameTask returns the id of a task: INTENT/BATCH/INDEX.
-func NameTask(name identifier.IntentName, batch, index int) identifier.TaskID {
+// NewTaskID returns the id of a task: INTENT/BATCH/INDEX.
+func NewTaskID(name identifier.IntentName, batch, index int) identifier.TaskID {
 	return identifier.TaskID(string(name) + taskSeparator + strconv.Itoa(batch) + taskSeparator + strconv.Itoa(index))
 }
 
@@ -239,7 +239,7 @@
 			continue
 		}
 		batch.setState(index, taskWaiting)
-		driver.Placer.Enqueue(now, batch.group, NameTask(batch.intent.name, batch.number, index))
+		driver.Placer.Enqueue(now, batch.group, NewTaskID(batch.intent.name, batch.number, index))
 		waiting++
 	}
 	if batch.claimed-batch.next < driver.Settings.Window/2 && batch.claimed < batch.to && !batch.claimPending && !batch.claimRefused {
@@ -289,7 +289,7 @@
 			case taskOpen, taskWaiting:
 				driver.settle(now, batch, index, batch.outcomeWithoutRun(index))
 			case taskRunning:
-				driver.stop(NameTask(intent.name, batch.number, index), stopCauseCancelled, "the intent is cancelled")
+				driver.stop(NewTaskID(intent.name, batch.number, index), stopCauseCancelled, "the intent is cancelled")
 			}
 		}
 	}
--- a/pkg/planner/oracle_test.go
+++ b/pkg/planner/oracle_test.go
@@ -45,7 +45,7 @@
 		record := world.machine.Get(name)
 		for _, ended := range record.Ranges {
 			for index := ended.From; index < ended.To; index++ {
-				world.checkOutcome(record, ended, NameTask(name, ended.Batch, index))
+				world.checkOutcome(record, ended, NewTaskID(name, ended.Batch, index))
 			}
 		}
 		tally := record.Tally()
--- a/pkg/planner/outcome.go
+++ b/pkg/planner/outcome.go
@@ -128,7 +128,7 @@
 
 func (driver *Driver[P]) requeue(now identifier.Moment, batch *driverBatch, index int) {
 	batch.setState(index, taskWaiting)
-	driver.Placer.Enqueue(now, batch.group, NameTask(batch.intent.name, batch.number, index))
+	driver.Placer.Enqueue(now, batch.group, NewTaskID(batch.intent.name, batch.number, index))
 }
 
 // expireLeases handles tasks whose workers sent no heartbeat for the length of a lease.
@@ -164,7 +164,7 @@
 		batch.succeeded++
 	}
 	intent := batch.intent
-	driver.Placer.Done(NameTask(intent.name, batch.number, index))
+	driver.Placer.Done(NewTaskID(intent.name, batch.number, index))
 	last := len(intent.ranges) - 1
 	if last >= 0 && intent.ranges[last].Batch == batch.number && intent.ranges[last].To == index && intent.ranges[last].Outcome == outcome {
 		intent.ranges[last].To++
--- a/pkg/planner/work.go
+++ b/pkg/planner/work.go
@@ -115,7 +115,7 @@
 
 // recordStart records that a task has a lease on a worker.
 func (driver *Driver[P]) recordStart(now identifier.Moment, batch *driverBatch, index int, worker identifier.WorkerID, number leaser.Number) {
-	task := NameTask(batch.intent.name, batch.number, index)
+	task := NewTaskID(batch.intent.name, batch.number, index)
 	batch.setState(index, taskRunning)
 	batch.intent.started = true
 	driver.scheduleFlush(now, batch.intent)
