--- a/pkg/coordinator/intentdriver.go
+++ b/pkg/coordinator/intentdriver.go
@@ -300,7 +300,7 @@
 		return
 	}
 	flush := intentDriver.coordinator.Settings.Intents.Driver.FlushInterval
-	if !intentDriver.ends.mayAcknowledge(intentDriver.coordinator.now, ended, flush, intentDriver.proposals.hasReport(planner.IntentOf(ended.Task))) {
+	if !intentDriver.ends.mayAcknowledge(intentDriver.coordinator.now, ended, flush, intentDriver.proposals.hasReport(planner.TaskIntent(ended.Task))) {
 		return
 	}
 	batch := intentDriver.batch(worker)
--- a/pkg/planner/assign.go
+++ b/pkg/planner/assign.go
@@ -81,8 +81,8 @@
 	return identifier.TaskID(string(name) + taskSeparator + strconv.Itoa(batch) + taskSeparator + strconv.Itoa(index))
 }
 
-// IntentOf returns the intent of a task, or an empty name if the id has fewer than three parts.
-func IntentOf(task identifier.TaskID) identifier.IntentName {
+// TaskIntent returns the intent of a task, or an empty name if the id has fewer than three parts.
+func TaskIntent(task identifier.TaskID) identifier.IntentName {
 	name, _, _, _ := splitTask(task)
 	return name
 }
