--- a/pkg/planner/machine.go
+++ b/pkg/planner/machine.go
@@ -27,8 +27,8 @@
 // Machine is the deterministic state of all intents. Set the exported fields before use,
 // to the same values on every keeper; zero selects the default.
 type Machine struct {
-	Answers int
-	Ended   int
+	MaxAnswers int
+	Ended      int
 
 	records *tabulator.Table[identifier.IntentName, Record]
 	answers *tabulator.Table[identifier.RequestID, answer]
@@ -65,7 +65,7 @@
 	}
 	result := machine.execute(index, command)
 	machine.answers.Put(command.Request, &answer{Kind: command.Kind, Name: command.Name, Result: result})
-	dropOldest(machine.answers, machine.Answers)
+	dropOldest(machine.answers, machine.MaxAnswers)
 	return result
 }
 
@@ -340,8 +340,8 @@
 	machine.ended = tabulator.New[identifier.IntentName, identifier.LogIndex]()
 	machine.learned = &guarder.Learner{Limit: DefaultKinds}
 	machine.epochs = tabulator.New[identifier.FailureDomain, identifier.Epoch]()
-	if machine.Answers == 0 {
-		machine.Answers = DefaultAnswers
+	if machine.MaxAnswers == 0 {
+		machine.MaxAnswers = DefaultAnswers
 	}
 	if machine.Ended == 0 {
 		machine.Ended = DefaultEnded
