--- a/pkg/planner/machine.go
+++ b/pkg/planner/machine.go
@@ -28,7 +28,7 @@
 // to the same values on every keeper; zero selects the default.
 type Machine struct {
 	MaxAnswers int
-	Ended      int
+	MaxEnded   int
 
 	records *tabulator.Table[identifier.IntentName, Record]
 	answers *tabulator.Table[identifier.RequestID, answer]
@@ -301,7 +301,7 @@
 	machine.ended.Put(record.Name, &index)
 	record.dropRacks()
 	machine.ended.Each(func(name identifier.IntentName, _ *identifier.LogIndex) bool {
-		if machine.ended.Len() <= machine.Ended {
+		if machine.ended.Len() <= machine.MaxEnded {
 			return false
 		}
 		machine.ended.Remove(name)
@@ -343,8 +343,8 @@
 	if machine.MaxAnswers == 0 {
 		machine.MaxAnswers = DefaultAnswers
 	}
-	if machine.Ended == 0 {
-		machine.Ended = DefaultEnded
+	if machine.MaxEnded == 0 {
+		machine.MaxEnded = DefaultEnded
 	}
 }
 
--- a/pkg/planner/snapshot.go
+++ b/pkg/planner/snapshot.go
@@ -67,7 +67,7 @@
 	if state.Version != snapshotVersion {
 		return failure("restore", KindVersion, eris.Errorf("version %d", state.Version))
 	}
-	*machine = Machine{MaxAnswers: machine.MaxAnswers, Ended: machine.Ended}
+	*machine = Machine{MaxAnswers: machine.MaxAnswers, MaxEnded: machine.MaxEnded}
 	machine.prepare()
 	machine.applied = state.Applied
 	for _, record := range state.Records {
