--- a/pkg/coordinator/intentplanner.go
+++ b/pkg/coordinator/intentplanner.go
@@ -78,8 +78,8 @@
 		return
 	}
 	intentPlanner.proposals.expire()
-	if machine.Changed() > intentPlanner.notifiedVersion {
-		intentPlanner.notifiedVersion = machine.Changed()
+	if machine.LastChange() > intentPlanner.notifiedVersion {
+		intentPlanner.notifiedVersion = machine.LastChange()
 		intentPlanner.reviewAt = intentPlanner.coordinator.now
 		intentPlanner.sendNewsToDrivers(machine)
 	}
@@ -130,7 +130,7 @@
 func (intentPlanner *intentPlanner) sendNewsToDrivers(machine *planner.Machine) {
 	intentPlanner.drivers.Each(func(domain identifier.FailureDomain, driver *drivingHost) bool {
 		intentPlanner.sendNews(machine, driver.host, domain, driver.since)
-		driver.since = machine.Changed()
+		driver.since = machine.LastChange()
 		return true
 	})
 }
--- a/pkg/planner/news.go
+++ b/pkg/planner/news.go
@@ -25,8 +25,8 @@
 	Capacities []DomainCapacity `cbor:"6,keyasint,omitempty"`
 }
 
-// Changed returns the index of the last change of any intent's revision.
-func (machine *Machine) Changed() identifier.LogIndex { return machine.lastChange }
+// LastChange returns the index of the last change of any intent's revision.
+func (machine *Machine) LastChange() identifier.LogIndex { return machine.lastChange }
 
 // DriverUpdate returns the news for a failure domain's driver that has seen the version since.
 func (machine *Machine) DriverUpdate(domain identifier.FailureDomain, since identifier.LogIndex) DriverUpdate {
