--- a/pkg/claimer/late_test.go
+++ b/pkg/claimer/late_test.go
@@ -17,7 +17,7 @@
 	requester := &claimer.Requester{Settings: settings}
 	requester.Tick(0, []claimer.Input{
 		&claimer.KeepersChanged{Keepers: []identifier.HostID{"a"}},
-		&claimer.Wanted{Claim: claimer.Claim{Caller: "garage-7", Job: "j-1", Submission: "s-1"}},
+		&claimer.ClaimRequested{Claim: claimer.Claim{Caller: "garage-7", Job: "j-1", Submission: "s-1"}},
 	})
 	requester.Tick(identifier.Moment(settings.GiveUp), nil)
 	granted := &claimer.Decided{Decisions: []claimer.Decision{{Submission: "s-1", Verdict: claimer.VerdictGranted}}}
--- a/pkg/claimer/requester.go
+++ b/pkg/claimer/requester.go
@@ -30,8 +30,8 @@
 // Output is a message that the owner of the requester delivers.
 type Output interface{ isClaimerOutput() }
 
-// Wanted requests a claim.
-type Wanted struct{ Claim Claim }
+// ClaimRequested requests a claim.
+type ClaimRequested struct{ Claim Claim }
 
 // Released gives up a claim under which nothing has run.
 type Released struct{ Release Release }
@@ -58,7 +58,7 @@
 // resubmission could run as well, right after a host that was cut off responds again.
 type LateGrants struct{ Submissions []identifier.SubmissionID }
 
-func (*Wanted) isClaimerInput()         {}
+func (*ClaimRequested) isClaimerInput() {}
 func (*Released) isClaimerInput()       {}
 func (*KeepersChanged) isClaimerInput() {}
 func (*Decided) isClaimerInput()        {}
@@ -120,7 +120,7 @@
 
 func (requester *Requester) apply(input Input) {
 	switch input := input.(type) {
-	case *Wanted:
+	case *ClaimRequested:
 		requester.handleWanted(input.Claim)
 	case *Released:
 		requester.handleReleased(input.Release)
--- a/pkg/claimer/requester_test.go
+++ b/pkg/claimer/requester_test.go
@@ -16,7 +16,7 @@
 	requester := &claimer.Requester{Settings: claimer.DefaultRequesterSettings()}
 	requester.Tick(0, []claimer.Input{
 		&claimer.KeepersChanged{Keepers: []identifier.HostID{"a", "b", "c"}},
-		&claimer.Wanted{Claim: claimer.Claim{Caller: "garage-7", Job: "j-1", Submission: "s-1"}},
+		&claimer.ClaimRequested{Claim: claimer.Claim{Caller: "garage-7", Job: "j-1", Submission: "s-1"}},
 	})
 	// The resend goes to the next keeper, which knows no leader yet.
 	requester.Tick(identifier.Moment(600*time.Millisecond), nil)
--- a/pkg/coordinator/keeping.go
+++ b/pkg/coordinator/keeping.go
@@ -169,7 +169,7 @@
 // requestClaim requests a claim from the keepers, without which a submission may not run a
 // not-repeatable job.
 func (coordinator *Coordinator) requestClaim(wanted *dispatcher.ClaimWanted) {
-	coordinator.notifyRequester(&claimer.Wanted{Claim: claimer.Claim{
+	coordinator.notifyRequester(&claimer.ClaimRequested{Claim: claimer.Claim{
 		Caller:     wanted.Caller,
 		Job:        wanted.Job,
 		Submission: wanted.Submission,
