--- a/pkg/claimer/requester.go
+++ b/pkg/claimer/requester.go
@@ -33,8 +33,8 @@
 // ClaimRequested requests a claim.
 type ClaimRequested struct{ Claim Claim }
 
-// Released gives up a claim under which nothing has run.
-type Released struct{ Release Release }
+// ReleaseRequested gives up a claim under which nothing has run.
+type ReleaseRequested struct{ Release Release }
 
 // KeepersChanged lists the reachable keepers, starting with the presumed leader.
 type KeepersChanged struct{ Keepers []identifier.HostID }
@@ -58,13 +58,13 @@
 // resubmission could run as well, right after a host that was cut off responds again.
 type LateGrants struct{ Submissions []identifier.SubmissionID }
 
-func (*ClaimRequested) isClaimerInput() {}
-func (*Released) isClaimerInput()       {}
-func (*KeepersChanged) isClaimerInput() {}
-func (*Decided) isClaimerInput()        {}
-func (*Ask) isClaimerOutput()           {}
-func (*Verdicts) isClaimerOutput()      {}
-func (*LateGrants) isClaimerOutput()    {}
+func (*ClaimRequested) isClaimerInput()   {}
+func (*ReleaseRequested) isClaimerInput() {}
+func (*KeepersChanged) isClaimerInput()   {}
+func (*Decided) isClaimerInput()          {}
+func (*Ask) isClaimerOutput()             {}
+func (*Verdicts) isClaimerOutput()        {}
+func (*LateGrants) isClaimerOutput()      {}
 
 // Requester requests claims from the keepers. The claims of one tick are sent in one
 // message, so that many share one sync. Set the exported fields before the first Tick.
@@ -122,7 +122,7 @@
 	switch input := input.(type) {
 	case *ClaimRequested:
 		requester.handleWanted(input.Claim)
-	case *Released:
+	case *ReleaseRequested:
 		requester.handleReleased(input.Release)
 	case *KeepersChanged:
 		requester.handleKeepersChanged(input.Keepers)
--- a/pkg/coordinator/keeping.go
+++ b/pkg/coordinator/keeping.go
@@ -179,7 +179,7 @@
 
 // releaseClaim releases a claim under which nothing ran.
 func (coordinator *Coordinator) releaseClaim(released *dispatcher.ClaimReleased) {
-	coordinator.notifyRequester(&claimer.Released{Release: claimer.Release{
+	coordinator.notifyRequester(&claimer.ReleaseRequested{Release: claimer.Release{
 		Caller:     released.Caller,
 		Job:        released.Job,
 		Submission: released.Submission,
