--- a/pkg/claimer/register.go
+++ b/pkg/claimer/register.go
@@ -110,8 +110,8 @@
 	return decisions
 }
 
-// Len returns the number of claims stored in full.
-func (register *Register) Len() int {
+// ClaimCount returns the number of claims stored in full.
+func (register *Register) ClaimCount() int {
 	register.prepare()
 	return register.claims.Len()
 }
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -312,7 +312,7 @@
 		status.Members = append(status.Members, MemberStatus{Host: member.Host, Role: member.Role.String()})
 	}
 	if keeper.machine != nil {
-		status.Claims = keeper.machine.claims.Len()
+		status.Claims = keeper.machine.claims.ClaimCount()
 		status.Fingerprints = keeper.machine.claims.Fingerprints()
 		status.Version = keeper.newestVersion().Version
 	}
