--- a/pkg/claimer/register.go
+++ b/pkg/claimer/register.go
@@ -116,8 +116,8 @@
 	return register.claims.Len()
 }
 
-// Fingerprints returns the number of claims that are reduced to fingerprints.
-func (register *Register) Fingerprints() int { return len(register.fingerprints) }
+// FingerprintCount returns the number of claims that are reduced to fingerprints.
+func (register *Register) FingerprintCount() int { return len(register.fingerprints) }
 
 func (register *Register) prepare() {
 	if register.claims != nil {
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -313,7 +313,7 @@
 	}
 	if keeper.machine != nil {
 		status.Claims = keeper.machine.claims.ClaimCount()
-		status.Fingerprints = keeper.machine.claims.Fingerprints()
+		status.Fingerprints = keeper.machine.claims.FingerprintCount()
 		status.Version = keeper.newestVersion().Version
 	}
 	return status
