--- a/pkg/configurer/follower.go
+++ b/pkg/configurer/follower.go
@@ -29,8 +29,8 @@
 // Output is a message or event that the owner of the follower delivers.
 type Output interface{ isConfigurerOutput() }
 
-// VersionSeen reports that a host has a version.
-type VersionSeen struct {
+// VersionAnnounced reports that a host has a version.
+type VersionAnnounced struct {
 	Host    identifier.HostID
 	Version identifier.ConfigVersion
 }
@@ -53,7 +53,7 @@
 // InForce reports that a version is in force on this host from now on.
 type InForce struct{ Version Version }
 
-func (*VersionSeen) isConfigurerInput()      {}
+func (*VersionAnnounced) isConfigurerInput() {}
 func (*VersionFetched) isConfigurerInput()   {}
 func (*VersionRequested) isConfigurerInput() {}
 func (*Fetch) isConfigurerOutput()           {}
@@ -120,7 +120,7 @@
 
 func (follower *Follower) apply(input Input) {
 	switch input := input.(type) {
-	case *VersionSeen:
+	case *VersionAnnounced:
 		follower.handleVersionSeen(input)
 	case *VersionFetched:
 		follower.adopt(input.Version)
@@ -132,7 +132,7 @@
 }
 
 // handleVersionSeen records which host has a newer version and fetches it at once.
-func (follower *Follower) handleVersionSeen(input *VersionSeen) {
+func (follower *Follower) handleVersionSeen(input *VersionAnnounced) {
 	if input.Version <= follower.inForce.Version || input.Version < follower.newest {
 		return
 	}
--- a/pkg/coordinator/membership.go
+++ b/pkg/coordinator/membership.go
@@ -266,7 +266,7 @@
 	case key == configRecordKey:
 		version, err := strconv.ParseUint(value, recordNumberBase, recordNumberWidth)
 		if err == nil {
-			coordinator.notifyFollower(&configurer.VersionSeen{Host: change.Host, Version: identifier.ConfigVersion(version)})
+			coordinator.notifyFollower(&configurer.VersionAnnounced{Host: change.Host, Version: identifier.ConfigVersion(version)})
 		}
 	case key == joiningRecordKey:
 		coordinator.keeperMembership.recordJoining(change.Host, value)
