--- a/pkg/configurer/follower.go
+++ b/pkg/configurer/follower.go
@@ -13,14 +13,14 @@
 	// FetchTimeout is how long to wait for a document before it is requested from
 	// another host.
 	FetchTimeout time.Duration
-	// Settle is how long a starting host waits to learn the version in force in its
+	// DiscoveryTimeout is how long a starting host waits to learn the version in force in its
 	// failure domain before it reports that there is none.
-	Settle time.Duration
+	DiscoveryTimeout time.Duration
 }
 
 // DefaultFollowerSettings returns the default settings of the daemon.
 func DefaultFollowerSettings() FollowerSettings {
-	return FollowerSettings{FetchTimeout: 500 * time.Millisecond, Settle: 2 * time.Second}
+	return FollowerSettings{FetchTimeout: 500 * time.Millisecond, DiscoveryTimeout: 2 * time.Second}
 }
 
 // Input is a message or event that Tick applies.
@@ -90,7 +90,7 @@
 // that hasn't learned of any version doesn't: reporting "none" would look as if the
 // configuration had been rolled back to the state before the first version.
 func (follower *Follower) Known(now identifier.Moment) bool {
-	return follower.inForce.Version > 0 || now.Sub(follower.StartedAt) >= follower.Settings.Settle
+	return follower.inForce.Version > 0 || now.Sub(follower.StartedAt) >= follower.Settings.DiscoveryTimeout
 }
 
 // Tick applies the inputs, handles expired deadlines and returns the messages to send.
