--- a/pkg/configurer/follower.go
+++ b/pkg/configurer/follower.go
@@ -86,10 +86,10 @@
 // InForce returns the configuration in force here; its version is 0 before the first.
 func (follower *Follower) InForce() Version { return follower.inForce }
 
-// Known reports whether this host knows which version is in force. A recently started host
+// KnowsVersion reports whether this host knows which version is in force. A recently started host
 // that hasn't learned of any version doesn't: reporting "none" would look as if the
 // configuration had been rolled back to the state before the first version.
-func (follower *Follower) Known(now identifier.Moment) bool {
+func (follower *Follower) KnowsVersion(now identifier.Moment) bool {
 	return follower.inForce.Version > 0 || now.Sub(follower.StartedAt) >= follower.Settings.DiscoveryTimeout
 }
 
--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -92,7 +92,7 @@
 		coordinator.answerHistory(input)
 	case *ConfigWanted:
 		coordinator.outputs.add(&ConfigAnswer{
-			Waiter: input.Waiter, Known: coordinator.follower.Known(coordinator.now), Version: coordinator.follower.InForce(),
+			Waiter: input.Waiter, Known: coordinator.follower.KnowsVersion(coordinator.now), Version: coordinator.follower.InForce(),
 		})
 	case *ExplainWanted:
 		steps := coordinator.Explain(input.Submission)
