--- a/pkg/coordinator/keepermembership.go
+++ b/pkg/coordinator/keepermembership.go
@@ -87,7 +87,7 @@
 		return
 	}
 	keeperMembership.changes++
-	coordinator.notifyKeeper(&keeper.ToLog{Input: replicator.MembershipChangeProposed{
+	coordinator.notifyKeeper(&keeper.LogInput{Input: replicator.MembershipChangeProposed{
 		Handle: changeHandles + keeperMembership.changes, Kind: kind, Host: host,
 	}})
 }
--- a/pkg/coordinator/keeping.go
+++ b/pkg/coordinator/keeping.go
@@ -163,7 +163,7 @@
 	if state.Living() {
 		hint = replicator.PeerReachable{Host: state.Member.Host}
 	}
-	coordinator.notifyKeeper(&keeper.ToLog{Input: hint})
+	coordinator.notifyKeeper(&keeper.LogInput{Input: hint})
 }
 
 // requestClaim requests a claim from the keepers, without which a submission may not run a
--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -70,18 +70,18 @@
 	coordinator.notifyElector(elector.Resign{})
 	coordinator.notifyForwarder(&forwarder.LeaveRequested{})
 	coordinator.notifyGossiper(gossiper.LeaveRequested{})
-	coordinator.notifyKeeper(&keeper.ToLog{Input: replicator.TransferRequested{}})
+	coordinator.notifyKeeper(&keeper.LogInput{Input: replicator.TransferRequested{}})
 }
 
 // applyOperation applies the inputs of the journal, of operators and of workers.
 func (coordinator *Coordinator) applyOperation(input Input) {
 	switch input := input.(type) {
 	case *Restored:
-		coordinator.notifyKeeper(&keeper.ToLog{Input: input.Restored})
+		coordinator.notifyKeeper(&keeper.LogInput{Input: input.Restored})
 	case *Persisted:
-		coordinator.notifyKeeper(&keeper.ToLog{Input: replicator.Persisted{Sequence: input.Sequence}})
+		coordinator.notifyKeeper(&keeper.LogInput{Input: replicator.Persisted{Sequence: input.Sequence}})
 	case *SnapshotSaved:
-		coordinator.notifyKeeper(&keeper.ToLog{Input: replicator.SnapshotSaved{Index: input.Index}})
+		coordinator.notifyKeeper(&keeper.LogInput{Input: replicator.SnapshotSaved{Index: input.Index}})
 	case *ConfigRestored:
 		coordinator.notifyFollower(&configurer.VersionFetched{Version: input.Version})
 	case *CellsRestored:
@@ -170,7 +170,7 @@
 	case message.Gossip != nil:
 		coordinator.notifyGossiper(gossiper.MessageReceived{Message: *message.Gossip})
 	case message.Log != nil:
-		coordinator.notifyKeeper(&keeper.ToLog{Input: replicator.MessageArrived{From: from, Message: *message.Log}})
+		coordinator.notifyKeeper(&keeper.LogInput{Input: replicator.MessageArrived{From: from, Message: *message.Log}})
 	case message.KeeperRequest != nil:
 		coordinator.notifyKeeper(&keeper.Requested{Request: *message.KeeperRequest})
 	case message.KeeperReply != nil:
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -131,7 +131,7 @@
 // handleInput processes one input and appends the resulting inputs of the replicated log.
 func (keeper *Keeper) handleInput(log []replicator.Input, input Input) []replicator.Input {
 	switch input := input.(type) {
-	case *ToLog:
+	case *LogInput:
 		return append(log, input.Input)
 	case *Requested:
 		return keeper.handleRequest(log, input.Request)
--- a/pkg/keeper/messages.go
+++ b/pkg/keeper/messages.go
@@ -9,9 +9,9 @@
 // Input is a message or event that Tick applies.
 type Input interface{ isKeeperInput() }
 
-// ToLog passes an input to the replicated log: what the journal has recovered or made
+// LogInput passes an input to the replicated log: what the journal has recovered or made
 // durable, or a message of another keeper.
-type ToLog struct{ Input replicator.Input }
+type LogInput struct{ Input replicator.Input }
 
 // Requested delivers a request of a host, which may be this one.
 type Requested struct{ Request Request }
@@ -19,7 +19,7 @@
 // HistoryWanted requests the retained versions of the configuration.
 type HistoryWanted struct{ Waiter uint64 }
 
-func (*ToLog) isKeeperInput()         {}
+func (*LogInput) isKeeperInput()      {}
 func (*Requested) isKeeperInput()     {}
 func (*HistoryWanted) isKeeperInput() {}
 
