--- a/pkg/coordinator/keeping.go
+++ b/pkg/coordinator/keeping.go
@@ -109,7 +109,7 @@
 
 func (coordinator *Coordinator) sendRequest(to identifier.HostID, request keeper.Request) {
 	if to == coordinator.Self.Host {
-		coordinator.notifyKeeper(&keeper.Requested{Request: request})
+		coordinator.notifyKeeper(&keeper.RequestReceived{Request: request})
 		return
 	}
 	coordinator.outputs.toPeer(to, PeerMessage{KeeperRequest: &request})
--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -172,7 +172,7 @@
 	case message.Log != nil:
 		coordinator.notifyKeeper(&keeper.LogInput{Input: replicator.MessageArrived{From: from, Message: *message.Log}})
 	case message.KeeperRequest != nil:
-		coordinator.notifyKeeper(&keeper.Requested{Request: *message.KeeperRequest})
+		coordinator.notifyKeeper(&keeper.RequestReceived{Request: *message.KeeperRequest})
 	case message.KeeperReply != nil:
 		coordinator.handleKeeperReply(message.KeeperReply)
 	case message.IntentSync != nil:
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -133,7 +133,7 @@
 	switch input := input.(type) {
 	case *LogInput:
 		return append(log, input.Input)
-	case *Requested:
+	case *RequestReceived:
 		return keeper.handleRequest(log, input.Request)
 	case *HistoryWanted:
 		keeper.outputs = append(keeper.outputs, &History{
--- a/pkg/keeper/messages.go
+++ b/pkg/keeper/messages.go
@@ -13,15 +13,15 @@
 // durable, or a message of another keeper.
 type LogInput struct{ Input replicator.Input }
 
-// Requested delivers a request of a host, which may be this one.
-type Requested struct{ Request Request }
+// RequestReceived delivers a request of a host, which may be this one.
+type RequestReceived struct{ Request Request }
 
 // HistoryWanted requests the retained versions of the configuration.
 type HistoryWanted struct{ Waiter uint64 }
 
-func (*LogInput) isKeeperInput()      {}
-func (*Requested) isKeeperInput()     {}
-func (*HistoryWanted) isKeeperInput() {}
+func (*LogInput) isKeeperInput()        {}
+func (*RequestReceived) isKeeperInput() {}
+func (*HistoryWanted) isKeeperInput()   {}
 
 // Output is an action that the owner of the keeper executes, in order.
 type Output interface{ isKeeperOutput() }
