--- a/pkg/coordinator/keeping.go
+++ b/pkg/coordinator/keeping.go
@@ -258,7 +258,7 @@
 // the version in force.
 func (coordinator *Coordinator) answerHistory(wanted *ConfigHistoryWanted) {
 	if coordinator.keeper != nil {
-		coordinator.notifyKeeper(&keeper.HistoryWanted{Waiter: wanted.Waiter})
+		coordinator.notifyKeeper(&keeper.HistoryRequested{Waiter: wanted.Waiter})
 		return
 	}
 	history := &ConfigHistory{Waiter: wanted.Waiter}
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -135,7 +135,7 @@
 		return append(log, input.Input)
 	case *RequestReceived:
 		return keeper.handleRequest(log, input.Request)
-	case *HistoryWanted:
+	case *HistoryRequested:
 		keeper.outputs = append(keeper.outputs, &History{
 			Waiter: input.Waiter, Versions: keeper.machine.configuration.History(),
 		})
--- a/pkg/keeper/messages.go
+++ b/pkg/keeper/messages.go
@@ -16,12 +16,12 @@
 // RequestReceived delivers a request of a host, which may be this one.
 type RequestReceived struct{ Request Request }
 
-// HistoryWanted requests the retained versions of the configuration.
-type HistoryWanted struct{ Waiter uint64 }
+// HistoryRequested requests the retained versions of the configuration.
+type HistoryRequested struct{ Waiter uint64 }
 
-func (*LogInput) isKeeperInput()        {}
-func (*RequestReceived) isKeeperInput() {}
-func (*HistoryWanted) isKeeperInput()   {}
+func (*LogInput) isKeeperInput()         {}
+func (*RequestReceived) isKeeperInput()  {}
+func (*HistoryRequested) isKeeperInput() {}
 
 // Output is an action that the owner of the keeper executes, in order.
 type Output interface{ isKeeperOutput() }
