--- a/pkg/coordinator/intentplanner.go
+++ b/pkg/coordinator/intentplanner.go
@@ -65,7 +65,7 @@
 
 // machine returns the state of the intents if this host leads the keepers, else nil.
 func (intentPlanner *intentPlanner) machine() *planner.Machine {
-	if intentPlanner.coordinator.keeper == nil || !intentPlanner.coordinator.keeper.Leads() {
+	if intentPlanner.coordinator.keeper == nil || !intentPlanner.coordinator.keeper.IsLeader() {
 		return nil
 	}
 	return intentPlanner.coordinator.keeper.Intents()
--- a/pkg/coordinator/keepermembership.go
+++ b/pkg/coordinator/keepermembership.go
@@ -75,7 +75,7 @@
 		return
 	}
 	keeperMembership.dueAt = coordinator.now.Add(membershipCheckInterval)
-	if !coordinator.keeper.Leads() {
+	if !coordinator.keeper.IsLeader() {
 		clear(keeperMembership.added)
 		clear(keeperMembership.notLivingSince)
 		return
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -90,8 +90,8 @@
 	return identifier.Earlier(keeper.replicator.NextDeadline(), keeper.timers.Next())
 }
 
-// Leads reports whether this keeper is the leader, as far as it knows.
-func (keeper *Keeper) Leads() bool { return keeper.leader == keeper.Self }
+// IsLeader reports whether this keeper is the leader, as far as it knows.
+func (keeper *Keeper) IsLeader() bool { return keeper.leader == keeper.Self }
 
 // Members returns the last known members of the log, or nil before the first Tick.
 func (keeper *Keeper) Members() []replicator.Member {
@@ -145,7 +145,7 @@
 
 // handleRequest proposes a command or starts a read, or forwards the request to the leader.
 func (keeper *Keeper) handleRequest(log []replicator.Input, request Request) []replicator.Input {
-	if !keeper.Leads() && keeper.leader != "" && !request.Forwarded {
+	if !keeper.IsLeader() && keeper.leader != "" && !request.Forwarded {
 		request.Forwarded = true
 		keeper.outputs = append(keeper.outputs, &Forward{To: keeper.leader, Request: request})
 		return log
@@ -244,7 +244,7 @@
 // retention of claims.
 func (keeper *Keeper) recordApplied(index identifier.LogIndex) {
 	keeper.applied = index
-	if !keeper.Leads() {
+	if !keeper.IsLeader() {
 		return
 	}
 	spacing := keeper.Settings.ClaimRetention / marksPerRetention
@@ -260,7 +260,7 @@
 func (keeper *Keeper) handleLeaderChanged(change replicator.LeaderChanged) {
 	keeper.leader = change.Leader
 	keeper.term = change.Term
-	if !keeper.Leads() {
+	if !keeper.IsLeader() {
 		keeper.marks = nil
 		keeper.timers.Clear(struct{}{})
 	}
