--- a/pkg/assembler/keeping.go
+++ b/pkg/assembler/keeping.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return &Error{Operation: "read the journal in " + daemon.Settings.DataFolder, Kind: ErrorJournal, Err: err}
 	}
-	daemon.Log.Info("journal recovered", "entries", len(recovered.Entries), "cut-bytes", recovered.CutBytes)
+	daemon.Log.Info("journal recovered", "entries", len(recovered.Entries), "cut-bytes", recovered.TruncatedBytes)
 	daemon.keeping = &keeping{
 		Common:  daemon.Common,
 		post:    daemon.runner.Post,
--- a/pkg/journaler/journaler.go
+++ b/pkg/journaler/journaler.go
@@ -62,8 +62,8 @@
 	Snapshot *Snapshot
 	// Entries follow the snapshot without a gap.
 	Entries []Entry
-	// CutBytes is the length of the torn tail that was removed; zero after a clean stop.
-	CutBytes identifier.Bytes
+	// TruncatedBytes is the length of the torn tail that was removed; zero after a clean stop.
+	TruncatedBytes identifier.Bytes
 	// DamagedSnapshots names the damaged snapshot files that were skipped in favour of an
 	// older one.
 	DamagedSnapshots []string
--- a/pkg/journaler/recover.go
+++ b/pkg/journaler/recover.go
@@ -71,7 +71,7 @@
 	recovered := Recovered{
 		HardState:        replayed.state.hardState,
 		Snapshot:         snapshot,
-		CutBytes:         replayed.cutBytes,
+		TruncatedBytes:   replayed.cutBytes,
 		DamagedSnapshots: damaged,
 	}
 	if snapshot != nil {
--- a/pkg/journaler/scenario_test.go
+++ b/pkg/journaler/scenario_test.go
@@ -77,8 +77,8 @@
 	}
 	test.journal = journal
 	text := modelOf(recovered).text()
-	if recovered.CutBytes > 0 {
-		text += fmt.Sprintf("cut %d bytes\n", recovered.CutBytes)
+	if recovered.TruncatedBytes > 0 {
+		text += fmt.Sprintf("cut %d bytes\n", recovered.TruncatedBytes)
 	}
 	for _, name := range recovered.DamagedSnapshots {
 		text += fmt.Sprintf("passed over %s\n", name)
