--- a/pkg/journaler/bench_test.go
+++ b/pkg/journaler/bench_test.go
@@ -126,7 +126,7 @@
 	for index := 1; index <= b.N; index++ {
 		free <- struct{}{}
 		batch := journaler.Batch{Entries: []journaler.Entry{entry(index, 1, benchmarkData)}}
-		if err := writer.Submit(journaler.Ticket(index), batch); err != nil {
+		if err := writer.Submit(journaler.BatchID(index), batch); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/pkg/journaler/writer.go
+++ b/pkg/journaler/writer.go
@@ -9,12 +9,12 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Ticket identifies a batch that was submitted to a Writer; the submitter chooses it.
-type Ticket uint64
+// BatchID identifies a batch that was submitted to a Writer; the submitter chooses it.
+type BatchID uint64
 
 // Result is the outcome of one batch.
 type Result struct {
-	Ticket Ticket
+	Ticket BatchID
 	// Err is nil if the batch is durable.
 	Err error
 }
@@ -49,13 +49,13 @@
 }
 
 type submitted struct {
-	ticket Ticket
+	ticket BatchID
 	batch  Batch
 }
 
 // Submit queues a batch and returns at once. Its errors have the kinds queue-full and stopped. A
 // batch that follows a failed one gets the result invalid, because its entries would leave a gap.
-func (writer *Writer) Submit(ticket Ticket, batch Batch) error {
+func (writer *Writer) Submit(ticket BatchID, batch Batch) error {
 	writer.prepare()
 	writer.mutex.Lock()
 	defer writer.mutex.Unlock()
--- a/pkg/journaler/writer_test.go
+++ b/pkg/journaler/writer_test.go
@@ -59,7 +59,7 @@
 	running.Go(func() { writer.Run(ctx) })
 	for number := 1; number <= batches; number++ {
 		batch := journaler.Batch{Entries: []journaler.Entry{entry(number, 1, "claim")}}
-		if err := writer.Submit(journaler.Ticket(number), batch); err != nil {
+		if err := writer.Submit(journaler.BatchID(number), batch); err != nil {
 			t.Fatal(err)
 		}
 		if number == 1 {
@@ -70,7 +70,7 @@
 	cancel()
 	running.Wait()
 	for number, result := range results {
-		if result.Err != nil || result.Ticket != journaler.Ticket(number+1) {
+		if result.Err != nil || result.Ticket != journaler.BatchID(number+1) {
 			t.Fatalf("result %d: %+v", number, result)
 		}
 	}
