--- a/pkg/generator/defaults.go
+++ b/pkg/generator/defaults.go
@@ -38,7 +38,7 @@
 			ExecutorsPerFailureDomain:  17,
 			Slots:                      8,
 			Connections:                60,
-			OneWay:                     time.Millisecond,
+			OneWayDelay:                time.Millisecond,
 			ClientOneWay:               time.Millisecond,
 			Sync:                       4 * time.Millisecond,
 			Seed:                       seed,
--- a/pkg/recorder/recording.go
+++ b/pkg/recorder/recording.go
@@ -136,7 +136,7 @@
 			ExecutorsPerFailureDomain:  recorder.ExecutorsPerFailureDomain,
 			Slots:                      recorder.Slots,
 			Connections:                assumedConnections,
-			OneWay:                     assumedOneWay,
+			OneWayDelay:                assumedOneWay,
 			ClientOneWay:               assumedOneWay,
 			Sync:                       assumedSync,
 			Seed:                       1,
--- a/pkg/replayer/replayer.go
+++ b/pkg/replayer/replayer.go
@@ -123,7 +123,7 @@
 	case from.FailureDomain == to.FailureDomain:
 		return OneWayWithinFailureDomain
 	default:
-		return deployment.OneWay
+		return deployment.OneWayDelay
 	}
 }
 
--- a/pkg/tracer/deployment.go
+++ b/pkg/tracer/deployment.go
@@ -17,9 +17,9 @@
 	// Slots and Connections are counts per executor.
 	Slots       identifier.Slots
 	Connections int
-	// OneWay is the one-way network delay between failure domains; ClientOneWay is
+	// OneWayDelay is the one-way network delay between failure domains; ClientOneWay is
 	// the one between a caller and an entry host.
-	OneWay       time.Duration
+	OneWayDelay  time.Duration
 	ClientOneWay time.Duration
 	// Sync is how long one synced write takes.
 	Sync time.Duration
@@ -51,7 +51,7 @@
 	deployment.ExecutorsPerFailureDomain = reader.count("executors-per-failure-domain")
 	deployment.Slots = identifier.Slots(reader.count("slots"))
 	deployment.Connections = reader.count("connections")
-	deployment.OneWay = reader.duration("one-way")
+	deployment.OneWayDelay = reader.duration("one-way")
 	deployment.ClientOneWay = reader.duration("client-one-way")
 	deployment.Sync = reader.duration("sync")
 	deployment.Seed = reader.unsigned("seed")
@@ -63,7 +63,7 @@
 	writer.count("executors-per-failure-domain", deployment.ExecutorsPerFailureDomain)
 	writer.count("slots", int(deployment.Slots))
 	writer.count("connections", deployment.Connections)
-	writer.duration("one-way", deployment.OneWay)
+	writer.duration("one-way", deployment.OneWayDelay)
 	writer.duration("client-one-way", deployment.ClientOneWay)
 	writer.duration("sync", deployment.Sync)
 	writer.unsigned("seed", deployment.Seed)
