--- a/pkg/generator/defaults.go
+++ b/pkg/generator/defaults.go
@@ -39,7 +39,7 @@
 			Slots:                      8,
 			Connections:                60,
 			OneWayDelay:                time.Millisecond,
-			ClientOneWay:               time.Millisecond,
+			ClientOneWayDelay:          time.Millisecond,
 			Sync:                       4 * time.Millisecond,
 			Seed:                       seed,
 		},
--- a/pkg/recorder/recording.go
+++ b/pkg/recorder/recording.go
@@ -137,7 +137,7 @@
 			Slots:                      recorder.Slots,
 			Connections:                assumedConnections,
 			OneWayDelay:                assumedOneWay,
-			ClientOneWay:               assumedOneWay,
+			ClientOneWayDelay:          assumedOneWay,
 			Sync:                       assumedSync,
 			Seed:                       1,
 		},
--- a/pkg/replayer/figures_test.go
+++ b/pkg/replayer/figures_test.go
@@ -79,7 +79,7 @@
 		data.ScanArgs(t, "tasks", &short, &long)
 		ideal := IdealResponse(
 			&tracer.Job{Tasks: []tracer.Task{{RunTime: duration(t, short)}, {RunTime: duration(t, long)}}},
-			&tracer.Deployment{ClientOneWay: duration(t, client)},
+			&tracer.Deployment{ClientOneWayDelay: duration(t, client)},
 		)
 		return ideal.String() + "\n"
 	})
--- a/pkg/replayer/ideal.go
+++ b/pkg/replayer/ideal.go
@@ -14,6 +14,6 @@
 // longest run time among the job's tasks, one round trip from the client to an
 // entry host, and one from there to a backend server of the same failure domain.
 func IdealResponse(job *tracer.Job, deployment *tracer.Deployment) time.Duration {
-	network := 2*deployment.ClientOneWay + 2*OneWayWithinFailureDomain
+	network := 2*deployment.ClientOneWayDelay + 2*OneWayWithinFailureDomain
 	return job.LongestRunTime() + network
 }
--- a/pkg/replayer/replayer.go
+++ b/pkg/replayer/replayer.go
@@ -119,7 +119,7 @@
 	deployment := &replay.trace.Deployment
 	switch {
 	case isCallers(from.Address) || isCallers(to.Address):
-		return deployment.ClientOneWay
+		return deployment.ClientOneWayDelay
 	case from.FailureDomain == to.FailureDomain:
 		return OneWayWithinFailureDomain
 	default:
--- a/pkg/tracer/deployment.go
+++ b/pkg/tracer/deployment.go
@@ -19,8 +19,8 @@
 	Connections int
 	// OneWayDelay is the one-way network delay between failure domains; ClientOneWay is
 	// the one between a caller and an entry host.
-	OneWayDelay  time.Duration
-	ClientOneWay time.Duration
+	OneWayDelay       time.Duration
+	ClientOneWayDelay time.Duration
 	// Sync is how long one synced write takes.
 	Sync time.Duration
 	Seed uint64
@@ -52,7 +52,7 @@
 	deployment.Slots = identifier.Slots(reader.count("slots"))
 	deployment.Connections = reader.count("connections")
 	deployment.OneWayDelay = reader.duration("one-way")
-	deployment.ClientOneWay = reader.duration("client-one-way")
+	deployment.ClientOneWayDelay = reader.duration("client-one-way")
 	deployment.Sync = reader.duration("sync")
 	deployment.Seed = reader.unsigned("seed")
 }
@@ -64,7 +64,7 @@
 	writer.count("slots", int(deployment.Slots))
 	writer.count("connections", deployment.Connections)
 	writer.duration("one-way", deployment.OneWayDelay)
-	writer.duration("client-one-way", deployment.ClientOneWay)
+	writer.duration("client-one-way", deployment.ClientOneWayDelay)
 	writer.duration("sync", deployment.Sync)
 	writer.unsigned("seed", deployment.Seed)
 }
