--- a/pkg/generator/defaults.go
+++ b/pkg/generator/defaults.go
@@ -40,7 +40,7 @@
 			Connections:                60,
 			OneWayDelay:                time.Millisecond,
 			ClientOneWayDelay:          time.Millisecond,
-			Sync:                       4 * time.Millisecond,
+			SyncDuration:               4 * time.Millisecond,
 			Seed:                       seed,
 		},
 		Seed:   seed,
--- a/pkg/recorder/recording.go
+++ b/pkg/recorder/recording.go
@@ -138,7 +138,7 @@
 			Connections:                assumedConnections,
 			OneWayDelay:                assumedOneWay,
 			ClientOneWayDelay:          assumedOneWay,
-			Sync:                       assumedSync,
+			SyncDuration:               assumedSync,
 			Seed:                       1,
 		},
 		Events: recording.events,
--- a/pkg/replayer/hosting.go
+++ b/pkg/replayer/hosting.go
@@ -51,7 +51,7 @@
 		return slices.Index(replay.hosts, first)%perDomain - slices.Index(replay.hosts, second)%perDomain
 	})
 	for _, host := range order[:min(keepers, len(order))] {
-		host.disk = &fakedisk.Disk{Sync: replay.trace.Deployment.Sync, After: replay.after}
+		host.disk = &fakedisk.Disk{Sync: replay.trace.Deployment.SyncDuration, After: replay.after}
 	}
 }
 
--- a/pkg/tracer/deployment.go
+++ b/pkg/tracer/deployment.go
@@ -21,9 +21,9 @@
 	// the one between a caller and an entry host.
 	OneWayDelay       time.Duration
 	ClientOneWayDelay time.Duration
-	// Sync is how long one synced write takes.
-	Sync time.Duration
-	Seed uint64
+	// SyncDuration is how long one synced write takes.
+	SyncDuration time.Duration
+	Seed         uint64
 }
 
 // Executor returns the id of an executor by its number within the failure
@@ -53,7 +53,7 @@
 	deployment.Connections = reader.count("connections")
 	deployment.OneWayDelay = reader.duration("one-way")
 	deployment.ClientOneWayDelay = reader.duration("client-one-way")
-	deployment.Sync = reader.duration("sync")
+	deployment.SyncDuration = reader.duration("sync")
 	deployment.Seed = reader.unsigned("seed")
 }
 
@@ -65,6 +65,6 @@
 	writer.count("connections", deployment.Connections)
 	writer.duration("one-way", deployment.OneWayDelay)
 	writer.duration("client-one-way", deployment.ClientOneWayDelay)
-	writer.duration("sync", deployment.Sync)
+	writer.duration("sync", deployment.SyncDuration)
 	writer.unsigned("seed", deployment.Seed)
 }
