--- a/pkg/commander/replayrow.go
+++ b/pkg/commander/replayrow.go
@@ -75,5 +75,5 @@
 			last = max(last, job.At)
 		}
 	}
-	return float64(work) / (float64(trace.Deployment.AllSlots()) * float64(last))
+	return float64(work) / (float64(trace.Deployment.TotalSlots()) * float64(last))
 }
--- a/pkg/generator/check.go
+++ b/pkg/generator/check.go
@@ -51,7 +51,7 @@
 	runTimes := &parameters.RunTimes
 	return []rule{
 		{len(parameters.Deployment.FailureDomains) > 0, "there must be a failure domain"},
-		{parameters.Deployment.AllSlots() > 0, "there must be a slot"},
+		{parameters.Deployment.TotalSlots() > 0, "there must be a slot"},
 		{parameters.Deployment.EntryHostsPerFailureDomain > 0, "there must be an entry host"},
 		{parameters.Length > 0, "the length must be above zero"},
 		{parameters.Load > 0, "the load must be above zero"},
--- a/pkg/generator/generator.go
+++ b/pkg/generator/generator.go
@@ -46,7 +46,7 @@
 func (generation *generation) arrivals() []*tracer.Job {
 	parameters := generation.parameters
 	operational := operationalLength(parameters)
-	wantedWork := time.Duration(parameters.Load * float64(parameters.Deployment.AllSlots()) * operational)
+	wantedWork := time.Duration(parameters.Load * float64(parameters.Deployment.TotalSlots()) * operational)
 	maxWork := wantedWork + maxExcessWork(parameters)
 	var jobs []*tracer.Job
 	var positions []float64
--- a/pkg/generator/generator_test.go
+++ b/pkg/generator/generator_test.go
@@ -97,7 +97,7 @@
 		for _, job := range jobsOf(generate(t, parameters)) {
 			work += job.Work()
 		}
-		slots := float64(parameters.Deployment.AllSlots())
+		slots := float64(parameters.Deployment.TotalSlots())
 		measured := work.Seconds() / (parameters.Length.Seconds() * slots)
 		t.Logf("load %.4f, wanted %.2f", measured, load)
 		if math.Abs(measured-load) > 0.002 {
--- a/pkg/tracer/deployment.go
+++ b/pkg/tracer/deployment.go
@@ -38,8 +38,8 @@
 	return identifier.HostID(fmt.Sprintf("%s-entry-%d", domain, number))
 }
 
-// AllSlots returns the total number of slots of all executors.
-func (deployment *Deployment) AllSlots() identifier.Slots {
+// TotalSlots returns the total number of slots of all executors.
+func (deployment *Deployment) TotalSlots() identifier.Slots {
 	executors := len(deployment.FailureDomains) * deployment.ExecutorsPerFailureDomain
 	return identifier.Slots(executors) * deployment.Slots
 }
