--- a/pkg/generator/generator.go
+++ b/pkg/generator/generator.go
@@ -129,7 +129,7 @@
 		}
 	}
 	rounded := time.Duration(declared).Round(declaredPrecision)
-	return tracer.Task{RunTime: runTime, Declared: max(rounded, declaredPrecision)}
+	return tracer.Task{RunTime: runTime, DeclaredRunTime: max(rounded, declaredPrecision)}
 }
 
 func roundMoment(moment identifier.Moment) identifier.Moment {
--- a/pkg/recorder/recording.go
+++ b/pkg/recorder/recording.go
@@ -71,7 +71,7 @@
 		return malformedField("declared", line, err)
 	}
 	for _, length := range declared {
-		job.Tasks = append(job.Tasks, tracer.Task{RunTime: orAssumedRunTime(length), Declared: orAssumedRunTime(length)})
+		job.Tasks = append(job.Tasks, tracer.Task{RunTime: orAssumedRunTime(length), DeclaredRunTime: orAssumedRunTime(length)})
 	}
 	if text, given := line.fields["remaining"]; given {
 		remaining, err := time.ParseDuration(text)
--- a/pkg/replayer/callers.go
+++ b/pkg/replayer/callers.go
@@ -152,7 +152,7 @@
 	for number, id := range TaskIDs(job) {
 		task := &job.Tasks[number]
 		message.Tasks = append(message.Tasks, messenger.Task{
-			Task: id, Payload: fakebackend.Payload(task.RunTime), DeclaredRunTime: task.Declared,
+			Task: id, Payload: fakebackend.Payload(task.RunTime), DeclaredRunTime: task.DeclaredRunTime,
 		})
 	}
 	return &submission{
--- a/pkg/tracer/codec.go
+++ b/pkg/tracer/codec.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return Task{}, err
 	}
-	task := Task{RunTime: reader.duration("run-time"), Declared: reader.duration("declared")}
+	task := Task{RunTime: reader.duration("run-time"), DeclaredRunTime: reader.duration("declared")}
 	return task, reader.finish()
 }
 
@@ -81,7 +81,7 @@
 	for position, task := range job.Tasks {
 		nested := &fieldWriter{}
 		nested.duration("run-time", task.RunTime)
-		nested.duration("declared", task.Declared)
+		nested.duration("declared", task.DeclaredRunTime)
 		writer.line = append(writer.line, listSeparator(position))
 		writer.line = append(writer.line, nested.line...)
 		writer.line = append(writer.line, '}')
--- a/pkg/tracer/event.go
+++ b/pkg/tracer/event.go
@@ -59,8 +59,8 @@
 // Task is one task of a job. RunTime is its real run time, Declared the run time
 // that the caller declared.
 type Task struct {
-	RunTime  time.Duration
-	Declared time.Duration
+	RunTime         time.Duration
+	DeclaredRunTime time.Duration
 }
 
 // Cancel is the cancellation of a submission by its caller.
