--- a/pkg/commander/replayrow.go
+++ b/pkg/commander/replayrow.go
@@ -71,7 +71,7 @@
 	last := identifier.Moment(1)
 	for _, event := range trace.Events {
 		if job, isJob := event.(*tracer.Job); isJob {
-			work += job.Work()
+			work += job.TotalRunTime()
 			last = max(last, job.At)
 		}
 	}
--- a/pkg/generator/generator.go
+++ b/pkg/generator/generator.go
@@ -53,11 +53,11 @@
 	position, work := 0.0, time.Duration(0)
 	for work < wantedWork {
 		job := generation.job(len(jobs))
-		if work+job.Work() > maxWork {
+		if work+job.TotalRunTime() > maxWork {
 			continue
 		}
 		position += generation.chooser.exponential()
-		work += job.Work()
+		work += job.TotalRunTime()
 		jobs = append(jobs, job)
 		positions = append(positions, position)
 	}
--- a/pkg/generator/generator_test.go
+++ b/pkg/generator/generator_test.go
@@ -95,7 +95,7 @@
 		parameters.Length = 10 * time.Second
 		work := time.Duration(0)
 		for _, job := range jobsOf(generate(t, parameters)) {
-			work += job.Work()
+			work += job.TotalRunTime()
 		}
 		slots := float64(parameters.Deployment.TotalSlots())
 		measured := work.Seconds() / (parameters.Length.Seconds() * slots)
--- a/pkg/replayer/bound.go
+++ b/pkg/replayer/bound.go
@@ -121,7 +121,7 @@
 	case OrderFewestTasks:
 		return int64(len(job.Tasks))
 	case OrderLeastWork:
-		return int64(job.Work())
+		return int64(job.TotalRunTime())
 	default:
 		return 0
 	}
--- a/pkg/tracer/event.go
+++ b/pkg/tracer/event.go
@@ -101,8 +101,8 @@
 	return longest
 }
 
-// Work returns the sum of the real run times of the job's tasks.
-func (job *Job) Work() time.Duration {
+// TotalRunTime returns the sum of the real run times of the job's tasks.
+func (job *Job) TotalRunTime() time.Duration {
 	work := time.Duration(0)
 	for _, task := range job.Tasks {
 		work += task.RunTime
