--- a/pkg/generator/presets.go
+++ b/pkg/generator/presets.go
@@ -72,7 +72,7 @@
 	at := identifier.Moment(parameters.Length + settlingTime)
 	for _, bound := range bounds {
 		parameters.Expectations = append(parameters.Expectations,
-			&tracer.Expect{Head: tracer.Head{At: at}, Count: bound.figure, AtMost: bound.atMost})
+			&tracer.Expect{Head: tracer.Head{At: at}, Figure: bound.figure, AtMost: bound.atMost})
 	}
 }
 
--- a/pkg/replayer/expectation.go
+++ b/pkg/replayer/expectation.go
@@ -33,11 +33,11 @@
 	if expect.NamesSubmission() {
 		return unmetOutcome(expect, outcomes)
 	}
-	value := figures.Value(expect.Count)
+	value := figures.Value(expect.Figure)
 	if value <= expect.AtMost {
 		return ""
 	}
-	return fmt.Sprintf("%s is %s, stated at most %s", expect.Count, formatNumber(value), formatNumber(expect.AtMost))
+	return fmt.Sprintf("%s is %s, stated at most %s", expect.Figure, formatNumber(value), formatNumber(expect.AtMost))
 }
 
 func unmetOutcome(expect *tracer.Expect, outcomes OutcomeLookup) string {
--- a/pkg/replayer/figures_test.go
+++ b/pkg/replayer/figures_test.go
@@ -50,8 +50,8 @@
 		&tracer.Expect{Submission: "done", Outcome: tracer.OutcomeComplete},
 		&tracer.Expect{Submission: "done", Outcome: tracer.OutcomeRefused},
 		&tracer.Expect{Submission: "lost", Outcome: tracer.OutcomeFailed},
-		&tracer.Expect{Count: tracer.FigureJobsFailed, AtMost: 1},
-		&tracer.Expect{Count: tracer.FigureResponseOverIdealP99, AtMost: 2.5},
+		&tracer.Expect{Figure: tracer.FigureJobsFailed, AtMost: 1},
+		&tracer.Expect{Figure: tracer.FigureResponseOverIdealP99, AtMost: 2.5},
 	}}
 	outcomes := func(submission identifier.SubmissionID) (tracer.Outcome, bool) {
 		return tracer.OutcomeComplete, submission == "done"
--- a/pkg/tracer/codec.go
+++ b/pkg/tracer/codec.go
@@ -105,7 +105,7 @@
 		expect.Outcome = readEnum(reader, "outcome", OutcomeString)
 		return
 	}
-	expect.Count = readEnum(reader, "count", FigureString)
+	expect.Figure = readEnum(reader, "count", FigureString)
 	expect.AtMost = reader.number("at-most")
 }
 
@@ -115,7 +115,7 @@
 		writer.text("outcome", expect.Outcome.String())
 		return
 	}
-	writer.text("count", expect.Count.String())
+	writer.text("count", expect.Figure.String())
 	writer.number("at-most", expect.AtMost)
 }
 
--- a/pkg/tracer/event.go
+++ b/pkg/tracer/event.go
@@ -75,7 +75,7 @@
 	Head
 	Submission identifier.SubmissionID
 	Outcome    Outcome
-	Count      Figure
+	Figure     Figure
 	AtMost     float64
 }
 
