--- a/pkg/placer/experiment_test.go
+++ b/pkg/placer/experiment_test.go
@@ -21,26 +21,26 @@
 	warmUpSteps     = 300
 )
 
-// trial is one run of the experiment in virtual time.
+// trial is one simulation of the experiment in virtual time.
 type trial[P Policy] struct {
-	placer  *Placer[P]
-	random  *rand.Rand
-	load    float64
-	workers int
-	now     identifier.Moment
-	step    int
-	tasks   int
-	budget  float64
-	pending map[identifier.TaskID]*pendingTask
-	ends    map[int][]identifier.TaskID
-	waits   [urgencies][]time.Duration
-	wide    []time.Duration
-	spread  []float64
-	used    float64
-	lost    time.Duration
-	cut     int
-	starts  int
-	spent   time.Duration
+	placer    *Placer[P]
+	random    *rand.Rand
+	load      float64
+	workers   int
+	now       identifier.Moment
+	step      int
+	tasks     int
+	budget    float64
+	pending   map[identifier.TaskID]*pendingTask
+	ends      map[int][]identifier.TaskID
+	waits     [urgencies][]time.Duration
+	wide      []time.Duration
+	spread    []float64
+	used      float64
+	lost      time.Duration
+	preempted int
+	starts    int
+	spent     time.Duration
 }
 
 type pendingTask struct {
@@ -51,7 +51,8 @@
 	endStep int
 }
 
-// arrive submits batches whose work is load times what the workers do in a step.
+// arrive submits batches whose processor time is load times what the workers provide in
+// one step.
 func (trial *trial[P]) arrive() {
 	trial.budget += trial.load * float64(trial.workers) * 32_000 * experimentStep.Seconds()
 	for trial.budget > 0 {
@@ -108,7 +109,7 @@
 			continue
 		}
 		if trial.now.Sub(ended.started) < ended.actual {
-			trial.cut++
+			trial.preempted++
 			if ended.group.Checkpointable {
 				ended.actual -= trial.now.Sub(ended.started)
 			} else {
@@ -138,7 +139,7 @@
 		if decision.Kind == DecisionStart {
 			task.started = trial.now
 			steps = max(1, int((task.actual+experimentStep-1)/experimentStep))
-			trial.noteStart(task)
+			trial.recordStart(task)
 			position := trial.placer.fleet.positions[decision.Worker]
 			if racks[decision.Group.Intent] == nil {
 				racks[decision.Group.Intent] = map[int]int{}
@@ -159,7 +160,7 @@
 	}
 }
 
-func (trial *trial[P]) noteStart(task *pendingTask) {
+func (trial *trial[P]) recordStart(task *pendingTask) {
 	if trial.step <= warmUpSteps {
 		return
 	}
@@ -198,7 +199,7 @@
 	t.Logf("%-14s workers=%d load=%.2f used=%.1f%% urgent=%s normal=%s background=%s wide=%s most-in-one-rack=%.0f%% preempted=%d lost=%s starts=%d each=%s",
 		name, workers, load, 100*trial.used/float64(experimentSteps-warmUpSteps),
 		quantiles(trial.waits[UrgencyUrgent]), quantiles(trial.waits[UrgencyNormal]), quantiles(trial.waits[UrgencyBackground]),
-		quantiles(trial.wide), 100*mean, trial.cut, trial.lost.Round(time.Second), trial.starts,
+		quantiles(trial.wide), 100*mean, trial.preempted, trial.lost.Round(time.Second), trial.starts,
 		(trial.spent / time.Duration(max(trial.starts, 1))).Round(10*time.Nanosecond))
 }
 
@@ -210,7 +211,8 @@
 	return fmt.Sprintf("%s/%s", waits[len(waits)/2], waits[len(waits)*99/100])
 }
 
-// TestExperiment prints utilisation, waits (median/99%) and cost by policy.
+// TestExperiment prints utilisation, waits (median/99th percentile) and the cost per start of
+// each policy.
 func TestExperiment(t *testing.T) {
 	if !*experiment {
 		t.Skip("only with -experiment")
@@ -237,7 +239,7 @@
 func BenchmarkBestFit(b *testing.B)      { benchmarkPolicy(b, BestFit{}) }
 func BenchmarkScoredSample(b *testing.B) { benchmarkPolicy(b, DefaultScoredSample()) }
 
-// benchmarkPolicy measures one start with its end on workers that are four fifths full.
+// benchmarkPolicy measures the start and end of one task on workers that are four fifths full.
 func benchmarkPolicy[P Policy](b *testing.B, policy P) {
 	for _, workers := range []int{50, 250, 5200} {
 		b.Run(fmt.Sprint("workers=", workers), func(b *testing.B) {
--- a/pkg/placer/fairness.go
+++ b/pkg/placer/fairness.go
@@ -2,23 +2,23 @@
 
 import "container/heap"
 
-// shareScale is the number of parts that a dominant share is counted in.
+// shareScale is the value of a dominant share of 100%; shares are kept as integers.
 const shareScale = 1_000_000
 
-// shareQueue orders teams by their dominant share, the smallest first.
+// shareQueue is a heap of teams by dominant share, the smallest first.
 type shareQueue struct {
 	entries []*shareEntry
 }
 
-// shareEntry is a team with its batches that may start tasks in this round.
+// shareEntry is a team with those of its batches that may start tasks in this round.
 type shareEntry struct {
 	team   *team
 	share  int64
 	groups []*group
 }
 
-// shareQueue collects the batches by team, in the order in which they came.
-func (placer *Placer[P]) shareQueue(groups []*group) *shareQueue {
+// newShareQueue groups the batches by team, keeping their order.
+func (placer *Placer[P]) newShareQueue(groups []*group) *shareQueue {
 	queue := &shareQueue{}
 	for _, group := range groups {
 		team := group.team
@@ -35,7 +35,8 @@
 	return queue
 }
 
-// share returns the largest of a team's shares of any resource, by its weight.
+// share returns the team's dominant share, which is the largest of its shares of each
+// resource, divided by its weight.
 func (placer *Placer[P]) share(team *team) int64 {
 	total := placer.fleet.total
 	share := int64(0)
--- a/pkg/placer/fleet.go
+++ b/pkg/placer/fleet.go
@@ -2,7 +2,7 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// Worker is a machine that tasks are placed on.
+// Worker describes a machine that runs tasks.
 type Worker struct {
 	ID            identifier.WorkerID
 	Rack          identifier.RackID
@@ -10,53 +10,55 @@
 	Capacity      identifier.Resources
 }
 
-// Fleet keeps the workers with their room, found by an index. Positions of
-// workers that left are used again.
+// Fleet holds the workers, each at a position, with indexes of their free resources and
+// capacity. Positions of removed workers are reused.
 type Fleet struct {
-	seats     []seat
-	positions map[identifier.WorkerID]int
-	vacant    []int
-	racks     map[identifier.RackID]int
-	free      maxTree
-	capacity  maxTree
-	total     identifier.Resources
-	used      identifier.Resources
+	workers       []workerState
+	positions     map[identifier.WorkerID]int
+	freePositions []int
+	racks         map[identifier.RackID]int
+	free          maxTree
+	capacity      maxTree
+	total         identifier.Resources
+	used          identifier.Resources
 }
 
-// seat is the state of one position.
-type seat struct {
-	worker  Worker
-	present bool
-	usable  bool
-	rack    int
-	used    identifier.Resources
-	running []*running
-	// held is the reservation on this worker, if any.
-	held *reservation
+// workerState is the worker at one position with its tasks; it is zero if the position is
+// vacant.
+type workerState struct {
+	worker     Worker
+	present    bool
+	usable     bool
+	rackNumber int
+	used       identifier.Resources
+	running    []*running
+	// reservation is nil if the worker is not reserved.
+	reservation *reservation
 }
 
 // Len returns the number of positions, vacant ones included.
-func (fleet *Fleet) Len() int { return len(fleet.seats) }
+func (fleet *Fleet) Len() int { return len(fleet.workers) }
 
-// Racks returns the number of racks ever seen.
+// Racks returns the number of racks ever seen, including those without workers now.
 func (fleet *Fleet) Racks() int { return len(fleet.racks) }
 
-// Free returns the room at a position.
+// Free returns the free resources of the worker at a position; they are negative where it
+// is overcommitted.
 func (fleet *Fleet) Free(position int) identifier.Resources {
-	seat := &fleet.seats[position]
-	return seat.worker.Capacity.Sub(seat.used)
+	workerState := &fleet.workers[position]
+	return workerState.worker.Capacity.Sub(workerState.used)
 }
 
-// Capacity returns what the worker at a position offers in all.
+// Capacity returns the total resources of the worker at a position.
 func (fleet *Fleet) Capacity(position int) identifier.Resources {
-	return fleet.seats[position].worker.Capacity
+	return fleet.workers[position].worker.Capacity
 }
 
 // Rack returns the number of the rack of a position.
-func (fleet *Fleet) Rack(position int) int { return fleet.seats[position].rack }
+func (fleet *Fleet) Rack(position int) int { return fleet.workers[position].rackNumber }
 
-// Next returns the first usable position from from on, around the end, with room
-// for need that accept agrees to, or -1.
+// Next returns the first usable position, searching from from and wrapping around at the
+// end, that has need free and that accept returns true for, or -1.
 func (fleet *Fleet) Next(from int, need identifier.Resources, accept func(position int) bool) int {
 	if found := fleet.free.next(from, need, accept); found >= 0 || from == 0 {
 		return found
@@ -64,47 +66,47 @@
 	return fleet.free.next(0, need, accept)
 }
 
-// add puts a worker on a position. A worker that is there already keeps its
-// tasks and takes the new capacity.
+// add assigns a worker to a position. A known worker keeps its position and tasks, and gets
+// the new capacity.
 func (fleet *Fleet) add(worker Worker) {
 	fleet.prepare()
 	position, known := fleet.positions[worker.ID]
 	if !known {
-		position = fleet.vacancy()
+		position = fleet.allocatePosition()
 		fleet.positions[worker.ID] = position
 	} else {
-		fleet.total = fleet.total.Sub(fleet.seats[position].worker.Capacity)
+		fleet.total = fleet.total.Sub(fleet.workers[position].worker.Capacity)
 	}
-	seat := &fleet.seats[position]
-	seat.worker = worker
-	seat.present = true
-	seat.usable = true
-	seat.rack = fleet.rackNumber(worker.Rack)
+	workerState := &fleet.workers[position]
+	workerState.worker = worker
+	workerState.present = true
+	workerState.usable = true
+	workerState.rackNumber = fleet.rackNumber(worker.Rack)
 	fleet.total = fleet.total.Add(worker.Capacity)
-	fleet.index(position)
+	fleet.updateIndex(position)
 }
 
-// remove takes a worker away; its tasks must have been ended before.
+// remove vacates a position; the worker's tasks must have been ended before.
 func (fleet *Fleet) remove(position int) {
-	gone := &fleet.seats[position]
-	delete(fleet.positions, gone.worker.ID)
-	fleet.total = fleet.total.Sub(gone.worker.Capacity)
-	fleet.seats[position] = seat{}
-	fleet.vacant = append(fleet.vacant, position)
-	fleet.index(position)
+	removed := &fleet.workers[position]
+	delete(fleet.positions, removed.worker.ID)
+	fleet.total = fleet.total.Sub(removed.worker.Capacity)
+	fleet.workers[position] = workerState{}
+	fleet.freePositions = append(fleet.freePositions, position)
+	fleet.updateIndex(position)
 }
 
-// charge changes what is used at a position.
+// charge adds change, which may be negative, to the resources used at a position.
 func (fleet *Fleet) charge(position int, change identifier.Resources) {
-	fleet.seats[position].used = fleet.seats[position].used.Add(change)
+	fleet.workers[position].used = fleet.workers[position].used.Add(change)
 	fleet.used = fleet.used.Add(change)
-	fleet.index(position)
+	fleet.updateIndex(position)
 }
 
-// countOf returns the tasks of a batch at a position.
-func (fleet *Fleet) countOf(group *group, position int) int {
+// countTasks returns the number of running tasks of a batch at a position.
+func (fleet *Fleet) countTasks(group *group, position int) int {
 	count := 0
-	for _, running := range fleet.seats[position].running {
+	for _, running := range fleet.workers[position].running {
 		if running.group == group {
 			count++
 		}
@@ -112,26 +114,26 @@
 	return count
 }
 
-// index brings the trees up to date with a position.
-func (fleet *Fleet) index(position int) {
-	seat := &fleet.seats[position]
-	if !seat.present || !seat.usable {
-		fleet.free.set(position, nothing)
-		fleet.capacity.set(position, nothing)
+// updateIndex updates the search trees for a position.
+func (fleet *Fleet) updateIndex(position int) {
+	workerState := &fleet.workers[position]
+	if !workerState.present || !workerState.usable {
+		fleet.free.set(position, unavailable)
+		fleet.capacity.set(position, unavailable)
 		return
 	}
 	fleet.free.set(position, fleet.Free(position))
-	fleet.capacity.set(position, seat.worker.Capacity)
+	fleet.capacity.set(position, workerState.worker.Capacity)
 }
 
-func (fleet *Fleet) vacancy() int {
-	if last := len(fleet.vacant) - 1; last >= 0 {
-		position := fleet.vacant[last]
-		fleet.vacant = fleet.vacant[:last]
+func (fleet *Fleet) allocatePosition() int {
+	if last := len(fleet.freePositions) - 1; last >= 0 {
+		position := fleet.freePositions[last]
+		fleet.freePositions = fleet.freePositions[:last]
 		return position
 	}
-	fleet.seats = append(fleet.seats, seat{})
-	return len(fleet.seats) - 1
+	fleet.workers = append(fleet.workers, workerState{})
+	return len(fleet.workers) - 1
 }
 
 func (fleet *Fleet) rackNumber(rack identifier.RackID) int {
--- a/pkg/placer/picture.go
+++ b/pkg/placer/load.go
@@ -6,32 +6,34 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Room is what one worker has and has left.
+// Room is the capacity of one worker and what is free of it.
 type Room struct {
 	Rack     identifier.RackID    `cbor:"1,keyasint,omitempty"`
 	Capacity identifier.Resources `cbor:"2,keyasint,omitempty"`
 	Free     identifier.Resources `cbor:"3,keyasint,omitempty"`
 }
 
-// Load is the work of one urgency.
+// Load is the running and waiting work of one urgency.
 type Load struct {
-	// Running counts running tasks, Used what they are charged.
+	// Running is the number of running tasks, and Used the resources they are charged.
 	Running int                  `cbor:"1,keyasint,omitempty"`
 	Used    identifier.Resources `cbor:"2,keyasint,omitempty"`
-	// Work is processor time that waits or runs: milli-cpu for one second.
+	// Work is the estimated processor time of waiting tasks and the rest of running
+	// ones, in milli-cpu seconds.
 	Work int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Rooms returns the workers. One that takes no new tasks has nothing left.
+// Rooms returns the capacity of each worker. A worker that accepts no new tasks has nothing
+// free.
 func (placer *Placer[P]) Rooms() []Room {
 	var rooms []Room
-	for position := range placer.fleet.seats {
-		seat := &placer.fleet.seats[position]
-		if !seat.present {
+	for position := range placer.fleet.workers {
+		workerState := &placer.fleet.workers[position]
+		if !workerState.present {
 			continue
 		}
-		room := Room{Rack: seat.worker.Rack, Capacity: seat.worker.Capacity}
-		if seat.usable {
+		room := Room{Rack: workerState.worker.Rack, Capacity: workerState.worker.Capacity}
+		if workerState.usable {
 			room.Free = placer.fleet.Free(position)
 		}
 		rooms = append(rooms, room)
@@ -39,7 +41,7 @@
 	return rooms
 }
 
-// Loads returns the work by urgency at now.
+// Loads returns the load of each urgency at now.
 func (placer *Placer[P]) Loads(now identifier.Moment) [urgencies]Load {
 	placer.prepare()
 	var loads [urgencies]Load
--- a/pkg/placer/place.go
+++ b/pkg/placer/place.go
@@ -8,20 +8,20 @@
 
 //go:generate enumer -type=Blocked -transform=kebab -trimprefix=Blocked -text
 
-// Blocked says what holds a batch up.
+// Blocked is the reason why a batch can't start its next task.
 type Blocked int
 
-// What may hold a batch up.
+// The reasons for a batch to be blocked.
 const (
-	// BlockedNot means that nothing does.
+	// BlockedNot means that the batch is not blocked.
 	BlockedNot Blocked = iota
-	// BlockedByQuota means that the team has as much as it may have.
+	// BlockedByQuota means that the next task would exceed the team's quota.
 	BlockedByQuota
-	// BlockedByHeadroom means that what is free is kept for urgent work.
+	// BlockedByHeadroom means that the free capacity is kept for urgent work.
 	BlockedByHeadroom
-	// BlockedByRoom means that no worker has room for one task now.
+	// BlockedByRoom means that no worker has enough free capacity for a task now.
 	BlockedByRoom
-	// BlockedForGood means that no present worker could ever run one task.
+	// BlockedForGood means that a task exceeds the total capacity of each usable worker.
 	BlockedForGood
 )
 
@@ -30,15 +30,15 @@
 	now       identifier.Moment
 	decisions []Decision
 	blocked   []*group
-	// failed holds needs that fitted nowhere in this round; a larger one needs no
-	// search.
-	failed []identifier.Resources
+	// unplaceable holds needs that fitted on no worker in this round, so that the search
+	// can be skipped for larger ones.
+	unplaceable []identifier.Resources
 }
 
-// rememberedFailures bounds round.failed.
-const rememberedFailures = 8
+// maxUnplaceable limits the length of round.unplaceable.
+const maxUnplaceable = 8
 
-// Place starts and preempts what is due at now.
+// Place decides which tasks start and which are preempted at now, and records the starts.
 func (placer *Placer[P]) Place(now identifier.Moment) []Decision {
 	placer.prepare()
 	round := &round{now: now}
@@ -51,12 +51,12 @@
 	return round.decisions
 }
 
-// levels sorts the batches that wait by effective urgency.
+// levels groups the batches with waiting tasks by effective urgency.
 func (placer *Placer[P]) levels(now identifier.Moment) [urgencies][]*group {
 	var levels [urgencies][]*group
 	placer.groups.Each(func(_ GroupID, group *group) bool {
 		if len(group.waiting) > 0 {
-			level := group.effective(now, placer.Settings.Aging)
+			level := group.effectiveUrgency(now, placer.Settings.Aging)
 			levels[level] = append(levels[level], group)
 		}
 		return true
@@ -64,10 +64,10 @@
 	return levels
 }
 
-// placeLevel serves the teams in the order of their dominant shares, one task at
-// a time, until every batch is empty or blocked.
+// placeLevel starts tasks one at a time, always for the team with the smallest dominant
+// share, until each batch is empty or blocked or DecisionsPerCall is reached.
 func (placer *Placer[P]) placeLevel(round *round, groups []*group) {
-	queue := placer.shareQueue(groups)
+	queue := placer.newShareQueue(groups)
 	for queue.Len() > 0 && len(round.decisions) < placer.Settings.DecisionsPerCall {
 		entry := queue.entries[0]
 		group := entry.groups[0]
@@ -87,7 +87,7 @@
 	}
 }
 
-// placeOne starts the next task of a batch, or says what holds it up.
+// placeOne starts the next task of a batch, or returns why the batch is blocked.
 func (placer *Placer[P]) placeOne(round *round, group *group) Blocked {
 	team := group.team
 	if !team.quota.Allows(team.used, team.inFlight, group.Need) {
@@ -96,7 +96,7 @@
 	if group.Urgency < UrgencyUrgent && !placer.leavesHeadroom(group) {
 		return BlockedByHeadroom
 	}
-	position := placer.choose(round, group)
+	position := placer.choosePosition(round, group)
 	if position < 0 {
 		return BlockedByRoom
 	}
@@ -106,54 +106,55 @@
 	if len(group.waiting) == 0 {
 		placer.cancelReservations(group)
 	}
-	group.since = round.now
-	placer.begin(round.now, group, task, position)
+	group.waitingSince = round.now
+	placer.recordStart(round.now, group, task, position)
 	round.decisions = append(round.decisions, Decision{
 		Kind:   DecisionStart,
 		Task:   task,
-		Worker: placer.fleet.seats[position].worker.ID,
+		Worker: placer.fleet.workers[position].worker.ID,
 		Group:  group.ID,
 	})
 	return BlockedNot
 }
 
-// choose returns a position with room: a reserved one first, else the policy's.
-func (placer *Placer[P]) choose(round *round, group *group) int {
-	for _, held := range group.held {
-		if group.Need.Fits(placer.fleet.Free(held.position)) {
-			return held.position
+// choosePosition returns the position for the next task of a batch, or -1. It prefers a
+// reserved worker and otherwise asks the policy.
+func (placer *Placer[P]) choosePosition(round *round, group *group) int {
+	for _, reservation := range group.reservations {
+		if group.Need.Fits(placer.fleet.Free(reservation.position)) {
+			return reservation.position
 		}
 	}
-	for _, need := range round.failed {
+	for _, need := range round.unplaceable {
 		if need.Fits(group.Need) {
 			return -1
 		}
 	}
-	ends := round.now.Add(group.RunTime)
+	estimatedEnd := round.now.Add(group.RunTime)
 	request := &Request{
-		Need:    group.Need,
-		InRack:  group.inRack,
-		Running: group.running,
+		Need:        group.Need,
+		TasksByRack: group.tasksByRack,
+		Running:     group.running,
 		Accept: func(position int) bool {
-			held := placer.fleet.seats[position].held
-			return held == nil || ends <= held.at
+			reservation := placer.fleet.workers[position].reservation
+			return reservation == nil || estimatedEnd <= reservation.availableAt
 		},
-		OnWorker: func(position int) int { return placer.fleet.countOf(group, position) },
+		TasksOnWorker: func(position int) int { return placer.fleet.countTasks(group, position) },
 	}
 	position := placer.Policy.Choose(&placer.fleet, request, placer.random)
-	if position < 0 && len(placer.reservations) == 0 && len(round.failed) < rememberedFailures {
-		round.failed = append(round.failed, group.Need)
+	if position < 0 && len(placer.reservations) == 0 && len(round.unplaceable) < maxUnplaceable {
+		round.unplaceable = append(round.unplaceable, group.Need)
 	}
 	return position
 }
 
-// leavesHeadroom tells whether enough processors and memory stay free for urgent
-// work, what is set aside for other batches' reservations not counted.
+// leavesHeadroom reports whether enough processors and memory stay free for urgent work
+// after a start. Capacity that is reserved for other batches does not count as free.
 func (placer *Placer[P]) leavesHeadroom(group *group) bool {
 	free := placer.fleet.total.Sub(placer.fleet.used).Sub(group.Need)
-	for _, held := range placer.reservations {
-		if held.group != group {
-			free = free.Sub(held.group.Need.Min(placer.fleet.Free(held.position)).Max(identifier.Resources{}))
+	for _, reservation := range placer.reservations {
+		if reservation.group != group {
+			free = free.Sub(reservation.group.Need.Min(placer.fleet.Free(reservation.position)).Max(identifier.Resources{}))
 		}
 	}
 	share := placer.Settings.HeadroomPermille
--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -1,11 +1,11 @@
-// Package placer decides which worker runs which task. It serves the workers of
-// one failure domain.
+// Package placer decides which worker runs which task, for the workers of one failure
+// domain.
 //
-// Higher urgency goes first; within one, the team with the smallest dominant
-// share goes first (dominant resource fairness). A batch whose next task fits
-// nowhere gets a reservation on a worker, which others may only use for tasks
-// that end in time (backfill), so that wide tasks don't starve among narrow ones.
-// Urgent batches may preempt a bounded number of less urgent tasks.
+// Batches of higher urgency go first; within one urgency, the team with the smallest
+// dominant share goes first (dominant resource fairness). A batch whose next task fits on
+// no worker gets a reservation on one, which other batches may use only for tasks that end
+// in time (backfill), so that tasks that need most of a worker don't starve among small
+// ones. Urgent batches may preempt a bounded number of less urgent tasks.
 package placer
 
 import (
@@ -16,24 +16,27 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// Settings of a placer.
+// Settings hold the limits and delays of a placer.
 type Settings struct {
-	// HeadroomPermille is the share of processors and memory that only urgent
-	// batches may use.
+	// HeadroomPermille is the share of all processors and memory, in thousandths, that
+	// only urgent batches may use.
 	HeadroomPermille int64
-	// Aging is the wait after which a batch counts as one step more urgent.
+	// Aging is the time without a start after which a waiting batch counts as one step
+	// more urgent; zero turns aging off.
 	Aging time.Duration
-	// ReserveAfter is the wait after which a blocked batch gets a reservation.
+	// ReserveAfter is the time without a start after which a blocked batch gets a
+	// reservation.
 	ReserveAfter time.Duration
-	// ReservedPermille is the highest share of workers that are reserved at once;
-	// one worker may always be.
+	// ReservedPermille is the maximum share of workers, in thousandths, that are reserved
+	// at once. One worker may always be reserved.
 	ReservedPermille int
-	// PreemptionsPerWindow bounds the tasks preempted within each Window.
+	// PreemptionsPerWindow is the maximum number of tasks preempted within each Window.
 	PreemptionsPerWindow int
 	Window               time.Duration
-	// PreemptionsPerTask bounds how often the same task is preempted.
+	// PreemptionsPerTask is the maximum number of times that one task is preempted.
 	PreemptionsPerTask int
-	// DecisionsPerCall bounds the starts of one call of Place.
+	// DecisionsPerCall limits the starts in one call of Place: an urgency level stops once
+	// that many decisions were made.
 	DecisionsPerCall int
 }
 
@@ -53,7 +56,7 @@
 
 //go:generate enumer -type=DecisionKind -transform=kebab -trimprefix=Decision -text
 
-// DecisionKind says what is to be done with a task.
+// DecisionKind is the action that a Decision requests for a task.
 type DecisionKind int
 
 // The kinds of decisions.
@@ -66,43 +69,43 @@
 	DecisionStop
 )
 
-// Decision is one step of the placer.
+// Decision requests that a task is started on a worker or preempted there.
 type Decision struct {
 	Kind   DecisionKind
 	Task   identifier.TaskID
 	Worker identifier.WorkerID
 	Group  GroupID
-	// For is the batch that a task is preempted for.
+	// For is the batch that a task is preempted for; it is empty for a start.
 	For GroupID
 }
 
-// Placer places tasks by a policy. Set the exported fields before use.
+// Placer assigns waiting tasks to workers by a policy. Set the exported fields before use.
 type Placer[P Policy] struct {
 	Policy   P
 	Settings Settings
 	Seed     uint64
-	// DefaultQuota is that of a team without its own.
+	// DefaultQuota is the quota of a team that has none of its own.
 	DefaultQuota Quota
 
-	fleet        Fleet
-	groups       *tabulator.Table[GroupID, group]
-	teams        *tabulator.Table[identifier.TeamID, team]
-	running      *tabulator.Table[identifier.TaskID, running]
-	preempted    *tabulator.Table[identifier.TaskID, int]
-	reservations []*reservation
-	random       *rand.Rand
-	windowEnds   identifier.Moment
-	windowCount  int
+	fleet             Fleet
+	groups            *tabulator.Table[GroupID, group]
+	teams             *tabulator.Table[identifier.TeamID, team]
+	running           *tabulator.Table[identifier.TaskID, running]
+	preemptionCounts  *tabulator.Table[identifier.TaskID, int]
+	reservations      []*reservation
+	random            *rand.Rand
+	windowEnd         identifier.Moment
+	windowPreemptions int
 }
 
-// AddWorker takes a worker in, or changes its capacity.
+// AddWorker adds a worker or, if it is known, updates its capacity and makes it usable.
 func (placer *Placer[P]) AddWorker(worker Worker) {
 	placer.prepare()
 	placer.fleet.add(worker)
 }
 
-// RemoveWorker takes a worker away and returns the tasks that ran there. They
-// are no longer charged.
+// RemoveWorker removes a worker and returns the tasks that ran there, which are no longer
+// charged.
 func (placer *Placer[P]) RemoveWorker(worker identifier.WorkerID) []identifier.TaskID {
 	placer.prepare()
 	position, known := placer.fleet.positions[worker]
@@ -110,55 +113,57 @@
 		return nil
 	}
 	var tasks []identifier.TaskID
-	for len(placer.fleet.seats[position].running) > 0 {
-		task := placer.fleet.seats[position].running[0].task
+	for len(placer.fleet.workers[position].running) > 0 {
+		task := placer.fleet.workers[position].running[0].task
 		tasks = append(tasks, task)
 		placer.End(task)
 	}
-	placer.cancelReservation(placer.fleet.seats[position].held)
+	placer.cancelReservation(placer.fleet.workers[position].reservation)
 	placer.fleet.remove(position)
 	return tasks
 }
 
-// SetUsable says whether a worker takes new tasks.
+// SetUsable sets whether a worker accepts new tasks. A worker that stops accepting them
+// loses its reservation.
 func (placer *Placer[P]) SetUsable(worker identifier.WorkerID, usable bool) {
 	placer.prepare()
 	position, known := placer.fleet.positions[worker]
-	if !known || placer.fleet.seats[position].usable == usable {
+	if !known || placer.fleet.workers[position].usable == usable {
 		return
 	}
-	placer.fleet.seats[position].usable = usable
-	placer.fleet.index(position)
+	placer.fleet.workers[position].usable = usable
+	placer.fleet.updateIndex(position)
 	if !usable {
-		placer.cancelReservation(placer.fleet.seats[position].held)
+		placer.cancelReservation(placer.fleet.workers[position].reservation)
 	}
 }
 
-// SetQuota changes a team's quota. What runs goes on; only new starts heed it.
+// SetQuota changes a team's quota. It applies to new starts only; running tasks continue.
 func (placer *Placer[P]) SetQuota(name identifier.TeamID, quota Quota) {
 	placer.team(name).quota = quota
 }
 
-// AddGroup makes a batch known. A batch that is known keeps its tasks.
+// AddGroup adds a batch. A known batch is updated and keeps its tasks.
 func (placer *Placer[P]) AddGroup(now identifier.Moment, wanted Group) {
 	placer.prepare()
 	if known := placer.groups.Get(wanted.ID); known != nil {
 		known.Group = wanted
 		return
 	}
-	placer.groups.Put(wanted.ID, &group{Group: wanted, team: placer.team(wanted.Team), since: now})
+	placer.groups.Put(wanted.ID, &group{Group: wanted, team: placer.team(wanted.Team), waitingSince: now})
 }
 
-// Enqueue lets tasks of a batch wait for a worker, behind those that wait.
+// Enqueue appends tasks to the queue of a batch, which must have been added.
 func (placer *Placer[P]) Enqueue(now identifier.Moment, id GroupID, tasks ...identifier.TaskID) {
 	group := placer.groups.Get(id)
 	if len(group.waiting) == 0 {
-		group.since = now
+		group.waitingSince = now
 	}
 	group.waiting = append(group.waiting, tasks...)
 }
 
-// Withdraw drops the waiting tasks of a batch and returns them.
+// Withdraw removes and returns the waiting tasks of a batch, and cancels its
+// reservations.
 func (placer *Placer[P]) Withdraw(id GroupID) []identifier.TaskID {
 	placer.prepare()
 	group := placer.groups.Get(id)
@@ -171,7 +176,7 @@
 	return waiting
 }
 
-// Forget drops a batch that has neither waiting nor running tasks.
+// Forget drops a batch, unless it has waiting or running tasks.
 func (placer *Placer[P]) Forget(id GroupID) {
 	placer.prepare()
 	if group := placer.groups.Get(id); group != nil && group.running == 0 && len(group.waiting) == 0 {
@@ -179,7 +184,7 @@
 	}
 }
 
-// End takes a running task off its worker and tells whether it ran.
+// End removes a running task from its worker. It reports whether the task was running.
 func (placer *Placer[P]) End(task identifier.TaskID) bool {
 	placer.prepare()
 	ended := placer.running.Get(task)
@@ -187,23 +192,23 @@
 		return false
 	}
 	placer.running.Remove(task)
-	seat := &placer.fleet.seats[ended.position]
-	for position, other := range seat.running {
+	workerState := &placer.fleet.workers[ended.position]
+	for position, other := range workerState.running {
 		if other == ended {
-			seat.running = append(seat.running[:position], seat.running[position+1:]...)
+			workerState.running = append(workerState.running[:position], workerState.running[position+1:]...)
 			break
 		}
 	}
 	placer.charge(ended, identifier.Resources{}.Sub(ended.charge))
 	ended.group.team.inFlight--
-	ended.group.countInRack(seat.rack, -1)
+	ended.group.adjustRunning(workerState.rackNumber, -1)
 	return true
 }
 
-// Done drops what is remembered of a task that will not run again.
-func (placer *Placer[P]) Done(task identifier.TaskID) { placer.preempted.Remove(task) }
+// Done drops the preemption count of a task that will not run again.
+func (placer *Placer[P]) Done(task identifier.TaskID) { placer.preemptionCounts.Remove(task) }
 
-// Recharge changes what a running task is charged.
+// Recharge changes the resources that a running task is charged.
 func (placer *Placer[P]) Recharge(task identifier.TaskID, charge identifier.Resources) {
 	placer.prepare()
 	charged := placer.running.Get(task)
@@ -215,20 +220,20 @@
 	placer.charge(charged, change)
 }
 
-// Occupy records a task that already runs on a worker, as when its lease was
-// adopted from a former lead.
+// Occupy records a task that already runs on a worker, such as one whose lease was adopted
+// from a former lead. It returns false if the worker is unknown or the task already runs.
 func (placer *Placer[P]) Occupy(now identifier.Moment, id GroupID, task identifier.TaskID, worker identifier.WorkerID) bool {
 	placer.prepare()
 	position, known := placer.fleet.positions[worker]
 	if !known || placer.running.Get(task) != nil {
 		return false
 	}
-	placer.begin(now, placer.groups.Get(id), task, position)
+	placer.recordStart(now, placer.groups.Get(id), task, position)
 	return true
 }
 
-// CouldRun tells whether a usable worker, were it empty, and the team's quota
-// could hold need.
+// CouldRun reports whether need fits both the team's quota and the total capacity of some
+// usable worker, ignoring the tasks that run now.
 func (placer *Placer[P]) CouldRun(team identifier.TeamID, need identifier.Resources) bool {
 	if !placer.team(team).quota.Allows(identifier.Resources{}, 0, need) {
 		return false
@@ -236,26 +241,26 @@
 	return placer.fleet.capacity.next(0, need, nil) >= 0
 }
 
-// Overcommitted tells whether a worker's tasks are charged more than it has.
+// Overcommitted reports whether a worker's tasks are charged more than its capacity.
 func (placer *Placer[P]) Overcommitted(worker identifier.WorkerID) bool {
 	position, known := placer.fleet.positions[worker]
-	return known && !placer.fleet.seats[position].used.Fits(placer.fleet.Capacity(position))
+	return known && !placer.fleet.workers[position].used.Fits(placer.fleet.Capacity(position))
 }
 
-// TasksOn returns the tasks of a worker in the order of their starts.
+// TasksOn returns the running tasks of a worker in the order of their starts.
 func (placer *Placer[P]) TasksOn(worker identifier.WorkerID) []identifier.TaskID {
 	position, known := placer.fleet.positions[worker]
 	if !known {
 		return nil
 	}
 	var tasks []identifier.TaskID
-	for _, running := range placer.fleet.seats[position].running {
+	for _, running := range placer.fleet.workers[position].running {
 		tasks = append(tasks, running.task)
 	}
 	return tasks
 }
 
-// Waiting returns the number of waiting tasks of a batch, and what holds it up.
+// Waiting returns the number of waiting tasks of a batch, and why it is blocked.
 func (placer *Placer[P]) Waiting(id GroupID) (int, Blocked) {
 	placer.prepare()
 	group := placer.groups.Get(id)
@@ -265,14 +270,14 @@
 	return len(group.waiting), group.blocked
 }
 
-// Used returns what all tasks are charged.
+// Used returns the resources that all running tasks are charged.
 func (placer *Placer[P]) Used() identifier.Resources { return placer.fleet.used }
 
-// Total returns what all workers offer.
+// Total returns the capacity of all workers.
 func (placer *Placer[P]) Total() identifier.Resources { return placer.fleet.total }
 
-// begin puts a task on a worker.
-func (placer *Placer[P]) begin(now identifier.Moment, group *group, task identifier.TaskID, position int) {
+// recordStart records a task as running on a worker, and charges it to the team.
+func (placer *Placer[P]) recordStart(now identifier.Moment, group *group, task identifier.TaskID, position int) {
 	started := &running{
 		task:        task,
 		group:       group,
@@ -282,11 +287,11 @@
 		expectedEnd: now.Add(group.RunTime),
 	}
 	placer.running.Put(task, started)
-	seat := &placer.fleet.seats[position]
-	seat.running = append(seat.running, started)
+	workerState := &placer.fleet.workers[position]
+	workerState.running = append(workerState.running, started)
 	placer.charge(started, started.charge)
 	group.team.inFlight++
-	group.countInRack(seat.rack, 1)
+	group.adjustRunning(workerState.rackNumber, 1)
 }
 
 func (placer *Placer[P]) charge(charged *running, change identifier.Resources) {
@@ -313,6 +318,6 @@
 	placer.groups = tabulator.New[GroupID, group]()
 	placer.teams = tabulator.New[identifier.TeamID, team]()
 	placer.running = tabulator.New[identifier.TaskID, running]()
-	placer.preempted = tabulator.New[identifier.TaskID, int]()
+	placer.preemptionCounts = tabulator.New[identifier.TaskID, int]()
 	placer.random = rand.New(rand.NewPCG(placer.Seed, placer.Seed))
 }
--- a/pkg/placer/placer_test.go
+++ b/pkg/placer/placer_test.go
@@ -32,10 +32,9 @@
 	return worker
 }
 
-// Symptom: a worker gets more than it has, a team more than its quota, or a task
-// runs on two workers. Sequence: workers come, die and are drained while tasks
-// start, end, grow and are preempted. Cause: an index or an account that is not
-// brought up to date with one of these.
+// Guards against exceeding a worker's capacity or a team's quota, and against running a task
+// on two workers. Workers join and die while tasks start, end, grow and are preempted; the
+// fault would be an index or total that one of these events does not update.
 func TestAccountsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		placer := newPlacer(DefaultScoredSample(), 0)
@@ -164,9 +163,9 @@
 	})
 }
 
-// Symptom: a wide batch waits for hours while utilisation is high. Sequence:
-// narrow tasks keep coming, and their declared run times are far too short.
-// Cause: each bit of room is taken before there is enough for a wide task.
+// Guards against a batch of wide tasks that waits for hours while utilisation is high. Narrow
+// tasks keep arriving, with declared run times that are far too short, and use free capacity
+// before there is enough of it for a wide task.
 func TestWideTaskDoesNotStarve(t *testing.T) {
 	placer := newPlacer(DefaultScoredSample(), 8)
 	narrow := Group{ID: GroupID{Intent: "narrow"}, Team: "a", Urgency: UrgencyNormal, Need: identifier.Resources{MilliCPU: 1000}, RunTime: time.Millisecond}
@@ -199,8 +198,8 @@
 	t.Fatal("the wide task never started")
 }
 
-// Symptom: one team has the failure domain to itself. Sequence: it sends ten
-// times as many tasks, earlier. Cause: first come, first served.
+// Guards against one team using the whole failure domain because it submitted its tasks
+// first, as under first come, first served.
 func TestTeamsShareByDominantResource(t *testing.T) {
 	placer := newPlacer(DefaultScoredSample(), 10)
 	cpu := Group{ID: GroupID{Intent: "cpu"}, Team: "a", Urgency: UrgencyNormal, Need: identifier.Resources{MilliCPU: 2000, Memory: 1 << 30}, RunTime: time.Second}
--- a/pkg/placer/policy.go
+++ b/pkg/placer/policy.go
@@ -6,27 +6,27 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Request asks a policy for a worker.
+// Request holds what a policy needs to choose the worker of one task.
 type Request struct {
 	Need identifier.Resources
-	// Accept tells whether a position may be used.
+	// Accept reports whether a position may be used.
 	Accept func(position int) bool
-	// InRack counts the tasks of the same batch by rack number; racks beyond its
-	// length have none.
-	InRack []int
-	// Running counts the tasks of the same batch.
+	// TasksByRack is the number of running tasks of the same batch by rack number. Racks
+	// beyond its length have none.
+	TasksByRack []int
+	// Running is the number of running tasks of the same batch.
 	Running int
-	// OnWorker counts the tasks of the same batch at a position.
-	OnWorker func(position int) int
+	// TasksOnWorker returns the number of running tasks of the same batch at a position.
+	TasksOnWorker func(position int) int
 }
 
-// Policy chooses the worker of a task. It returns a position or -1.
+// Policy chooses the worker of a task. Choose returns a position, or -1 if none fits.
 type Policy interface {
 	Choose(fleet *Fleet, request *Request, random *rand.Rand) int
 }
 
-// FirstFit takes the first worker with room. It packs well and is cheap, but it
-// fills one rack after the other; it stands as a baseline.
+// FirstFit chooses the first worker with enough free capacity. It packs well and is cheap,
+// but fills one rack after the other. It serves as a baseline.
 type FirstFit struct{}
 
 // Choose implements Policy.
@@ -34,15 +34,15 @@
 	return fleet.Next(0, request.Need, request.Accept)
 }
 
-// BestFit looks at every worker and takes the one with the least room left. Its
-// cost grows with the number of workers; it stands as a baseline.
+// BestFit examines all workers and chooses the one with the least capacity left over. Its
+// cost grows with the number of workers. It serves as a baseline.
 type BestFit struct{}
 
 // Choose implements Policy.
 func (BestFit) Choose(fleet *Fleet, request *Request, _ *rand.Rand) int {
 	best, least := -1, int64(0)
 	for position := fleet.free.next(0, request.Need, request.Accept); position >= 0; {
-		left := leftover(fleet, position, request.Need)
+		left := leftoverPermille(fleet, position, request.Need)
 		if best < 0 || left < least {
 			best, least = position, left
 		}
@@ -51,16 +51,16 @@
 	return best
 }
 
-// ScoredSample scores the workers with room that follow a few evenly spaced
-// positions, and takes the best: little room left over, and a rack that has few
-// tasks of the same batch. Set Size before use.
+// ScoredSample scores a sample of workers, the first with enough free capacity after each
+// of a few evenly spaced positions, and chooses the lowest score: little capacity left
+// over, and few tasks of the same batch in the rack and on the worker. Set Size before use.
 type ScoredSample struct {
-	// Size is the number of positions looked at.
+	// Size is the number of positions sampled.
 	Size int
-	// SpreadWeight is the score, in thousandths of a worker left over, of a rack
-	// that has twice the batch's average.
+	// SpreadWeight is the penalty, in thousandths of a worker left over, for a rack that
+	// has twice the batch's average number of tasks.
 	SpreadWeight int64
-	// WorkerWeight is that of a worker that has the whole batch.
+	// WorkerWeight is the penalty for a worker that runs the whole batch.
 	WorkerWeight int64
 }
 
@@ -87,7 +87,7 @@
 			continue
 		}
 		last = position
-		score := leftover(fleet, position, request.Need) + sample.crowding(fleet, position, request)
+		score := leftoverPermille(fleet, position, request.Need) + sample.spreadPenalty(fleet, position, request)
 		if best < 0 || score < least {
 			best, least = position, score
 		}
@@ -95,34 +95,34 @@
 	return best
 }
 
-// crowding scores the batch's share of a rack against its average over racks, and
-// its share of a worker.
-func (sample ScoredSample) crowding(fleet *Fleet, position int, request *Request) int64 {
+// spreadPenalty scores the batch's tasks in the rack, relative to the batch's average per
+// rack, and its tasks on the worker.
+func (sample ScoredSample) spreadPenalty(fleet *Fleet, position int, request *Request) int64 {
 	rack := fleet.Rack(position)
-	if rack >= len(request.InRack) {
+	if rack >= len(request.TasksByRack) {
 		return 0
 	}
-	here := int64(request.InRack[rack])
+	inSameRack := int64(request.TasksByRack[rack])
 	racks := int64(fleet.Racks())
-	score := sample.SpreadWeight * here * racks / (2 * int64(request.Running+1))
-	if here > 0 && request.OnWorker != nil {
-		score += sample.WorkerWeight * int64(request.OnWorker(position)) / int64(request.Running+1)
+	score := sample.SpreadWeight * inSameRack * racks / (2 * int64(request.Running+1))
+	if inSameRack > 0 && request.TasksOnWorker != nil {
+		score += sample.WorkerWeight * int64(request.TasksOnWorker(position)) / int64(request.Running+1)
 	}
 	return score
 }
 
-// leftover returns the room that is left at a position, in thousandths of the
-// worker, as the mean of processors and memory.
-func leftover(fleet *Fleet, position int, need identifier.Resources) int64 {
+// leftoverPermille returns the capacity left over at a position in thousandths of the
+// worker: the mean of processors and memory, plus idle accelerators.
+func leftoverPermille(fleet *Fleet, position int, need identifier.Resources) int64 {
 	left := fleet.Free(position).Sub(need)
 	capacity := fleet.Capacity(position)
 	cpu := permilleOf(int64(left.MilliCPU), int64(capacity.MilliCPU))
 	memory := permilleOf(int64(left.Memory), int64(capacity.Memory))
-	idle := permilleOf(int64(left.Accelerators), int64(capacity.Accelerators))
-	return (cpu+memory)/2 + idle
+	idleAccelerators := permilleOf(int64(left.Accelerators), int64(capacity.Accelerators))
+	return (cpu+memory)/2 + idleAccelerators
 }
 
-// permilleOf returns part as thousandths of whole; none of nothing is zero.
+// permilleOf returns part as thousandths of whole, or zero if whole is zero.
 func permilleOf(part, whole int64) int64 {
 	if whole <= 0 {
 		return 0
--- a/pkg/placer/preempt.go
+++ b/pkg/placer/preempt.go
@@ -8,28 +8,29 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// preemptForBlocked makes room for urgent batches that no worker has room for.
-// Tasks that can be checkpointed go first, and none that is not repeatable. How
-// many go within a window, and how often one task goes, is bounded, so that
-// urgent work can't undo all other work again and again.
+// preemptForBlocked preempts tasks for urgent batches that no worker has capacity for. Among
+// tasks of equal urgency those that can be checkpointed go first; a task that is not
+// repeatable is never preempted. The preemptions per window and per task are limited, so
+// that urgent work can't undo all other work repeatedly.
 func (placer *Placer[P]) preemptForBlocked(round *round) {
-	if placer.windowEnds.Due(round.now) {
-		placer.windowEnds = round.now.Add(placer.Settings.Window)
-		placer.windowCount = 0
+	if placer.windowEnd.Due(round.now) {
+		placer.windowEnd = round.now.Add(placer.Settings.Window)
+		placer.windowPreemptions = 0
 	}
 	for _, group := range round.blocked {
-		if group.Urgency < UrgencyUrgent || group.blocked != BlockedByRoom || placer.awaitsPreempted(group) {
+		if group.Urgency < UrgencyUrgent || group.blocked != BlockedByRoom || placer.hasPendingPreemption(group) {
 			continue
 		}
 		placer.preemptFor(round, group)
 	}
 }
 
-// awaitsPreempted tells whether tasks are leaving a worker for this batch.
-func (placer *Placer[P]) awaitsPreempted(group *group) bool {
-	for _, held := range group.held {
-		for _, running := range placer.fleet.seats[held.position].running {
-			if running.leaving {
+// hasPendingPreemption reports whether preempted tasks still run on a worker that is
+// reserved for the batch.
+func (placer *Placer[P]) hasPendingPreemption(group *group) bool {
+	for _, reservation := range group.reservations {
+		for _, running := range placer.fleet.workers[reservation.position].running {
+			if running.preempting {
 				return true
 			}
 		}
@@ -37,7 +38,8 @@
 	return false
 }
 
-// preemptFor takes, of a sample of workers, the one where the least work is lost.
+// preemptFor preempts tasks on that worker of a sample where the least work is lost, unless
+// that would exceed the limit per window.
 func (placer *Placer[P]) preemptFor(round *round, group *group) {
 	var best []*running
 	bestLoss := time.Duration(0)
@@ -47,7 +49,7 @@
 			best, bestLoss = victims, loss
 		}
 	}
-	if best == nil || placer.windowCount+len(best) > placer.Settings.PreemptionsPerWindow {
+	if best == nil || placer.windowPreemptions+len(best) > placer.Settings.PreemptionsPerWindow {
 		return
 	}
 	placer.cancelReservations(group)
@@ -57,23 +59,24 @@
 	}
 }
 
-// victims returns the least urgent tasks whose leaving makes room for the batch
-// on a worker, and the work that is lost; none when there is no way.
+// victims returns the tasks to preempt on a worker so that a task of the batch fits, the
+// least urgent first, and the work that is lost. It returns none if preemption can't free
+// enough.
 func (placer *Placer[P]) victims(now identifier.Moment, position int, group *group) ([]*running, time.Duration) {
-	candidates := slices.DeleteFunc(slices.Clone(placer.fleet.seats[position].running), func(running *running) bool {
+	candidates := slices.DeleteFunc(slices.Clone(placer.fleet.workers[position].running), func(running *running) bool {
 		return !placer.preemptible(running, group)
 	})
 	slices.SortStableFunc(candidates, func(one, other *running) int {
 		return cmp.Or(
 			cmp.Compare(one.group.Urgency, other.group.Urgency),
-			cmp.Compare(one.lost(now), other.lost(now)),
+			cmp.Compare(one.lostWork(now), other.lostWork(now)),
 		)
 	})
 	free := placer.fleet.Free(position)
 	loss := time.Duration(0)
 	for count, candidate := range candidates {
 		free = free.Add(candidate.charge)
-		loss += candidate.lost(now)
+		loss += candidate.lostWork(now)
 		if group.Need.Fits(free) {
 			return candidates[:count+1], loss
 		}
@@ -82,15 +85,15 @@
 }
 
 func (placer *Placer[P]) preemptible(running *running, by *group) bool {
-	if running.leaving || running.group.Urgency >= by.Urgency || !running.group.Repeatable {
+	if running.preempting || running.group.Urgency >= by.Urgency || !running.group.Repeatable {
 		return false
 	}
-	count := placer.preempted.Get(running.task)
+	count := placer.preemptionCounts.Get(running.task)
 	return count == nil || *count < placer.Settings.PreemptionsPerTask
 }
 
-// lost returns the work that is lost when a task is preempted at now.
-func (running *running) lost(now identifier.Moment) time.Duration {
+// lostWork returns the run time that is lost if the task is preempted at now.
+func (running *running) lostWork(now identifier.Moment) time.Duration {
 	if running.group.Checkpointable {
 		return 0
 	}
@@ -98,13 +101,13 @@
 }
 
 func (placer *Placer[P]) preempt(round *round, victim *running, by *group) {
-	victim.leaving = true
-	placer.windowCount++
+	victim.preempting = true
+	placer.windowPreemptions++
 	count := 1
-	if former := placer.preempted.Get(victim.task); former != nil {
-		count += *former
+	if earlier := placer.preemptionCounts.Get(victim.task); earlier != nil {
+		count += *earlier
 	}
-	placer.preempted.Put(victim.task, &count)
+	placer.preemptionCounts.Put(victim.task, &count)
 	kind := DecisionStop
 	if victim.group.Checkpointable {
 		kind = DecisionCheckpoint
@@ -112,7 +115,7 @@
 	round.decisions = append(round.decisions, Decision{
 		Kind:   kind,
 		Task:   victim.task,
-		Worker: placer.fleet.seats[victim.position].worker.ID,
+		Worker: placer.fleet.workers[victim.position].worker.ID,
 		Group:  victim.group.ID,
 		For:    by.ID,
 	})
--- a/pkg/placer/reserve.go
+++ b/pkg/placer/reserve.go
@@ -7,36 +7,36 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// reservation keeps a worker for the next task of a batch. Without it a stream of
-// narrow tasks would take every bit of room before a wide task could gather
-// enough, which would show as a wide batch that waits while utilisation is high.
+// reservation keeps a worker for the next task of a batch. Without it a stream of small
+// tasks would use all capacity as soon as it is free, so that a task that needs most of a
+// worker would keep waiting while utilisation is high.
 type reservation struct {
 	group    *group
 	position int
-	// at is when the room is expected to be there. Others may use the worker for
-	// tasks that end before. Once at has passed nobody else may, so the worker
-	// drains however far off the declared run times were.
-	at identifier.Moment
+	// availableAt is when the capacity is expected to be free. Other batches may use the
+	// worker for tasks that are expected to end by then. After that time they may not, so
+	// the worker drains however wrong the declared run times were.
+	availableAt identifier.Moment
 }
 
-// reservationSample is the number of workers looked at for a reservation.
+// reservationSample is the number of positions sampled for a reservation.
 const reservationSample = 16
 
-// reserveBlocked gives reservations to blocked batches, the most urgent and the
-// longest waiting first, one each.
+// reserveBlocked makes one reservation for each blocked batch that has waited for
+// ReserveAfter, the most urgent and then the longest waiting first.
 func (placer *Placer[P]) reserveBlocked(round *round) {
 	if len(placer.reservations) >= placer.reservationLimit() {
 		return
 	}
-	due := slices.DeleteFunc(slices.Clone(round.blocked), func(group *group) bool {
-		waits := round.now.Sub(group.since) < placer.Settings.ReserveAfter
-		return waits || len(group.held) > 0 || group.blocked == BlockedByQuota
+	eligible := slices.DeleteFunc(slices.Clone(round.blocked), func(group *group) bool {
+		tooEarly := round.now.Sub(group.waitingSince) < placer.Settings.ReserveAfter
+		return tooEarly || len(group.reservations) > 0 || group.blocked == BlockedByQuota
 	})
-	slices.SortStableFunc(due, func(one, other *group) int {
-		urgency := cmp.Compare(other.effective(round.now, placer.Settings.Aging), one.effective(round.now, placer.Settings.Aging))
-		return cmp.Or(urgency, cmp.Compare(one.since, other.since))
+	slices.SortStableFunc(eligible, func(one, other *group) int {
+		urgency := cmp.Compare(other.effectiveUrgency(round.now, placer.Settings.Aging), one.effectiveUrgency(round.now, placer.Settings.Aging))
+		return cmp.Or(urgency, cmp.Compare(one.waitingSince, other.waitingSince))
 	})
-	for _, group := range due {
+	for _, group := range eligible {
 		if len(placer.reservations) >= placer.reservationLimit() {
 			return
 		}
@@ -48,12 +48,12 @@
 	return max(1, len(placer.fleet.positions)*placer.Settings.ReservedPermille/permille)
 }
 
-// reserveEarliest reserves, of a sample of workers that are large enough, the one
-// that is expected to have room first.
+// reserveEarliest reserves that worker, of a sample of large enough ones, which is expected
+// to have enough free capacity first.
 func (placer *Placer[P]) reserveEarliest(now identifier.Moment, group *group) {
 	best, bestAt := -1, identifier.Never
 	for _, position := range placer.sampleByCapacity(group.Need) {
-		at := placer.roomAt(now, position, group.Need)
+		at := placer.earliestFit(now, position, group.Need)
 		if best < 0 || at < bestAt {
 			best, bestAt = position, at
 		}
@@ -67,13 +67,13 @@
 	placer.reserve(group, best, bestAt)
 }
 
-// sampleByCapacity returns unreserved workers that could run need when empty.
+// sampleByCapacity returns a sample of unreserved workers whose total capacity fits need.
 func (placer *Placer[P]) sampleByCapacity(need identifier.Resources) []int {
 	count := placer.fleet.Len()
 	if count == 0 {
 		return nil
 	}
-	unreserved := func(position int) bool { return placer.fleet.seats[position].held == nil }
+	unreserved := func(position int) bool { return placer.fleet.workers[position].reservation == nil }
 	var positions []int
 	offset := placer.random.IntN(count)
 	for step := range reservationSample {
@@ -92,9 +92,10 @@
 	return positions
 }
 
-// roomAt returns the moment at which a worker is expected to have room for need.
-func (placer *Placer[P]) roomAt(now identifier.Moment, position int, need identifier.Resources) identifier.Moment {
-	ending := slices.Clone(placer.fleet.seats[position].running)
+// earliestFit returns the time at which need is expected to fit on a worker, by the expected
+// ends of its tasks.
+func (placer *Placer[P]) earliestFit(now identifier.Moment, position int, need identifier.Resources) identifier.Moment {
+	ending := slices.Clone(placer.fleet.workers[position].running)
 	slices.SortStableFunc(ending, func(one, other *running) int {
 		return cmp.Compare(one.expectedEnd, other.expectedEnd)
 	})
@@ -110,34 +111,34 @@
 	return at
 }
 
-func (placer *Placer[P]) reserve(group *group, position int, at identifier.Moment) {
-	held := &reservation{group: group, position: position, at: at}
-	placer.fleet.seats[position].held = held
-	placer.reservations = append(placer.reservations, held)
-	group.held = append(group.held, held)
+func (placer *Placer[P]) reserve(group *group, position int, availableAt identifier.Moment) {
+	created := &reservation{group: group, position: position, availableAt: availableAt}
+	placer.fleet.workers[position].reservation = created
+	placer.reservations = append(placer.reservations, created)
+	group.reservations = append(group.reservations, created)
 }
 
 func (placer *Placer[P]) ownReservation(group *group, position int) *reservation {
-	for _, held := range group.held {
-		if held.position == position {
-			return held
+	for _, reservation := range group.reservations {
+		if reservation.position == position {
+			return reservation
 		}
 	}
 	return nil
 }
 
 func (placer *Placer[P]) cancelReservations(group *group) {
-	for len(group.held) > 0 {
-		placer.cancelReservation(group.held[0])
+	for len(group.reservations) > 0 {
+		placer.cancelReservation(group.reservations[0])
 	}
 }
 
-func (placer *Placer[P]) cancelReservation(held *reservation) {
-	if held == nil {
+func (placer *Placer[P]) cancelReservation(canceled *reservation) {
+	if canceled == nil {
 		return
 	}
-	other := func(kept *reservation) bool { return kept == held }
-	placer.fleet.seats[held.position].held = nil
-	held.group.held = slices.DeleteFunc(held.group.held, other)
-	placer.reservations = slices.DeleteFunc(placer.reservations, other)
+	matches := func(candidate *reservation) bool { return candidate == canceled }
+	placer.fleet.workers[canceled.position].reservation = nil
+	canceled.group.reservations = slices.DeleteFunc(canceled.group.reservations, matches)
+	placer.reservations = slices.DeleteFunc(placer.reservations, matches)
 }
--- a/pkg/placer/tree.go
+++ b/pkg/placer/tree.go
@@ -2,18 +2,18 @@
 
 import "github.com/stoathitch/stoathitch/pkg/identifier"
 
-// nothing is the value of a position that no need fits.
-var nothing = identifier.Resources{MilliCPU: -1, Memory: -1, Accelerators: -1}
+// unavailable is the value of a vacant or unusable position; no need fits it.
+var unavailable = identifier.Resources{MilliCPU: -1, Memory: -1, Accelerators: -1}
 
-// maxTree is a binary tree over positions. Each node holds the largest amount of
-// each resource below it, so that the next position with enough room is found in
-// a number of steps that grows with the logarithm of the number of positions.
+// maxTree is a binary tree over positions. Each node holds the maximum of each resource
+// below it, so that the next position with enough resources is found in steps that grow with
+// the logarithm of the number of positions.
 type maxTree struct {
 	size  int
 	nodes []identifier.Resources
 }
 
-// set stores the room at a position.
+// set stores the resources of a position.
 func (tree *maxTree) set(position int, room identifier.Resources) {
 	tree.grow(position + 1)
 	node := tree.size + position
@@ -27,8 +27,8 @@
 	}
 }
 
-// next returns the first position from from on with room for need that accept
-// agrees to, or -1.
+// next returns the first position, searching from from, that fits need and that accept, if
+// any, returns true for, or -1.
 func (tree *maxTree) next(from int, need identifier.Resources, accept func(position int) bool) int {
 	if tree.size == 0 {
 		return -1
@@ -57,16 +57,16 @@
 	if count <= tree.size {
 		return
 	}
-	former := *tree
-	tree.size = max(1, former.size)
+	previous := *tree
+	tree.size = max(1, previous.size)
 	for tree.size < count {
 		tree.size *= 2
 	}
 	tree.nodes = make([]identifier.Resources, 2*tree.size)
 	for node := range tree.nodes {
-		tree.nodes[node] = nothing
+		tree.nodes[node] = unavailable
 	}
-	copy(tree.nodes[tree.size:], former.nodes[former.size:])
+	copy(tree.nodes[tree.size:], previous.nodes[previous.size:])
 	for node := tree.size - 1; node >= 1; node-- {
 		tree.nodes[node] = tree.nodes[2*node].Max(tree.nodes[2*node+1])
 	}
