--- a/pkg/leaser/granter.go
+++ b/pkg/leaser/granter.go
@@ -1,14 +1,14 @@
-// Package leaser decides who may run a task and until when. A Granter (on the
-// host that leads a failure domain's workers) gives a worker a lease on a task;
-// a Holder (on the worker) stops the task when its lease is over.
+// Package leaser decides which worker may run a task and until when. A Granter, on the
+// host that leads a failure domain's workers, grants a worker a lease on a task; a
+// Holder, on the worker, stops the task when its lease expires.
 //
-// Clocks of different hosts are never compared. Every heartbeat of a worker
-// carries a reading of the worker's own clock, which the granter only echoes.
-// The holder counts a lease from the echoed reading, the granter counts it from
-// the arrival of that heartbeat, which is later; and the holder stops earlier by
-// the drift allowance. So however long a message was on its way, the holder has
-// stopped before the granter frees the task, as long as the two clocks drift
-// apart by less than the allowance within one lease.
+// Clocks of different hosts are never compared. Each heartbeat of a worker carries a
+// reading of the worker's own clock, which the granter only echoes. The holder counts a
+// lease from the echoed reading, and the granter from the arrival of that heartbeat,
+// which is later; the holder also stops earlier by the drift allowance. However long a
+// message was delayed, the holder has therefore stopped before the granter frees the
+// task, as long as the two clocks drift apart by less than the allowance within one
+// lease.
 package leaser
 
 import (
@@ -18,18 +18,18 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// HolderMoment is a reading of a worker's own monotonic clock. It means nothing
-// on another host, which can only echo it.
+// HolderMoment is a reading of a worker's own monotonic clock. It has no meaning on
+// another host, which can only echo it.
 type HolderMoment int64
 
-// Number orders leases. The granter's epoch stands in the upper half, so that a
-// later granter's numbers lie above those of all former ones.
+// Number orders leases. The upper half holds the granter's epoch, so that the numbers of
+// a later granter are higher than those of all former ones.
 type Number uint64
 
-// epochShift is the position of the epoch within a Number.
+// epochShift is the bit offset of the epoch within a Number.
 const epochShift = 32
 
-// Epoch returns the epoch of the granter that gave the lease.
+// Epoch returns the epoch of the granter that granted the lease.
 func (number Number) Epoch() identifier.Epoch { return identifier.Epoch(number >> epochShift) }
 
 // Lease is the granter's record of a worker's right to run a task.
@@ -37,127 +37,128 @@
 	Task   identifier.TaskID
 	Worker identifier.WorkerID
 	Number Number
-	// FreeAt is the moment, on the granter's clock, from which the task may be
-	// leased again.
+	// FreeAt is the time on the granter's clock from which the task may be leased again.
 	FreeAt identifier.Moment
 }
 
-// Grant is what the worker is told of a new or renewed lease.
+// Grant is the message that notifies a worker of a new or renewed lease.
 type Grant struct {
 	Task   identifier.TaskID `cbor:"1,keyasint,omitempty"`
 	Number Number            `cbor:"2,keyasint,omitempty"`
-	// Echo is the worker's own reading from which Length counts.
+	// Echo is the reading of the worker's own clock from which Length counts.
 	Echo HolderMoment `cbor:"3,keyasint,omitempty"`
-	// Length travels as an interval, since the deadline differs on each clock.
+	// Length is sent as a duration, since the deadline differs on each clock.
 	Length time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// Granter gives, renews and frees leases. Set the exported fields before use.
+// Granter grants, renews and expires leases. Set the exported fields before use.
 type Granter struct {
-	// Epoch is above that of every former granter of the same workers.
+	// Epoch is higher than that of every former granter of the same workers.
 	Epoch identifier.Epoch
-	// Length is how long a lease lasts without renewal.
+	// Length is the duration of a lease without renewal.
 	Length time.Duration
-	// QuietUntil is the moment until which leases of a former granter may be
-	// valid; nothing is granted before it, but leases can be adopted.
+	// QuietUntil ends the quiet period, in which leases of a former granter may still be
+	// valid; before it nothing is granted, but leases can be adopted.
 	QuietUntil identifier.Moment
 
-	last Number
-	// earliest is not after the end of any lease. Renewals only put ends off, so it
-	// need not be brought up to date before it falls due.
-	earliest identifier.Moment
-	leases   *tabulator.Table[identifier.TaskID, Lease]
-	contacts *tabulator.Table[identifier.WorkerID, contact]
+	lastNumber Number
+	// earliestEnd is a lower bound for the end of all leases. Renewals only extend
+	// leases, so it needs no update before it is due.
+	earliestEnd identifier.Moment
+	leases      *tabulator.Table[identifier.TaskID, Lease]
+	heartbeats  *tabulator.Table[identifier.WorkerID, heartbeat]
 }
 
-// contact is the last heartbeat of a worker.
-type contact struct {
-	echo    HolderMoment
-	arrived identifier.Moment
+// heartbeat is the last heartbeat of a worker.
+type heartbeat struct {
+	clock      HolderMoment
+	receivedAt identifier.Moment
 }
 
-// Heartbeat records a worker's reading, which later grants echo. A reading that
-// is not above the last one is late or repeated and is passed over.
+// Heartbeat records a reading of a worker's clock, which later grants echo. A reading
+// that is not above the last one is late or repeated and is ignored.
 func (granter *Granter) Heartbeat(now identifier.Moment, worker identifier.WorkerID, reading HolderMoment) {
 	granter.prepare()
-	last := granter.contacts.Get(worker)
-	if last != nil && reading <= last.echo {
+	last := granter.heartbeats.Get(worker)
+	if last != nil && reading <= last.clock {
 		return
 	}
-	granter.contacts.Put(worker, &contact{echo: reading, arrived: now})
+	granter.heartbeats.Put(worker, &heartbeat{clock: reading, receivedAt: now})
 }
 
-// Forget drops a worker's last reading, when its connection is closed: a process
-// that took its place has another clock. Its leases stay until they run out.
+// Forget drops a worker's last reading when its connection closes: a process that
+// replaces it has another clock. Its leases stay until they expire.
 func (granter *Granter) Forget(worker identifier.WorkerID) {
 	granter.prepare()
-	granter.contacts.Remove(worker)
+	granter.heartbeats.Remove(worker)
 }
 
-// Grant leases a task to a worker. It fails with KindHeld while any other lease
-// on the task may be valid, and with KindSilent when the worker's last heartbeat
-// is older than half a lease, since the lease would begin nearly used up.
+// Grant leases a task to a worker. It fails with KindQuiet within the quiet period, with
+// KindHeld while another lease on the task may be valid, and with KindSilent when the
+// worker's last heartbeat is older than half a lease, since little of the lease would be
+// left at its start.
 func (granter *Granter) Grant(now identifier.Moment, task identifier.TaskID, worker identifier.WorkerID) (Grant, error) {
 	granter.prepare()
 	if now.Before(granter.QuietUntil) {
-		return Grant{}, failure("grant", KindQuiet)
+		return Grant{}, newError("grant", KindQuiet)
 	}
 	if granter.leases.Get(task) != nil {
-		return Grant{}, failure("grant", KindHeld)
+		return Grant{}, newError("grant", KindHeld)
 	}
 	if !granter.Heard(now, worker) {
-		return Grant{}, failure("grant", KindSilent)
+		return Grant{}, newError("grant", KindSilent)
 	}
-	last := granter.contacts.Get(worker)
-	granter.last = max(granter.last+1, Number(granter.Epoch)<<epochShift+1)
-	lease := &Lease{Task: task, Worker: worker, Number: granter.last, FreeAt: last.arrived.Add(granter.Length)}
-	granter.keep(lease)
-	return granter.message(lease, last.echo), nil
+	heartbeat := granter.heartbeats.Get(worker)
+	granter.lastNumber = max(granter.lastNumber+1, Number(granter.Epoch)<<epochShift+1)
+	lease := &Lease{Task: task, Worker: worker, Number: granter.lastNumber, FreeAt: heartbeat.receivedAt.Add(granter.Length)}
+	granter.store(lease)
+	return granter.newGrant(lease, heartbeat.clock), nil
 }
 
-// Heard tells whether the worker was heard recently enough to lease to it.
+// Heard reports whether the worker's last heartbeat is recent enough for a new lease.
 func (granter *Granter) Heard(now identifier.Moment, worker identifier.WorkerID) bool {
 	granter.prepare()
-	last := granter.contacts.Get(worker)
-	return last != nil && now.Sub(last.arrived) <= granter.Length/2
+	heartbeat := granter.heartbeats.Get(worker)
+	return heartbeat != nil && now.Sub(heartbeat.receivedAt) <= granter.Length/2
 }
 
-// Renew prolongs the lease that a heartbeat names. Call Heartbeat first. A lease
-// that is over stays over: the task may already be promised to somebody else.
+// Renew extends the lease that a heartbeat names. Call Heartbeat first. An expired lease
+// is never renewed: the task may already be leased to another worker.
 func (granter *Granter) Renew(now identifier.Moment, task identifier.TaskID, worker identifier.WorkerID, number Number) (Grant, error) {
 	granter.prepare()
 	lease := granter.leases.Get(task)
-	last := granter.contacts.Get(worker)
-	if lease == nil || last == nil || lease.Worker != worker || lease.Number != number {
-		return Grant{}, failure("renew", KindUnknown)
+	heartbeat := granter.heartbeats.Get(worker)
+	if lease == nil || heartbeat == nil || lease.Worker != worker || lease.Number != number {
+		return Grant{}, newError("renew", KindUnknown)
 	}
 	if lease.FreeAt.Due(now) {
-		return Grant{}, failure("renew", KindRanOut)
+		return Grant{}, newError("renew", KindRanOut)
 	}
-	lease.FreeAt = max(lease.FreeAt, last.arrived.Add(granter.Length))
-	return granter.message(lease, last.echo), nil
+	lease.FreeAt = max(lease.FreeAt, heartbeat.receivedAt.Add(granter.Length))
+	return granter.newGrant(lease, heartbeat.clock), nil
 }
 
-// Adopt takes over a lease of a former granter that a worker reports within the
-// quiet time. The former granter must have lost the right to grant before.
+// Adopt takes over a lease of a former granter that a worker reports within the quiet
+// period. The former granter must have lost the right to grant before that.
 func (granter *Granter) Adopt(now identifier.Moment, task identifier.TaskID, worker identifier.WorkerID, number Number) (Grant, error) {
 	granter.prepare()
 	if !now.Before(granter.QuietUntil) || number.Epoch() >= granter.Epoch {
-		return Grant{}, failure("adopt", KindStale)
+		return Grant{}, newError("adopt", KindStale)
 	}
-	last := granter.contacts.Get(worker)
-	if last == nil {
-		return Grant{}, failure("adopt", KindSilent)
+	heartbeat := granter.heartbeats.Get(worker)
+	if heartbeat == nil {
+		return Grant{}, newError("adopt", KindSilent)
 	}
 	if granter.leases.Get(task) != nil {
-		return Grant{}, failure("adopt", KindHeld)
+		return Grant{}, newError("adopt", KindHeld)
 	}
-	lease := &Lease{Task: task, Worker: worker, Number: number, FreeAt: last.arrived.Add(granter.Length)}
-	granter.keep(lease)
-	return granter.message(lease, last.echo), nil
+	lease := &Lease{Task: task, Worker: worker, Number: number, FreeAt: heartbeat.receivedAt.Add(granter.Length)}
+	granter.store(lease)
+	return granter.newGrant(lease, heartbeat.clock), nil
 }
 
-// Release ends a lease whose holder has said that the task no longer runs.
+// Release ends a lease whose holder has reported that the task no longer runs. It
+// returns false if no such lease exists.
 func (granter *Granter) Release(task identifier.TaskID, number Number) bool {
 	granter.prepare()
 	lease := granter.leases.Get(task)
@@ -167,53 +168,53 @@
 	return granter.leases.Remove(task)
 }
 
-// Get returns the lease on a task, or nil.
+// Get returns the lease on a task, or nil if there is none.
 func (granter *Granter) Get(task identifier.TaskID) *Lease {
 	granter.prepare()
 	return granter.leases.Get(task)
 }
 
-// Expire removes and returns the leases that are over at now.
+// Expire removes and returns the leases that have expired at now.
 func (granter *Granter) Expire(now identifier.Moment) []Lease {
 	granter.prepare()
-	if !granter.earliest.Due(now) {
+	if !granter.earliestEnd.Due(now) {
 		return nil
 	}
 	var expired []Lease
-	granter.earliest = identifier.Never
+	granter.earliestEnd = identifier.Never
 	granter.leases.Each(func(task identifier.TaskID, lease *Lease) bool {
 		if lease.FreeAt.Due(now) {
 			expired = append(expired, *lease)
 			granter.leases.Remove(task)
 			return true
 		}
-		granter.earliest = identifier.Earlier(granter.earliest, lease.FreeAt)
+		granter.earliestEnd = identifier.Earlier(granter.earliestEnd, lease.FreeAt)
 		return true
 	})
 	return expired
 }
 
-// NextDeadline returns a moment that is not after the end of any lease, at which
-// Expire is due.
+// NextDeadline returns the time at which Expire is due next. It is a lower bound for the
+// end of all leases.
 func (granter *Granter) NextDeadline() identifier.Moment {
 	granter.prepare()
-	return granter.earliest
+	return granter.earliestEnd
 }
 
-// keep takes a lease into the table.
-func (granter *Granter) keep(lease *Lease) {
+// store adds a lease to the table and lowers earliestEnd if needed.
+func (granter *Granter) store(lease *Lease) {
 	granter.leases.Put(lease.Task, lease)
-	granter.earliest = identifier.Earlier(granter.earliest, lease.FreeAt)
+	granter.earliestEnd = identifier.Earlier(granter.earliestEnd, lease.FreeAt)
 }
 
-func (granter *Granter) message(lease *Lease, echo HolderMoment) Grant {
+func (granter *Granter) newGrant(lease *Lease, echo HolderMoment) Grant {
 	return Grant{Task: lease.Task, Number: lease.Number, Echo: echo, Length: granter.Length}
 }
 
 func (granter *Granter) prepare() {
 	if granter.leases == nil {
-		granter.earliest = identifier.Never
+		granter.earliestEnd = identifier.Never
 		granter.leases = tabulator.New[identifier.TaskID, Lease]()
-		granter.contacts = tabulator.New[identifier.WorkerID, contact]()
+		granter.heartbeats = tabulator.New[identifier.WorkerID, heartbeat]()
 	}
 }
--- a/pkg/leaser/holder.go
+++ b/pkg/leaser/holder.go
@@ -7,118 +7,121 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// Held is the holder's record of its own right to run a task.
-type Held struct {
+// HeldLease is the holder's record of a lease that it holds.
+type HeldLease struct {
 	Number Number
-	// EndsAt is the moment, on the holder's clock, at which the task must have
-	// stopped.
+	// EndsAt is the time on the holder's clock at which the task must have stopped.
 	EndsAt identifier.Moment
 }
 
-// Holder keeps the leases of one worker. Set the exported fields before use.
+// Holder keeps track of the leases that one worker holds. Set the exported fields before use.
 type Holder struct {
-	// Drift is how much earlier than the granter the holder regards a lease as
-	// over. It must exceed the drift of two clocks within one lease and the time
-	// that a task takes to stop.
+	// Drift is how much earlier than the granter the holder treats a lease as expired.
+	// It must exceed the drift between two clocks within one lease and the time that a
+	// task takes to stop.
 	Drift time.Duration
 
-	highest Number
-	epoch   identifier.Epoch
-	held    *tabulator.Table[identifier.TaskID, Held]
+	highestNumber Number
+	lowestEpoch   identifier.Epoch
+	leases        *tabulator.Table[identifier.TaskID, HeldLease]
 }
 
-// Accept takes a new lease. A grant that was on its way for so long that it is
-// already over is refused, and so is a number that is not above the highest one
-// seen: it is a repeated or overtaken message, and the task may have run already.
+// Accept records a new lease. It fails with KindRanOut if the lease expired before the
+// grant arrived, and with KindStale if its epoch is too low or its number is not above the
+// highest one seen: the message is repeated or out of order, and the task may have run
+// already.
 func (holder *Holder) Accept(now identifier.Moment, grant Grant) error {
 	holder.prepare()
-	if grant.Number <= holder.highest || grant.Number.Epoch() < holder.epoch {
-		return failure("accept", KindStale)
+	if grant.Number <= holder.highestNumber || grant.Number.Epoch() < holder.lowestEpoch {
+		return newError("accept", KindStale)
 	}
-	holder.highest = grant.Number
-	holder.epoch = max(holder.epoch, grant.Number.Epoch())
-	ends := holder.end(grant)
-	if ends.Due(now) {
-		return failure("accept", KindRanOut)
+	holder.highestNumber = grant.Number
+	holder.lowestEpoch = max(holder.lowestEpoch, grant.Number.Epoch())
+	endsAt := holder.deadline(grant)
+	if endsAt.Due(now) {
+		return newError("accept", KindRanOut)
 	}
-	holder.held.Put(grant.Task, &Held{Number: grant.Number, EndsAt: ends})
+	holder.leases.Put(grant.Task, &HeldLease{Number: grant.Number, EndsAt: endsAt})
 	return nil
 }
 
-// Renew prolongs a lease that is still valid at now. One that is over is not
-// prolonged, however late its renewal was sent.
+// Renew extends a lease that is still valid at now. An expired lease is not extended,
+// whenever its renewal was sent.
 func (holder *Holder) Renew(now identifier.Moment, grant Grant) error {
 	holder.prepare()
-	held := holder.held.Get(grant.Task)
-	if held == nil || held.Number != grant.Number {
-		return failure("renew", KindUnknown)
+	lease := holder.leases.Get(grant.Task)
+	if lease == nil || lease.Number != grant.Number {
+		return newError("renew", KindUnknown)
 	}
-	if held.EndsAt.Due(now) {
-		return failure("renew", KindRanOut)
+	if lease.EndsAt.Due(now) {
+		return newError("renew", KindRanOut)
 	}
-	held.EndsAt = max(held.EndsAt, holder.end(grant))
+	lease.EndsAt = max(lease.EndsAt, holder.deadline(grant))
 	return nil
 }
 
-// Follow raises the lowest epoch from which leases are accepted.
-func (holder *Holder) Follow(epoch identifier.Epoch) { holder.epoch = max(holder.epoch, epoch) }
+// Follow raises the lowest epoch whose leases are accepted; a lower epoch is ignored.
+func (holder *Holder) Follow(epoch identifier.Epoch) {
+	holder.lowestEpoch = max(holder.lowestEpoch, epoch)
+}
 
-// Valid tells whether the task may run at now.
+// Valid reports whether the task has a lease that is valid at now.
 func (holder *Holder) Valid(now identifier.Moment, task identifier.TaskID) bool {
 	holder.prepare()
-	held := holder.held.Get(task)
-	return held != nil && !held.EndsAt.Due(now)
+	lease := holder.leases.Get(task)
+	return lease != nil && !lease.EndsAt.Due(now)
 }
 
-// Release drops a lease, when its task has ended.
+// Release drops the lease of a task that has ended.
 func (holder *Holder) Release(task identifier.TaskID) {
 	holder.prepare()
-	holder.held.Remove(task)
+	holder.leases.Remove(task)
 }
 
-// RanOut removes and returns the tasks that must stop, since their lease is over.
+// RanOut drops the leases that have expired at now and returns their tasks, which must
+// stop.
 func (holder *Holder) RanOut(now identifier.Moment) []identifier.TaskID {
 	holder.prepare()
-	var over []identifier.TaskID
-	holder.held.Each(func(task identifier.TaskID, held *Held) bool {
-		if held.EndsAt.Due(now) {
-			over = append(over, task)
-			holder.held.Remove(task)
+	var expired []identifier.TaskID
+	holder.leases.Each(func(task identifier.TaskID, lease *HeldLease) bool {
+		if lease.EndsAt.Due(now) {
+			expired = append(expired, task)
+			holder.leases.Remove(task)
 		}
 		return true
 	})
-	return over
+	return expired
 }
 
-// Tasks returns the tasks with a lease, in the order in which they were accepted.
+// Tasks returns the tasks that have a lease, in the order of acceptance.
 func (holder *Holder) Tasks() []identifier.TaskID {
 	holder.prepare()
-	return holder.held.Keys()
+	return holder.leases.Keys()
 }
 
-// Get returns the lease on a task, or nil.
-func (holder *Holder) Get(task identifier.TaskID) *Held {
+// Get returns the lease on a task, or nil if there is none.
+func (holder *Holder) Get(task identifier.TaskID) *HeldLease {
 	holder.prepare()
-	return holder.held.Get(task)
+	return holder.leases.Get(task)
 }
 
-// NextDeadline returns the moment at which the next lease runs out.
+// NextDeadline returns the time at which the next lease expires, or Never.
 func (holder *Holder) NextDeadline() identifier.Moment {
 	holder.prepare()
 	next := identifier.Never
-	holder.held.Each(func(_ identifier.TaskID, held *Held) bool {
-		next = identifier.Earlier(next, held.EndsAt)
+	holder.leases.Each(func(_ identifier.TaskID, lease *HeldLease) bool {
+		next = identifier.Earlier(next, lease.EndsAt)
 		return true
 	})
 	return next
 }
 
-func (holder *Holder) end(grant Grant) identifier.Moment {
+func (holder *Holder) deadline(grant Grant) identifier.Moment {
 	return identifier.Moment(grant.Echo).Add(grant.Length - holder.Drift)
 }
 
 func (holder *Holder) prepare() {
-	if holder.held == nil {
-		holder.held = tabulator.New[identifier.TaskID, Held]()
+	if holder.leases == nil {
+		holder.leases = tabulator.New[identifier.TaskID, HeldLease]()
 	}
 }
--- a/pkg/leaser/leaser_test.go
+++ b/pkg/leaser/leaser_test.go
@@ -14,55 +14,55 @@
 	testDrift  = time.Second
 )
 
-// flight is a message that the network delays, reorders, repeats or drops.
-type flight struct {
+// message is a grant or heartbeat that the network delays, reorders, repeats or drops.
+type message struct {
 	worker int
 	grant  *Grant
-	// beat is the heartbeat that the flight carries when there is no grant.
-	beat  HolderMoment
-	tasks map[identifier.TaskID]Number
-	renew bool
+	// reading is that of the heartbeat that the message carries if grant is nil.
+	reading HolderMoment
+	tasks   map[identifier.TaskID]Number
+	renew   bool
 }
 
-// Symptom: two workers run the same task. Sequence: a worker dies, is cut off or
-// gets its messages late, its lease is freed and granted to another worker, and
-// then an old grant or renewal arrives. Cause: a lease counted from the arrival
-// of a message, or renewed after it was over.
+// Guards against two workers running the same task. A worker dies, is cut off or receives
+// messages late, its lease expires and the task is leased to another worker, and then an
+// old grant or renewal arrives. The fault would be to count a lease from the arrival of a
+// message, or to renew it after its end.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const workers = 3
 		granter := &Granter{Epoch: 1, Length: testLength}
 		holders := make([]*Holder, workers)
 		offsets := make([]identifier.Moment, workers)
-		// rates are thousandths; the allowance of a tenth of a lease covers them.
+		// Clock rates are in thousandths; the drift allowance of a tenth of a lease covers them.
 		rates := make([]int64, workers)
 		for position := range holders {
 			holders[position] = &Holder{Drift: testDrift}
 			offsets[position] = identifier.Moment(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "offset"))
 			rates[position] = rapid.Int64Range(960, 1040).Draw(t, "rate")
 		}
-		real := identifier.Moment(0)
-		local := func(worker int) identifier.Moment {
-			return offsets[worker] + real/1000*identifier.Moment(rates[worker])
+		trueTime := identifier.Moment(0)
+		localTime := func(worker int) identifier.Moment {
+			return offsets[worker] + trueTime/1000*identifier.Moment(rates[worker])
 		}
 		name := func(worker int) identifier.WorkerID { return identifier.WorkerID(fmt.Sprint("w", worker)) }
-		var flights []flight
+		var messages []message
 		task := identifier.TaskID("task")
-		deliver := func(arrival flight) {
-			worker := arrival.worker
-			if arrival.grant != nil && arrival.renew {
-				_ = holders[worker].Renew(local(worker), *arrival.grant)
+		deliver := func(received message) {
+			worker := received.worker
+			if received.grant != nil && received.renew {
+				_ = holders[worker].Renew(localTime(worker), *received.grant)
 				return
 			}
-			if arrival.grant != nil {
-				_ = holders[worker].Accept(local(worker), *arrival.grant)
+			if received.grant != nil {
+				_ = holders[worker].Accept(localTime(worker), *received.grant)
 				return
 			}
-			granter.Heartbeat(real, name(worker), arrival.beat)
-			for task, number := range arrival.tasks {
-				grant, err := granter.Renew(real, task, name(worker), number)
+			granter.Heartbeat(trueTime, name(worker), received.reading)
+			for task, number := range received.tasks {
+				grant, err := granter.Renew(trueTime, task, name(worker), number)
 				if err == nil {
-					flights = append(flights, flight{worker: worker, grant: &grant, renew: true})
+					messages = append(messages, message{worker: worker, grant: &grant, renew: true})
 				}
 			}
 		}
@@ -73,42 +73,42 @@
 				if held := holders[worker].Get(task); held != nil {
 					tasks[task] = held.Number
 				}
-				flights = append(flights, flight{worker: worker, beat: HolderMoment(local(worker)), tasks: tasks})
+				messages = append(messages, message{worker: worker, reading: HolderMoment(localTime(worker)), tasks: tasks})
 			},
 			"grant": func(t *rapid.T) {
 				worker := rapid.IntRange(0, workers-1).Draw(t, "worker")
-				granter.Expire(real)
-				grant, err := granter.Grant(real, task, name(worker))
+				granter.Expire(trueTime)
+				grant, err := granter.Grant(trueTime, task, name(worker))
 				if err == nil {
-					flights = append(flights, flight{worker: worker, grant: &grant})
+					messages = append(messages, message{worker: worker, grant: &grant})
 				}
 			},
 			"deliver": func(t *rapid.T) {
-				if len(flights) == 0 {
+				if len(messages) == 0 {
 					return
 				}
-				position := rapid.IntRange(0, len(flights)-1).Draw(t, "flight")
-				arrival := flights[position]
+				position := rapid.IntRange(0, len(messages)-1).Draw(t, "flight")
+				received := messages[position]
 				if !rapid.Bool().Draw(t, "repeat") {
-					flights = append(flights[:position], flights[position+1:]...)
+					messages = append(messages[:position], messages[position+1:]...)
 				}
-				deliver(arrival)
+				deliver(received)
 			},
 			"die": func(t *rapid.T) {
 				worker := rapid.IntRange(0, workers-1).Draw(t, "worker")
-				holders[worker] = &Holder{Drift: testDrift, highest: holders[worker].highest}
+				holders[worker] = &Holder{Drift: testDrift, highestNumber: holders[worker].highestNumber}
 				granter.Forget(name(worker))
 			},
 			"wait": func(t *rapid.T) {
-				real += identifier.Moment(rapid.Int64Range(0, int64(6*time.Second)).Draw(t, "wait"))
+				trueTime += identifier.Moment(rapid.Int64Range(0, int64(6*time.Second)).Draw(t, "wait"))
 			},
 			"": func(t *rapid.T) {
 				running := 0
 				for worker, holder := range holders {
-					if holder.Valid(local(worker), task) {
+					if holder.Valid(localTime(worker), task) {
 						running++
 						lease := granter.Get(task)
-						if lease == nil || lease.FreeAt.Due(real) {
+						if lease == nil || lease.FreeAt.Due(trueTime) {
 							t.Fatalf("w%d runs the task after the granter freed it", worker)
 						}
 					}
@@ -121,8 +121,8 @@
 	})
 }
 
-// Symptom: a task goes on although its lease was over for a while. Sequence: the
-// renewal is sent in time and arrives after the end. Cause: renewing in the past.
+// Guards against a task that continues after its lease has expired: a renewal that was
+// sent in time arrives after the end of the lease and must not extend it.
 func TestLeaseThatRanOutStaysOver(t *testing.T) {
 	granter := &Granter{Epoch: 1, Length: testLength}
 	holder := &Holder{Drift: testDrift}
