--- a/pkg/guarder/guarder.go
+++ b/pkg/guarder/guarder.go
@@ -1,10 +1,10 @@
-// Package guarder decides what a running task is charged for and what is done
-// when it uses more than was declared.
+// Package guarder decides what a running task is charged for and which action is
+// taken when it uses more than its declaration.
 //
-// Usage reports lag behind. A report says how old its measurement is, and the
-// guarder acts on the moment of the measurement, never on its arrival: reports
-// that are overtaken are passed over, and a pause between reports does not count
-// as a time of overuse.
+// Usage reports arrive late. Each report carries the age of its measurement, and
+// the guarder uses the time of the measurement, never that of its arrival: reports
+// older than the last one are ignored, and a gap between reports does not count as
+// overuse.
 package guarder
 
 import (
@@ -17,14 +17,15 @@
 
 //go:generate enumer -type=Act -transform=kebab -trimprefix=Act -text
 
-// Act is what is done to a task that goes beyond its declaration, mildest first.
+// Act is an action against a task that exceeds its declaration; acts are ordered from
+// the mildest to the hardest.
 type Act int
 
-// The acts.
+// The acts, mildest first.
 const (
-	// ActNone leaves the task alone.
+	// ActNone does nothing.
 	ActNone Act = iota
-	// ActThrottle holds the task's processors to what was declared.
+	// ActThrottle limits the task's processor time to its declaration.
 	ActThrottle
 	// ActCheckpoint saves the task's progress and ends it on this worker.
 	ActCheckpoint
@@ -32,24 +33,25 @@
 	ActStop
 )
 
-// Settings say how patient the guarder is. Shares are in thousandths.
+// Settings configure when the guarder acts, and which acts it may use. Shares are in
+// thousandths.
 type Settings struct {
-	// TolerancePermille is the share of the declaration up to which nothing is done.
+	// TolerancePermille is the share of the declaration up to which usage is tolerated.
 	TolerancePermille int64
-	// Grace is the time of overuse after which the task is throttled, and again
-	// the time between one act and the next harder one.
+	// Grace is how long overuse must last before the first act, and the minimum time
+	// between one act and the next harder one.
 	Grace time.Duration
-	// CrowdedDivisor divides Grace while neighbours suffer.
-	CrowdedDivisor int64
-	// HalfLife is the time in which a peak that is not seen again is halved.
+	// ContendedDivisor divides Grace while neighbours of the task are affected.
+	ContendedDivisor int64
+	// HalfLife is the time in which a peak that is not reached again decays to half.
 	HalfLife time.Duration
-	// StaleAfter is the age of the last measurement from which it is not trusted:
-	// the task is then charged its declaration at the least.
+	// StaleAfter is the age beyond which the last measurement is stale: the task is
+	// then charged at least its declaration.
 	StaleAfter time.Duration
 	// RunTimePermille is the share of the declared run time after which a task is
-	// checkpointed and then stopped; zero lets tasks run on.
+	// checkpointed and then stopped; zero disables the limit.
 	RunTimePermille int64
-	// MayThrottle, MayCheckpoint and MayStop allow the acts.
+	// MayThrottle, MayCheckpoint and MayStop enable the individual acts.
 	MayThrottle   bool
 	MayCheckpoint bool
 	MayStop       bool
@@ -60,7 +62,7 @@
 	return Settings{
 		TolerancePermille: 1100,
 		Grace:             10 * time.Second,
-		CrowdedDivisor:    4,
+		ContendedDivisor:  4,
 		HalfLife:          30 * time.Second,
 		StaleAfter:        20 * time.Second,
 		RunTimePermille:   8000,
@@ -70,153 +72,156 @@
 	}
 }
 
-// Declaration is what was declared for a task, after learned corrections.
+// Declaration holds the declared resources and run time of a task, after learned
+// corrections.
 type Declaration struct {
 	Need    identifier.Resources
 	RunTime time.Duration
-	// Checkpointable tells whether the task can save its progress.
+	// Checkpointable reports whether the task can save its progress.
 	Checkpointable bool
 }
 
-// Report is one measurement of a task.
+// Report is one measurement of a task's resource usage.
 type Report struct {
 	Task identifier.TaskID    `cbor:"1,keyasint,omitempty"`
 	Used identifier.Resources `cbor:"2,keyasint,omitempty"`
-	// Age is the time on the worker's clock between the measurement and the
-	// sending of the report.
+	// Age is the time between the measurement and the sending of the report, on the
+	// worker's clock.
 	Age time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// Action is an act upon a task with its explanation.
+// Action is an act due for a task, with the reason for operators.
 type Action struct {
 	Task   identifier.TaskID
 	Act    Act
 	Reason string
 }
 
-// Guarder watches the running tasks. Set Settings before use.
+// Guarder tracks the usage of running tasks. Set Settings before use.
 type Guarder struct {
 	Settings Settings
 
-	watched *tabulator.Table[identifier.TaskID, watch]
+	tasks *tabulator.Table[identifier.TaskID, taskState]
 }
 
-// watch is what is known of one running task.
-type watch struct {
-	declaration Declaration
-	startedAt   identifier.Moment
-	measuredAt  identifier.Moment
-	measured    bool
-	used        identifier.Resources
-	highest     identifier.Resources
-	peak        peak
-	overSince   identifier.Moment
-	actedAt     identifier.Moment
-	act         Act
-	crowded     bool
+// taskState is the guarder's record of one running task.
+type taskState struct {
+	declaration  Declaration
+	startedAt    identifier.Moment
+	measuredAt   identifier.Moment
+	measured     bool
+	used         identifier.Resources
+	highestUsed  identifier.Resources
+	peak         peak
+	overuseSince identifier.Moment
+	actedAt      identifier.Moment
+	act          Act
+	contended    bool
 }
 
-// Watch begins to watch a task that starts at now.
+// Watch starts tracking a task that starts at now.
 func (guarder *Guarder) Watch(now identifier.Moment, task identifier.TaskID, declaration Declaration) {
 	guarder.prepare()
-	guarder.watched.Put(task, &watch{
-		declaration: declaration,
-		startedAt:   now,
-		measuredAt:  now,
-		peak:        peak{value: identifier.Resources{Memory: declaration.Need.Memory}, at: now},
-		overSince:   identifier.Never,
+	guarder.tasks.Put(task, &taskState{
+		declaration:  declaration,
+		startedAt:    now,
+		measuredAt:   now,
+		peak:         peak{value: identifier.Resources{Memory: declaration.Need.Memory}, at: now},
+		overuseSince: identifier.Never,
 	})
 }
 
-// Forget ends the watch and returns the highest usage that was measured.
+// Forget stops tracking a task. It returns the highest usage of each resource and
+// whether anything was measured.
 func (guarder *Guarder) Forget(task identifier.TaskID) (highest identifier.Resources, measured bool) {
 	guarder.prepare()
-	watch := guarder.watched.Get(task)
-	if watch == nil {
+	taskState := guarder.tasks.Get(task)
+	if taskState == nil {
 		return identifier.Resources{}, false
 	}
-	guarder.watched.Remove(task)
-	return watch.highest, watch.measured
+	guarder.tasks.Remove(task)
+	return taskState.highestUsed, taskState.measured
 }
 
-// Report takes a measurement that arrives at now. It tells whether it was newer
-// than the last one; an older one changes nothing.
+// Report records a measurement that arrives at now. It reports whether the measurement
+// was newer than the last one; an older one changes nothing.
 func (guarder *Guarder) Report(now identifier.Moment, report Report) bool {
 	guarder.prepare()
-	watch := guarder.watched.Get(report.Task)
-	if watch == nil {
+	taskState := guarder.tasks.Get(report.Task)
+	if taskState == nil {
 		return false
 	}
-	at := max(now.Add(-max(report.Age, 0)), watch.startedAt)
-	if watch.measured && at <= watch.measuredAt {
+	at := max(now.Add(-max(report.Age, 0)), taskState.startedAt)
+	if taskState.measured && at <= taskState.measuredAt {
 		return false
 	}
-	if watch.measured && at.Sub(watch.measuredAt) > guarder.Settings.StaleAfter {
-		watch.overSince = identifier.Never
+	if taskState.measured && at.Sub(taskState.measuredAt) > guarder.Settings.StaleAfter {
+		taskState.overuseSince = identifier.Never
 	}
-	watch.measuredAt = at
-	watch.measured = true
-	watch.used = report.Used
-	watch.highest = watch.highest.Max(report.Used)
-	watch.peak.raise(at, report.Used, guarder.Settings.HalfLife)
-	guarder.noteOveruse(watch)
+	taskState.measuredAt = at
+	taskState.measured = true
+	taskState.used = report.Used
+	taskState.highestUsed = taskState.highestUsed.Max(report.Used)
+	taskState.peak.raise(at, report.Used, guarder.Settings.HalfLife)
+	guarder.recordOveruse(taskState)
 	return true
 }
 
-// Crowded says whether the neighbours of a task suffer, so that less patience is due.
+// Crowded sets whether the neighbours of a task are affected, which shortens its grace.
 func (guarder *Guarder) Crowded(task identifier.TaskID, crowded bool) {
 	guarder.prepare()
-	if watch := guarder.watched.Get(task); watch != nil {
-		watch.crowded = crowded
+	if taskState := guarder.tasks.Get(task); taskState != nil {
+		taskState.contended = crowded
 	}
 }
 
-// Charge returns what a task is charged at now: its declaration until the first
-// report, then the larger of the last measurement and the decayed peak. The peak of
-// memory begins at the declaration, since a task that is given too little of it
-// kills its neighbours; too few processors only slow them down. While the last measurement is stale the declaration
-// is charged at the least, since the task may have grown unseen.
+// Charge returns the resources that a task is charged at now: its declaration until the
+// first report, then the larger of the last measurement and the decayed peak. The memory
+// peak starts at the declaration, since charging a task too little memory kills its
+// neighbours, while too little processor time only slows them down. While the last
+// measurement is stale, at least the declaration is charged, since the task may have
+// grown since.
 func (guarder *Guarder) Charge(now identifier.Moment, task identifier.TaskID) identifier.Resources {
 	guarder.prepare()
-	watch := guarder.watched.Get(task)
-	if watch == nil {
+	taskState := guarder.tasks.Get(task)
+	if taskState == nil {
 		return identifier.Resources{}
 	}
-	if !watch.measured {
-		return watch.declaration.Need
+	if !taskState.measured {
+		return taskState.declaration.Need
 	}
-	charge := watch.used.Max(watch.peak.decayed(now, guarder.Settings.HalfLife))
-	if now.Sub(watch.measuredAt) > guarder.Settings.StaleAfter {
-		charge = charge.Max(watch.declaration.Need).Max(watch.peak.value)
+	charge := taskState.used.Max(taskState.peak.decayed(now, guarder.Settings.HalfLife))
+	if now.Sub(taskState.measuredAt) > guarder.Settings.StaleAfter {
+		charge = charge.Max(taskState.declaration.Need).Max(taskState.peak.value)
 	}
-	// Accelerators are whole and exclusive: an idle one cannot be lent.
-	charge.Accelerators = max(charge.Accelerators, watch.declaration.Need.Accelerators)
+	// Accelerators are whole and exclusive: an idle one can't be given to another task.
+	charge.Accelerators = max(charge.Accelerators, taskState.declaration.Need.Accelerators)
 	return charge
 }
 
-// Act returns what is due at now for one task, and remembers that it was done.
+// Act returns the action due at now for one task, and records it as taken.
 func (guarder *Guarder) Act(now identifier.Moment, task identifier.TaskID) (Action, bool) {
 	guarder.prepare()
-	watch := guarder.watched.Get(task)
-	if watch == nil || watch.act == ActStop {
+	taskState := guarder.tasks.Get(task)
+	if taskState == nil || taskState.act == ActStop {
 		return Action{}, false
 	}
-	if guarder.ranTooLong(now, watch) {
-		reason := fmt.Sprintf("ran for %s, declared were %s", now.Sub(watch.startedAt), watch.declaration.RunTime)
-		return guarder.escalate(now, task, watch, max(watch.act, ActThrottle), reason)
+	if guarder.exceedsRunTime(now, taskState) {
+		reason := fmt.Sprintf("ran for %s, declared were %s", now.Sub(taskState.startedAt), taskState.declaration.RunTime)
+		return guarder.escalate(now, task, taskState, max(taskState.act, ActThrottle), reason)
 	}
-	if !guarder.overuseIsDue(watch) {
+	if !guarder.overuseExceedsGrace(taskState) {
 		return Action{}, false
 	}
-	reason := overuse(watch)
-	return guarder.escalate(now, task, watch, watch.act, reason)
+	reason := describeOveruse(taskState)
+	return guarder.escalate(now, task, taskState, taskState.act, reason)
 }
 
-// Actions returns what is due at now for every task.
+// Actions returns the actions due at now for all tasks, and records them as taken.
 func (guarder *Guarder) Actions(now identifier.Moment) []Action {
 	guarder.prepare()
 	var actions []Action
-	for _, task := range guarder.watched.Keys() {
+	for _, task := range guarder.tasks.Keys() {
 		if action, due := guarder.Act(now, task); due {
 			actions = append(actions, action)
 		}
@@ -224,58 +229,58 @@
 	return actions
 }
 
-// noteOveruse keeps the moment since which every measurement lay beyond the
-// tolerance. A measurement within it forgives the time before, but a throttle
-// stays: the next act is a harder one.
-func (guarder *Guarder) noteOveruse(watch *watch) {
-	if !beyond(watch.used, watch.declaration.Need, guarder.Settings.TolerancePermille) {
-		watch.overSince = identifier.Never
+// recordOveruse tracks since when every measurement has exceeded the tolerance. A
+// measurement within the tolerance resets that time but not the last act, so a throttle
+// stays and the next act is a harder one.
+func (guarder *Guarder) recordOveruse(taskState *taskState) {
+	if !exceeds(taskState.used, taskState.declaration.Need, guarder.Settings.TolerancePermille) {
+		taskState.overuseSince = identifier.Never
 		return
 	}
-	watch.overSince = identifier.Earlier(watch.overSince, watch.measuredAt)
+	taskState.overuseSince = identifier.Earlier(taskState.overuseSince, taskState.measuredAt)
 }
 
-// overuseIsDue tells whether measured overuse lasted for the grace since it
-// began or since the last act, as far as measurements show it.
-func (guarder *Guarder) overuseIsDue(watch *watch) bool {
-	if watch.overSince == identifier.Never {
+// overuseExceedsGrace reports whether measurements show that overuse has lasted for the
+// grace period since it began or since the last act.
+func (guarder *Guarder) overuseExceedsGrace(taskState *taskState) bool {
+	if taskState.overuseSince == identifier.Never {
 		return false
 	}
-	since := watch.overSince
-	if watch.act != ActNone {
-		since = max(since, watch.actedAt)
+	since := taskState.overuseSince
+	if taskState.act != ActNone {
+		since = max(since, taskState.actedAt)
 	}
-	return watch.measuredAt.Sub(since) >= guarder.grace(watch)
+	return taskState.measuredAt.Sub(since) >= guarder.grace(taskState)
 }
 
-func (guarder *Guarder) ranTooLong(now identifier.Moment, watch *watch) bool {
+func (guarder *Guarder) exceedsRunTime(now identifier.Moment, taskState *taskState) bool {
 	share := guarder.Settings.RunTimePermille
-	if share == 0 || watch.declaration.RunTime == 0 {
+	if share == 0 || taskState.declaration.RunTime == 0 {
 		return false
 	}
-	limit := watch.declaration.RunTime / permille * time.Duration(share)
-	if watch.act > ActThrottle {
-		limit = max(limit, watch.actedAt.Sub(watch.startedAt)+guarder.grace(watch))
+	limit := taskState.declaration.RunTime / permille * time.Duration(share)
+	if taskState.act > ActThrottle {
+		limit = max(limit, taskState.actedAt.Sub(taskState.startedAt)+guarder.grace(taskState))
 	}
-	return now.Sub(watch.startedAt) > limit
+	return now.Sub(taskState.startedAt) > limit
 }
 
-func (guarder *Guarder) grace(watch *watch) time.Duration {
-	if !watch.crowded {
+func (guarder *Guarder) grace(taskState *taskState) time.Duration {
+	if !taskState.contended {
 		return guarder.Settings.Grace
 	}
-	return guarder.Settings.Grace / time.Duration(max(guarder.Settings.CrowdedDivisor, 1))
+	return guarder.Settings.Grace / time.Duration(max(guarder.Settings.ContendedDivisor, 1))
 }
 
-// escalate takes the mildest allowed act that is harder than the last one.
-func (guarder *Guarder) escalate(now identifier.Moment, task identifier.TaskID, watch *watch, last Act, reason string) (Action, bool) {
+// escalate records and returns the mildest allowed act that is harder than last.
+func (guarder *Guarder) escalate(now identifier.Moment, task identifier.TaskID, taskState *taskState, last Act, reason string) (Action, bool) {
 	for act := last + 1; act <= ActStop; act++ {
-		if !guarder.allowed(act, watch) {
+		if !guarder.allowed(act, taskState) {
 			continue
 		}
-		watch.act = act
-		watch.actedAt = now
-		if watch.crowded {
+		taskState.act = act
+		taskState.actedAt = now
+		if taskState.contended {
 			reason += "; its neighbours suffer"
 		}
 		return Action{Task: task, Act: act, Reason: reason}, true
@@ -283,13 +288,13 @@
 	return Action{}, false
 }
 
-func (guarder *Guarder) allowed(act Act, watch *watch) bool {
+func (guarder *Guarder) allowed(act Act, taskState *taskState) bool {
 	switch act {
 	case ActThrottle:
-		over := watch.used.MilliCPU > watch.declaration.Need.MilliCPU
+		over := taskState.used.MilliCPU > taskState.declaration.Need.MilliCPU
 		return guarder.Settings.MayThrottle && over
 	case ActCheckpoint:
-		return guarder.Settings.MayCheckpoint && watch.declaration.Checkpointable
+		return guarder.Settings.MayCheckpoint && taskState.declaration.Checkpointable
 	case ActStop:
 		return guarder.Settings.MayStop
 	default:
@@ -298,21 +303,23 @@
 }
 
 func (guarder *Guarder) prepare() {
-	if guarder.watched == nil {
-		guarder.watched = tabulator.New[identifier.TaskID, watch]()
+	if guarder.tasks == nil {
+		guarder.tasks = tabulator.New[identifier.TaskID, taskState]()
 	}
 }
 
-// beyond tells whether used exceeds the tolerated share of need anywhere.
-func beyond(used, need identifier.Resources, tolerance int64) bool {
+// exceeds reports whether used exceeds the tolerated share of need for any resource.
+// Accelerators have no tolerance.
+func exceeds(used, need identifier.Resources, tolerance int64) bool {
 	return int64(used.MilliCPU)*permille > int64(need.MilliCPU)*tolerance ||
 		int64(used.Memory)*permille > int64(need.Memory)*tolerance ||
 		used.Accelerators > need.Accelerators
 }
 
-// overuse explains what a task uses beyond its declaration.
-func overuse(watch *watch) string {
-	used, need := watch.used, watch.declaration.Need
+// describeOveruse names the resource, memory or processors, that exceeds the declaration
+// by the larger factor.
+func describeOveruse(taskState *taskState) string {
+	used, need := taskState.used, taskState.declaration.Need
 	if int64(used.Memory)*int64(max(need.MilliCPU, 1)) > int64(need.Memory)*int64(used.MilliCPU) {
 		return fmt.Sprintf("uses %d bytes, declared were %d", used.Memory, need.Memory)
 	}
--- a/pkg/guarder/guarder_test.go
+++ b/pkg/guarder/guarder_test.go
@@ -62,9 +62,9 @@
 	})
 }
 
-// Symptom: neighbours are killed because a worker was given more than it has.
-// Sequence: reports lag, arrive late, twice or out of order, and a task grows
-// unseen. Cause: charging less than the newest measurement, or trusting a stale one.
+// Guards against overcommitting a worker, which kills the neighbours of a task. Reports
+// arrive late, twice or out of order while the task grows. The fault would be to charge
+// less than the newest measurement, or to trust a stale one.
 func TestChargeNeverBelowWhatIsKnown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		guarder := &Guarder{Settings: DefaultSettings()}
--- a/pkg/guarder/learner.go
+++ b/pkg/guarder/learner.go
@@ -7,69 +7,71 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// Kind names what a team's batches have in common, such as a program's name.
+// Kind is a team's name for batches of the same sort of work, such as a program's name.
 type Kind string
 
-// KindKey tells the batches that are learned of together.
+// KindKey identifies the batches that share one learned correction.
 type KindKey struct {
 	Team identifier.TeamID `cbor:"1,keyasint,omitempty"`
 	Kind Kind              `cbor:"2,keyasint,omitempty"`
 }
 
-// Correction is what was learned of declarations: factors in thousandths by
-// which the declared amounts are multiplied.
+// Correction holds learned factors, in thousandths, by which declared amounts are
+// multiplied.
 type Correction struct {
 	MilliCPUPermille int64 `cbor:"1,keyasint,omitempty" json:"milli-cpu-permille"`
 	MemoryPermille   int64 `cbor:"2,keyasint,omitempty" json:"memory-permille"`
 	RunTimePermille  int64 `cbor:"3,keyasint,omitempty" json:"run-time-permille"`
-	// Samples counts the tasks that were learned from.
+	// Samples counts the observed tasks.
 	Samples int `cbor:"4,keyasint,omitempty" json:"samples"`
 }
 
-// Neutral is the correction of a kind of which nothing was learned.
+// Neutral is the correction that changes nothing, used for a kind without observations.
 var Neutral = Correction{MilliCPUPermille: permille, MemoryPermille: permille, RunTimePermille: permille}
 
-// The bounds of what is learned.
+// The limits and rates of learning.
 const (
-	// leastSamples is the number of tasks from which a correction is applied.
-	leastSamples = 4
-	// lowestFactor and highestFactor bound a factor, so that a few odd tasks can
-	// neither make a task free nor bar it from every worker.
-	lowestFactor  = permille / 4
-	highestFactor = permille * 8
-	// riseDivisor and fallDivisor say how much of a deviation is taken over from
-	// one task: too small a declaration hurts neighbours, so factors rise fast
-	// and fall slowly.
+	// minSamples is the number of observed tasks from which on a correction is applied.
+	minSamples = 4
+	// minFactor and maxFactor bound a factor, so that a few outliers can neither make a
+	// task nearly free of charge nor too large for every worker.
+	minFactor = permille / 4
+	maxFactor = permille * 8
+	// riseDivisor and fallDivisor divide the deviation that one task adds to a factor:
+	// a declaration that is too small hurts neighbours, so factors rise fast and fall
+	// slowly.
 	riseDivisor = 2
 	fallDivisor = 16
 )
 
-// Learner keeps corrections for each team and kind. Set Limit before use.
+// Learner keeps a correction for each team and kind. Set Limit before use.
 type Learner struct {
-	// Limit is the highest number of kinds kept; the one that was learned of
-	// longest ago gives way.
+	// Limit is the maximum number of kinds kept; the least recently updated one is
+	// evicted. Zero means no limit.
 	Limit int
 
 	corrections *tabulator.Table[KindKey, Correction]
 }
 
-// Observe learns from a task that ended normally.
+// Observe updates the correction of a kind from a task that ended normally, given its
+// declaration, highest usage and run time.
 func (learner *Learner) Observe(key KindKey, declared Declaration, highest identifier.Resources, runTime time.Duration) {
 	learner.prepare()
 	correction := Neutral
 	if known := learner.corrections.Get(key); known != nil {
 		correction = *known
 	}
-	correction.MilliCPUPermille = follow(correction.MilliCPUPermille, int64(highest.MilliCPU), int64(declared.Need.MilliCPU))
-	correction.MemoryPermille = follow(correction.MemoryPermille, int64(highest.Memory), int64(declared.Need.Memory))
-	correction.RunTimePermille = follow(correction.RunTimePermille, int64(runTime/time.Microsecond), int64(declared.RunTime/time.Microsecond))
+	correction.MilliCPUPermille = adjustFactor(correction.MilliCPUPermille, int64(highest.MilliCPU), int64(declared.Need.MilliCPU))
+	correction.MemoryPermille = adjustFactor(correction.MemoryPermille, int64(highest.Memory), int64(declared.Need.Memory))
+	correction.RunTimePermille = adjustFactor(correction.RunTimePermille, int64(runTime/time.Microsecond), int64(declared.RunTime/time.Microsecond))
 	correction.Samples++
 	learner.corrections.Remove(key)
 	learner.corrections.Put(key, &correction)
 	learner.dropOldest()
 }
 
-// Correction returns what applies to a kind: Neutral until enough was seen.
+// Correction returns the correction to apply to a kind: Neutral until enough tasks were
+// observed.
 func (learner *Learner) Correction(key KindKey) Correction {
 	learner.prepare()
 	known := learner.corrections.Get(key)
@@ -79,7 +81,8 @@
 	return known.Effective()
 }
 
-// Known returns all that was learned of a kind, even if it is too little to apply.
+// Known returns the learned correction of a kind, even if it has too few samples to
+// apply.
 func (learner *Learner) Known(key KindKey) Correction {
 	learner.prepare()
 	known := learner.corrections.Get(key)
@@ -89,13 +92,13 @@
 	return *known
 }
 
-// Learned is what is known of one kind.
+// Learned is the learned correction of one kind.
 type Learned struct {
 	Key        KindKey    `cbor:"1,keyasint,omitempty"`
 	Correction Correction `cbor:"2,keyasint,omitempty"`
 }
 
-// All returns everything known, what was learned longest ago first.
+// All returns all corrections, the least recently updated first.
 func (learner *Learner) All() []Learned {
 	learner.prepare()
 	var all []Learned
@@ -106,7 +109,8 @@
 	return all
 }
 
-// Seed takes over what another learner knew, if it saw more tasks than this one.
+// Seed replaces the correction of a kind by another learner's, if that one has more
+// samples.
 func (learner *Learner) Seed(key KindKey, correction Correction) {
 	if correction.Samples <= learner.Known(key).Samples {
 		return
@@ -116,17 +120,17 @@
 	learner.dropOldest()
 }
 
-// Effective returns what is to be applied: nothing until enough tasks were seen.
+// Effective returns the correction to apply: Neutral until enough tasks were observed.
 func (correction Correction) Effective() Correction {
-	if correction.Samples < leastSamples {
+	if correction.Samples < minSamples {
 		return Neutral
 	}
 	return correction
 }
 
-// Apply returns the corrected declaration. Run times are corrected both ways,
-// resources only upwards: a task is charged at least its declaration until its
-// own first report, so that an odd large task among small ones finds its room.
+// Apply returns the corrected declaration. Run times are corrected both ways, resources
+// only upwards: a task is charged at least its declaration until its own first report, so
+// that an unusually large task among small ones gets the resources that it declared.
 func (correction Correction) Apply(declared Declaration) Declaration {
 	corrected := identifier.Resources{
 		MilliCPU: declared.Need.MilliCPU * identifier.MilliCPU(correction.MilliCPUPermille) / permille,
@@ -138,14 +142,14 @@
 }
 
 func (learner *Learner) dropOldest() {
-	keys := learner.corrections.Len() - learner.Limit
-	if learner.Limit == 0 || keys <= 0 {
+	excess := learner.corrections.Len() - learner.Limit
+	if learner.Limit == 0 || excess <= 0 {
 		return
 	}
 	learner.corrections.Each(func(key KindKey, _ *Correction) bool {
 		learner.corrections.Remove(key)
-		keys--
-		return keys > 0
+		excess--
+		return excess > 0
 	})
 }
 
@@ -155,16 +159,16 @@
 	}
 }
 
-// follow moves a factor towards what one task showed.
-func follow(factor, observed, declared int64) int64 {
+// adjustFactor moves a factor towards the ratio of observed to declared of one task.
+func adjustFactor(factor, observed, declared int64) int64 {
 	if declared <= 0 {
 		return factor
 	}
-	shown := observed * permille / declared
+	ratio := observed * permille / declared
 	divisor := int64(fallDivisor)
-	if shown > factor {
+	if ratio > factor {
 		divisor = riseDivisor
 	}
-	factor += (shown - factor) / divisor
-	return min(max(factor, lowestFactor), highestFactor)
+	factor += (ratio - factor) / divisor
+	return min(max(factor, minFactor), maxFactor)
 }
--- a/pkg/guarder/peak.go
+++ b/pkg/guarder/peak.go
@@ -9,20 +9,20 @@
 // permille is the number of thousandths in a whole.
 const permille = 1000
 
-// peak is a highest usage that fades: it is halved in each half-life.
+// peak is a highest usage that decays: it is halved in each half-life.
 type peak struct {
 	value identifier.Resources
 	at    identifier.Moment
 }
 
-// raise lets the peak fade until at and lifts it to used.
+// raise decays the peak to the time at and raises it to at least used.
 func (peak *peak) raise(at identifier.Moment, used identifier.Resources, halfLife time.Duration) {
 	peak.value = peak.decayed(at, halfLife).Max(used)
 	peak.at = max(at, peak.at)
 }
 
-// decayed returns the peak as it has faded at now, in integers so that every
-// host computes the same: halved for each whole half-life, and linear between.
+// decayed returns the peak as decayed at now: halved for each whole half-life, and linear
+// in between. It computes in integers, so that all hosts get the same result.
 func (peak *peak) decayed(now identifier.Moment, halfLife time.Duration) identifier.Resources {
 	elapsed := max(now.Sub(peak.at), 0)
 	if halfLife <= 0 || elapsed == 0 {
