--- a/pkg/planner/driver.go
+++ b/pkg/planner/driver.go
@@ -181,7 +181,7 @@
 	if driver.intents == nil {
 		return DomainStatus{FailureDomain: driver.FailureDomain, Settling: true}
 	}
-	picture := DomainStatus{FailureDomain: driver.FailureDomain, Rooms: driver.Placer.Rooms()}
+	picture := DomainStatus{FailureDomain: driver.FailureDomain, Workers: driver.Placer.Rooms()}
 	picture.Settling = now.Before(driver.workersKnownAt) || driver.workers.Len() == 0
 	loads := driver.Placer.Loads(now)
 	picture.Loads = loads[:]
--- a/pkg/planner/golden_test.go
+++ b/pkg/planner/golden_test.go
@@ -125,7 +125,7 @@
 	for number := range count {
 		room := placer.Room{Rack: identifier.RackID(fmt.Sprint(domain, "-r", number/8)), Capacity: capacity, Free: capacity}
 		room.Free.MilliCPU = identifier.MilliCPU(free)
-		picture.Rooms = append(picture.Rooms, room)
+		picture.Workers = append(picture.Workers, room)
 	}
 	var running int
 	data.MaybeScanArgs(t, "background", &running)
--- a/pkg/planner/picture.go
+++ b/pkg/planner/picture.go
@@ -9,7 +9,7 @@
 // it, and plans are based on it.
 type DomainStatus struct {
 	FailureDomain identifier.FailureDomain `cbor:"1,keyasint,omitempty"`
-	Rooms         []placer.Room            `cbor:"2,keyasint,omitempty"`
+	Workers       []placer.Room            `cbor:"2,keyasint,omitempty"`
 	// Loads holds the load of each urgency, indexed by urgency.
 	Loads []placer.Load `cbor:"3,keyasint,omitempty"`
 	// Settling reports whether the lead is new and may not know all its workers yet. Capacity
@@ -20,7 +20,7 @@
 // capacity returns the total capacity of all workers.
 func (picture *DomainStatus) capacity() identifier.Resources {
 	var sum identifier.Resources
-	for _, room := range picture.Rooms {
+	for _, room := range picture.Workers {
 		sum = sum.Add(room.Capacity)
 	}
 	return sum
@@ -29,7 +29,7 @@
 // fitNow returns how many tasks of a need fit into the free capacity.
 func (picture *DomainStatus) fitNow(need identifier.Resources) int {
 	count := 0
-	for _, room := range picture.Rooms {
+	for _, room := range picture.Workers {
 		count += need.CountIn(room.Free)
 	}
 	return count
@@ -38,7 +38,7 @@
 // fitEmpty returns how many tasks of a need would fit if nothing ran.
 func (picture *DomainStatus) fitEmpty(need identifier.Resources) int {
 	count := 0
-	for _, room := range picture.Rooms {
+	for _, room := range picture.Workers {
 		count += need.CountIn(room.Capacity)
 	}
 	return count
@@ -75,8 +75,8 @@
 
 // reserve subtracts the need of count tasks from the free capacity.
 func (picture *DomainStatus) reserve(need identifier.Resources, count int) {
-	for position := range picture.Rooms {
-		room := &picture.Rooms[position]
+	for position := range picture.Workers {
+		room := &picture.Workers[position]
 		taken := min(need.CountIn(room.Free), count)
 		room.Free = room.Free.Sub(need.Times(taken))
 		count -= taken
@@ -92,7 +92,7 @@
 	var racks []identifier.RackID
 	var weights []int
 	numbers := make(map[identifier.RackID]int)
-	for _, room := range picture.Rooms {
+	for _, room := range picture.Workers {
 		number, known := numbers[room.Rack]
 		if !known {
 			number = len(racks)
--- a/pkg/planner/proposer.go
+++ b/pkg/planner/proposer.go
@@ -104,7 +104,7 @@
 	var pictures []DomainStatus
 	for _, picture := range proposer.Domains {
 		if len(spec.MayRun) == 0 || slices.Contains(spec.MayRun, picture.FailureDomain) {
-			picture.Rooms = slices.Clone(picture.Rooms)
+			picture.Workers = slices.Clone(picture.Workers)
 			pictures = append(pictures, picture)
 		}
 	}
--- a/pkg/planner/refuse.go
+++ b/pkg/planner/refuse.go
@@ -103,7 +103,7 @@
 	var nearest identifier.Resources
 	best := int64(-1)
 	for _, picture := range pictures {
-		for _, room := range picture.Rooms {
+		for _, room := range picture.Workers {
 			if need.Fits(room.Capacity) {
 				return need, true
 			}
