--- a/pkg/coordinator/intentplanner.go
+++ b/pkg/coordinator/intentplanner.go
@@ -117,7 +117,7 @@
 	first := intentPlanner.drivers.Get(sync.FailureDomain) == nil || intentPlanner.drivers.Get(sync.FailureDomain).picture == nil
 	if !first && driver.picture == nil {
 		// A new driver knows no workers yet, but their capacity is the same as before.
-		driver.picture = &planner.DomainStatus{FailureDomain: sync.FailureDomain, Workers: intentPlanner.drivers.Get(sync.FailureDomain).picture.Workers, Settling: true}
+		driver.picture = &planner.DomainStatus{FailureDomain: sync.FailureDomain, Workers: intentPlanner.drivers.Get(sync.FailureDomain).picture.Workers, WorkersUnknown: true}
 	}
 	intentPlanner.drivers.Put(sync.FailureDomain, driver)
 	intentPlanner.sendNews(machine, from, sync.FailureDomain, sync.Since)
@@ -254,7 +254,7 @@
 			proposer.Domains = append(proposer.Domains, *driver.picture)
 			continue
 		}
-		proposer.Domains = append(proposer.Domains, planner.DomainStatus{FailureDomain: domain, Settling: true})
+		proposer.Domains = append(proposer.Domains, planner.DomainStatus{FailureDomain: domain, WorkersUnknown: true})
 	}
 	return proposer
 }
--- a/pkg/planner/driver.go
+++ b/pkg/planner/driver.go
@@ -179,10 +179,10 @@
 // Status returns the capacities and loads that plans are based on.
 func (driver *Driver[P]) Status(now identifier.Moment) DomainStatus {
 	if driver.intents == nil {
-		return DomainStatus{FailureDomain: driver.FailureDomain, Settling: true}
+		return DomainStatus{FailureDomain: driver.FailureDomain, WorkersUnknown: true}
 	}
 	picture := DomainStatus{FailureDomain: driver.FailureDomain, Workers: driver.Placer.Rooms()}
-	picture.Settling = now.Before(driver.workersKnownAt) || driver.workers.Len() == 0
+	picture.WorkersUnknown = now.Before(driver.workersKnownAt) || driver.workers.Len() == 0
 	loads := driver.Placer.Loads(now)
 	picture.Loads = loads[:]
 	return picture
--- a/pkg/planner/picture.go
+++ b/pkg/planner/picture.go
@@ -12,9 +12,9 @@
 	Workers       []placer.Room            `cbor:"2,keyasint,omitempty"`
 	// Loads holds the load of each urgency, indexed by urgency.
 	Loads []placer.Load `cbor:"3,keyasint,omitempty"`
-	// Settling reports whether the lead is new and may not know all its workers yet. Capacity
+	// WorkersUnknown reports whether the lead is new and may not know all its workers yet. Capacity
 	// that is missing now may then appear soon.
-	Settling bool `cbor:"4,keyasint,omitempty"`
+	WorkersUnknown bool `cbor:"4,keyasint,omitempty"`
 }
 
 // capacity returns the total capacity of all workers.
--- a/pkg/planner/proposer.go
+++ b/pkg/planner/proposer.go
@@ -66,7 +66,7 @@
 // without allotments and with that reason instead, since the spec may fit later.
 func (draft *draft) result() Plan {
 	for _, picture := range draft.pictures {
-		if picture.Settling {
+		if picture.WorkersUnknown {
 			return Plan{Quota: draft.plan.Quota, Queued: "not all workers of " + string(picture.FailureDomain) + " are known yet"}
 		}
 	}
