--- a/pkg/describer/exchange_test.go
+++ b/pkg/describer/exchange_test.go
@@ -34,7 +34,7 @@
 	picture := planner.DomainStatus{FailureDomain: "thu-duc"}
 	for _, rack := range []identifier.RackID{"thu-duc-rack-0", "thu-duc-rack-1"} {
 		capacity := identifier.Resources{MilliCPU: 16_000, Memory: 64 << 30}
-		picture.Workers = append(picture.Workers, placer.Room{Rack: rack, Capacity: capacity, Free: capacity})
+		picture.Workers = append(picture.Workers, placer.WorkerCapacity{Rack: rack, Capacity: capacity, Free: capacity})
 	}
 	proposer := &planner.Proposer{
 		ConfirmTimeout: planner.DefaultConfirmTimeout, Domains: []planner.DomainStatus{picture}, Correction: exchange.machine.Correction,
--- a/pkg/placer/load.go
+++ b/pkg/placer/load.go
@@ -6,8 +6,8 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Room is the capacity of one worker and what is free of it.
-type Room struct {
+// WorkerCapacity is the capacity of one worker and what is free of it.
+type WorkerCapacity struct {
 	Rack     identifier.RackID    `cbor:"1,keyasint,omitempty"`
 	Capacity identifier.Resources `cbor:"2,keyasint,omitempty"`
 	Free     identifier.Resources `cbor:"3,keyasint,omitempty"`
@@ -25,14 +25,14 @@
 
 // Rooms returns the capacity of each worker. A worker that accepts no new tasks has nothing
 // free.
-func (placer *Placer[P]) Rooms() []Room {
-	var rooms []Room
+func (placer *Placer[P]) Rooms() []WorkerCapacity {
+	var rooms []WorkerCapacity
 	for position := range placer.fleet.workers {
 		workerState := &placer.fleet.workers[position]
 		if !workerState.present {
 			continue
 		}
-		room := Room{Rack: workerState.worker.Rack, Capacity: workerState.worker.Capacity}
+		room := WorkerCapacity{Rack: workerState.worker.Rack, Capacity: workerState.worker.Capacity}
 		if workerState.usable {
 			room.Free = placer.fleet.Free(position)
 		}
--- a/pkg/planner/golden_test.go
+++ b/pkg/planner/golden_test.go
@@ -123,7 +123,7 @@
 	data.MaybeScanArgs(t, "free", &free)
 	picture := DomainStatus{FailureDomain: identifier.FailureDomain(domain), Loads: make([]placer.Load, 3)}
 	for number := range count {
-		room := placer.Room{Rack: identifier.RackID(fmt.Sprint(domain, "-r", number/8)), Capacity: capacity, Free: capacity}
+		room := placer.WorkerCapacity{Rack: identifier.RackID(fmt.Sprint(domain, "-r", number/8)), Capacity: capacity, Free: capacity}
 		room.Free.MilliCPU = identifier.MilliCPU(free)
 		picture.Workers = append(picture.Workers, room)
 	}
--- a/pkg/planner/picture.go
+++ b/pkg/planner/picture.go
@@ -9,7 +9,7 @@
 // it, and plans are based on it.
 type DomainStatus struct {
 	FailureDomain identifier.FailureDomain `cbor:"1,keyasint,omitempty"`
-	Workers       []placer.Room            `cbor:"2,keyasint,omitempty"`
+	Workers       []placer.WorkerCapacity  `cbor:"2,keyasint,omitempty"`
 	// Loads holds the load of each urgency, indexed by urgency.
 	Loads []placer.Load `cbor:"3,keyasint,omitempty"`
 	// WorkersUnknown reports whether the lead is new and may not know all its workers yet. Capacity
