--- a/pkg/placer/load.go
+++ b/pkg/placer/load.go
@@ -23,9 +23,9 @@
 	Work int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Rooms returns the capacity of each worker. A worker that accepts no new tasks has nothing
+// WorkerCapacities returns the capacity of each worker. A worker that accepts no new tasks has nothing
 // free.
-func (placer *Placer[P]) Rooms() []WorkerCapacity {
+func (placer *Placer[P]) WorkerCapacities() []WorkerCapacity {
 	var rooms []WorkerCapacity
 	for position := range placer.fleet.workers {
 		workerState := &placer.fleet.workers[position]
--- a/pkg/planner/driver.go
+++ b/pkg/planner/driver.go
@@ -181,7 +181,7 @@
 	if driver.intents == nil {
 		return DomainStatus{FailureDomain: driver.FailureDomain, WorkersUnknown: true}
 	}
-	picture := DomainStatus{FailureDomain: driver.FailureDomain, Workers: driver.Placer.Rooms()}
+	picture := DomainStatus{FailureDomain: driver.FailureDomain, Workers: driver.Placer.WorkerCapacities()}
 	picture.WorkersUnknown = now.Before(driver.workersKnownAt) || driver.workers.Len() == 0
 	loads := driver.Placer.Loads(now)
 	picture.Loads = loads[:]
