--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -220,9 +220,9 @@
 	placer.charge(charged, change)
 }
 
-// Occupy records a task that already runs on a worker, such as one whose lease was adopted
+// AdoptTask records a task that already runs on a worker, such as one whose lease was adopted
 // from a former lead. It returns false if the worker is unknown or the task already runs.
-func (placer *Placer[P]) Occupy(now identifier.Moment, id GroupID, task identifier.TaskID, worker identifier.WorkerID) bool {
+func (placer *Placer[P]) AdoptTask(now identifier.Moment, id GroupID, task identifier.TaskID, worker identifier.WorkerID) bool {
 	placer.prepare()
 	position, known := placer.fleet.positions[worker]
 	if !known || placer.running.Get(task) != nil {
--- a/pkg/planner/work.go
+++ b/pkg/planner/work.go
@@ -98,7 +98,7 @@
 	if err != nil {
 		return leaser.Grant{}, false
 	}
-	driver.Placer.Occupy(now, batch.group, running.Task, worker)
+	driver.Placer.AdoptTask(now, batch.group, running.Task, worker)
 	driver.recordStart(now, batch, index, worker, running.Number)
 	driver.recordNote(now, intent, "the lead changed: a running task goes on")
 	return grant, true
