--- a/pkg/placer/experiment_test.go
+++ b/pkg/placer/experiment_test.go
@@ -120,7 +120,7 @@
 			continue
 		}
 		delete(trial.pending, task)
-		trial.placer.Done(task)
+		trial.placer.ForgetTask(task)
 		trial.placer.Forget(ended.group.ID)
 	}
 	delete(trial.ends, trial.step)
--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -205,8 +205,8 @@
 	return true
 }
 
-// Done drops the preemption count of a task that will not run again.
-func (placer *Placer[P]) Done(task identifier.TaskID) { placer.preemptionCounts.Remove(task) }
+// ForgetTask drops the preemption count of a task that will not run again.
+func (placer *Placer[P]) ForgetTask(task identifier.TaskID) { placer.preemptionCounts.Remove(task) }
 
 // Recharge changes the resources that a running task is charged.
 func (placer *Placer[P]) Recharge(task identifier.TaskID, charge identifier.Resources) {
--- a/pkg/planner/outcome.go
+++ b/pkg/planner/outcome.go
@@ -164,7 +164,7 @@
 		batch.succeeded++
 	}
 	intent := batch.intent
-	driver.Placer.Done(NewTaskID(intent.name, batch.number, index))
+	driver.Placer.ForgetTask(NewTaskID(intent.name, batch.number, index))
 	last := len(intent.ranges) - 1
 	if last >= 0 && intent.ranges[last].Batch == batch.number && intent.ranges[last].To == index && intent.ranges[last].Outcome == outcome {
 		intent.ranges[last].To++
