--- a/pkg/placer/experiment_test.go
+++ b/pkg/placer/experiment_test.go
@@ -121,7 +121,7 @@
 		}
 		delete(trial.pending, task)
 		trial.placer.ForgetTask(task)
-		trial.placer.Forget(ended.group.ID)
+		trial.placer.ForgetGroup(ended.group.ID)
 	}
 	delete(trial.ends, trial.step)
 }
--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -176,8 +176,8 @@
 	return waiting
 }
 
-// Forget drops a batch, unless it has waiting or running tasks.
-func (placer *Placer[P]) Forget(id GroupID) {
+// ForgetGroup drops a batch, unless it has waiting or running tasks.
+func (placer *Placer[P]) ForgetGroup(id GroupID) {
 	placer.prepare()
 	if group := placer.groups.Get(id); group != nil && group.running == 0 && len(group.waiting) == 0 {
 		placer.groups.Remove(id)
--- a/pkg/planner/outcome.go
+++ b/pkg/planner/outcome.go
@@ -260,7 +260,7 @@
 		return
 	}
 	for _, batch := range intent.batches {
-		driver.Placer.Forget(batch.group)
+		driver.Placer.ForgetGroup(batch.group)
 	}
 	driver.intents.Remove(intent.name)
 }
