--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -208,8 +208,8 @@
 // ForgetTask drops the preemption count of a task that will not run again.
 func (placer *Placer[P]) ForgetTask(task identifier.TaskID) { placer.preemptionCounts.Remove(task) }
 
-// Recharge changes the resources that a running task is charged.
-func (placer *Placer[P]) Recharge(task identifier.TaskID, charge identifier.Resources) {
+// SetCharge changes the resources that a running task is charged.
+func (placer *Placer[P]) SetCharge(task identifier.TaskID, charge identifier.Resources) {
 	placer.prepare()
 	charged := placer.running.Get(task)
 	if charged == nil || charged.charge == charge {
--- a/pkg/placer/placer_test.go
+++ b/pkg/placer/placer_test.go
@@ -135,7 +135,7 @@
 			"recharge": func(t *rapid.T) {
 				if task, any := pick(t); any {
 					charges[task] = identifier.Resources{MilliCPU: identifier.MilliCPU(rapid.IntRange(0, 50_000).Draw(t, "cpu"))}
-					placer.Recharge(task, charges[task])
+					placer.SetCharge(task, charges[task])
 				}
 			},
 			"wait": func(t *rapid.T) {
--- a/pkg/planner/sweep.go
+++ b/pkg/planner/sweep.go
@@ -15,7 +15,7 @@
 	driver.sweepAt = now.Add(driver.Settings.SweepInterval)
 	driver.placementPending = true
 	driver.tasks.Each(func(task identifier.TaskID, _ *driverTask) bool {
-		driver.Placer.Recharge(task, driver.Guarder.Charge(now, task))
+		driver.Placer.SetCharge(task, driver.Guarder.Charge(now, task))
 		return true
 	})
 	driver.tasks.Each(func(task identifier.TaskID, running *driverTask) bool {
--- a/pkg/planner/work.go
+++ b/pkg/planner/work.go
@@ -49,7 +49,7 @@
 	}
 	for _, report := range beat.Reports {
 		if driver.runsOn(report.Task, beat.Worker) && driver.Guarder.Report(now, report) {
-			driver.Placer.Recharge(report.Task, driver.Guarder.Charge(now, report.Task))
+			driver.Placer.SetCharge(report.Task, driver.Guarder.Charge(now, report.Task))
 		}
 	}
 }
