--- a/pkg/leaser/granter.go
+++ b/pkg/leaser/granter.go
@@ -105,7 +105,7 @@
 	if granter.leases.Get(task) != nil {
 		return Grant{}, newError("grant", KindHeld)
 	}
-	if !granter.Heard(now, worker) {
+	if !granter.HasRecentHeartbeat(now, worker) {
 		return Grant{}, newError("grant", KindSilent)
 	}
 	heartbeat := granter.heartbeats.Get(worker)
@@ -115,8 +115,8 @@
 	return granter.newGrant(lease, heartbeat.clock), nil
 }
 
-// Heard reports whether the worker's last heartbeat is recent enough for a new lease.
-func (granter *Granter) Heard(now identifier.Moment, worker identifier.WorkerID) bool {
+// HasRecentHeartbeat reports whether the worker's last heartbeat is recent enough for a new lease.
+func (granter *Granter) HasRecentHeartbeat(now identifier.Moment, worker identifier.WorkerID) bool {
 	granter.prepare()
 	heartbeat := granter.heartbeats.Get(worker)
 	return heartbeat != nil && now.Sub(heartbeat.receivedAt) <= granter.Length/2
--- a/pkg/planner/work.go
+++ b/pkg/planner/work.go
@@ -179,7 +179,7 @@
 // markSilent excludes a worker from placement until its next heartbeat.
 func (driver *Driver[P]) markSilent(now identifier.Moment, id identifier.WorkerID) {
 	worker := driver.workers.Get(id)
-	if worker == nil || driver.Granter.Heard(now, id) {
+	if worker == nil || driver.Granter.HasRecentHeartbeat(now, id) {
 		return
 	}
 	worker.silent = true
