--- a/pkg/leaser/granter.go
+++ b/pkg/leaser/granter.go
@@ -86,9 +86,9 @@
 	granter.heartbeats.Put(worker, &heartbeat{clock: reading, receivedAt: now})
 }
 
-// Forget drops a worker's last reading when its connection closes: a process that
+// ForgetWorker drops a worker's last reading when its connection closes: a process that
 // replaces it has another clock. Its leases stay until they expire.
-func (granter *Granter) Forget(worker identifier.WorkerID) {
+func (granter *Granter) ForgetWorker(worker identifier.WorkerID) {
 	granter.prepare()
 	granter.heartbeats.Remove(worker)
 }
--- a/pkg/leaser/leaser_test.go
+++ b/pkg/leaser/leaser_test.go
@@ -97,7 +97,7 @@
 			"die": func(t *rapid.T) {
 				worker := rapid.IntRange(0, workers-1).Draw(t, "worker")
 				holders[worker] = &Holder{Drift: testDrift, highestNumber: holders[worker].highestNumber}
-				granter.Forget(name(worker))
+				granter.ForgetWorker(name(worker))
 			},
 			"wait": func(t *rapid.T) {
 				trueTime += identifier.Moment(rapid.Int64Range(0, int64(6*time.Second)).Draw(t, "wait"))
--- a/pkg/planner/work.go
+++ b/pkg/planner/work.go
@@ -9,7 +9,7 @@
 // handleWorkerAnnounced adds a worker's process. Its clock starts anew; leases of the
 // worker's earlier process stay until they expire.
 func (driver *Driver[P]) handleWorkerAnnounced(now identifier.Moment, announced WorkerAnnounced) {
-	driver.Granter.Forget(announced.Worker.ID)
+	driver.Granter.ForgetWorker(announced.Worker.ID)
 	driver.Granter.Heartbeat(now, announced.Worker.ID, announced.Reading)
 	driver.Placer.AddWorker(announced.Worker)
 	known := driver.workers.Get(announced.Worker.ID)
@@ -134,7 +134,7 @@
 	}
 	worker.lost = true
 	worker.lostAt = now
-	driver.Granter.Forget(id)
+	driver.Granter.ForgetWorker(id)
 	driver.Placer.SetUsable(id, false)
 }
 
