--- a/pkg/coordinator/fakeworker_test.go
+++ b/pkg/coordinator/fakeworker_test.go
@@ -131,7 +131,7 @@
 	if worker.incarnation != incarnation {
 		return
 	}
-	for _, task := range worker.holder.RanOut(worker.now()) {
+	for _, task := range worker.holder.Expire(worker.now()) {
 		if run := worker.find(task); run != nil {
 			worker.finish(run, planner.EndStopped)
 		}
--- a/pkg/executor/worker.go
+++ b/pkg/executor/worker.go
@@ -105,7 +105,7 @@
 func (worker *worker) stopOverdue() {
 	worker.executor.mutex.Lock()
 	defer worker.executor.mutex.Unlock()
-	for _, over := range worker.holder.RanOut(worker.now()) {
+	for _, over := range worker.holder.Expire(worker.now()) {
 		if task := worker.tasks[string(over)]; task != nil {
 			worker.end(task, &backendv1.Answer{Cancelled: true, Reason: "the lease ran out"})
 		}
--- a/pkg/leaser/holder.go
+++ b/pkg/leaser/holder.go
@@ -78,9 +78,9 @@
 	holder.leases.Remove(task)
 }
 
-// RanOut drops the leases that have expired at now and returns their tasks, which must
+// Expire drops the leases that have expired at now and returns their tasks, which must
 // stop.
-func (holder *Holder) RanOut(now identifier.Moment) []identifier.TaskID {
+func (holder *Holder) Expire(now identifier.Moment) []identifier.TaskID {
 	holder.prepare()
 	var expired []identifier.TaskID
 	holder.leases.Each(func(task identifier.TaskID, lease *HeldLease) bool {
--- a/pkg/planner/world_test.go
+++ b/pkg/planner/world_test.go
@@ -250,7 +250,7 @@
 			world.finish(worker, run, run.end)
 		}
 	}
-	for _, task := range worker.holder.RanOut(world.workerClock(worker)) {
+	for _, task := range worker.holder.Expire(world.workerClock(worker)) {
 		if run := worker.find(task); run != nil {
 			run.stopped = true
 			world.finish(worker, run, EndStopped)
