--- a/pkg/coordinator/fakeworker_test.go
+++ b/pkg/coordinator/fakeworker_test.go
@@ -172,7 +172,7 @@
 		return
 	}
 	worker.epoch = batch.Epoch
-	worker.holder.Follow(batch.Epoch)
+	worker.holder.RaiseEpoch(batch.Epoch)
 	for _, received := range batch.Received {
 		worker.ended = slices.DeleteFunc(worker.ended, func(ended planner.TaskEnded) bool { return ended.Number == received.Number })
 	}
--- a/pkg/executor/worker.go
+++ b/pkg/executor/worker.go
@@ -178,7 +178,7 @@
 		return
 	}
 	worker.epoch = renewal.GetEpoch()
-	worker.holder.Follow(identifier.Epoch(worker.epoch))
+	worker.holder.RaiseEpoch(identifier.Epoch(worker.epoch))
 	for _, renewed := range renewal.GetRenewals() {
 		// A lease that can't be prolonged ends by itself, as the driver assumes.
 		_ = worker.holder.Renew(worker.now(), grantOf(renewed.GetTask(), renewed.GetLease(), renewed.GetEchoNanos(), renewed.GetLeaseNanos()))
--- a/pkg/leaser/holder.go
+++ b/pkg/leaser/holder.go
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// Follow raises the lowest epoch whose leases are accepted; a lower epoch is ignored.
-func (holder *Holder) Follow(epoch identifier.Epoch) {
+// RaiseEpoch raises the lowest epoch whose leases are accepted; a lower epoch is ignored.
+func (holder *Holder) RaiseEpoch(epoch identifier.Epoch) {
 	holder.lowestEpoch = max(holder.lowestEpoch, epoch)
 }
 
