--- a/pkg/guarder/guarder.go
+++ b/pkg/guarder/guarder.go
@@ -167,8 +167,8 @@
 	return true
 }
 
-// Crowded sets whether the neighbours of a task are affected, which shortens its grace.
-func (guarder *Guarder) Crowded(task identifier.TaskID, crowded bool) {
+// SetContended sets whether the neighbours of a task are affected, which shortens its grace.
+func (guarder *Guarder) SetContended(task identifier.TaskID, crowded bool) {
 	guarder.prepare()
 	if taskState := guarder.tasks.Get(task); taskState != nil {
 		taskState.contended = crowded
--- a/pkg/guarder/guarder_test.go
+++ b/pkg/guarder/guarder_test.go
@@ -36,7 +36,7 @@
 				report := Report{Task: id, Used: resources(t, data), Age: duration(t, age)}
 				return fmt.Sprintf("newer=%v\n", guarder.Report(now, report))
 			case "crowded":
-				guarder.Crowded(id, true)
+				guarder.SetContended(id, true)
 				return "ok\n"
 			case "charge":
 				charge := guarder.Charge(now, id)
--- a/pkg/planner/sweep.go
+++ b/pkg/planner/sweep.go
@@ -19,7 +19,7 @@
 		return true
 	})
 	driver.tasks.Each(func(task identifier.TaskID, running *driverTask) bool {
-		driver.Guarder.Crowded(task, driver.Placer.Overcommitted(running.worker))
+		driver.Guarder.SetContended(task, driver.Placer.Overcommitted(running.worker))
 		return true
 	})
 	driver.tasks.Each(func(task identifier.TaskID, running *driverTask) bool {
