--- a/pkg/guarder/learner.go
+++ b/pkg/guarder/learner.go
@@ -109,9 +109,9 @@
 	return all
 }
 
-// Seed replaces the correction of a kind by another learner's, if that one has more
+// Merge replaces the correction of a kind by another learner's, if that one has more
 // samples.
-func (learner *Learner) Seed(key KindKey, correction Correction) {
+func (learner *Learner) Merge(key KindKey, correction Correction) {
 	if correction.Samples <= learner.Known(key).Samples {
 		return
 	}
--- a/pkg/planner/assign.go
+++ b/pkg/planner/assign.go
@@ -118,7 +118,7 @@
 	intent := &driverIntent{name: assigned.Name, spec: assigned.Spec, flushAt: identifier.Never}
 	driver.intents.Put(assigned.Name, intent)
 	for _, learned := range assigned.Learned {
-		driver.Learner.Seed(guarder.KindKey{Team: assigned.Spec.Team, Kind: learned.Kind}, learned.Correction)
+		driver.Learner.Merge(guarder.KindKey{Team: assigned.Spec.Team, Kind: learned.Kind}, learned.Correction)
 	}
 	for _, allotment := range assigned.Allotments {
 		batch := &driverBatch{
--- a/pkg/planner/progress.go
+++ b/pkg/planner/progress.go
@@ -26,7 +26,7 @@
 		record.settle(ended)
 	}
 	for _, learned := range progress.Learned {
-		machine.learned.Seed(guarder.KindKey{Team: record.Spec.Team, Kind: learned.Kind}, learned.Correction)
+		machine.learned.Merge(guarder.KindKey{Team: record.Spec.Team, Kind: learned.Kind}, learned.Correction)
 	}
 	if progress.Started && record.State == StateConfirmed {
 		record.State = StateRunning
--- a/pkg/planner/snapshot.go
+++ b/pkg/planner/snapshot.go
@@ -81,7 +81,7 @@
 		machine.ended.Put(name, &machine.applied)
 	}
 	for _, known := range state.Learned {
-		machine.learned.Seed(known.Key, known.Correction)
+		machine.learned.Merge(known.Key, known.Correction)
 	}
 	for _, known := range state.Epochs {
 		machine.epochs.Put(known.FailureDomain, &known.Epoch)
