--- a/pkg/replayer/answerchecker.go
+++ b/pkg/replayer/answerchecker.go
@@ -7,18 +7,18 @@
 	"github.com/stoathitch/stoathitch/pkg/tracer"
 )
 
-// OutcomeCounts counts submissions by the first final answer that their caller
-// got, or else by the first.
+// OutcomeCounts counts submissions and tasks. Submissions are counted by outcome of the
+// first final answer that their caller received, or else of the first answer.
 type OutcomeCounts struct {
 	Submissions, Tasks        int
 	Complete, Failed, Refused int
 }
 
-// OnCallerAnswer notes that a caller received an answer.
+// OnCallerAnswer records and checks an answer that a caller received.
 func (checker *Checker) OnCallerAnswer(answer CallerAnswer, at identifier.Moment) {
 	submission := checker.submissions[answer.Submission]
 	if submission == nil {
-		checker.violate("every caller gets its own answer", answer.Submission, at,
+		checker.addViolation("every caller gets its own answer", answer.Submission, at,
 			"caller %s got an answer to what nobody sent", answer.Caller)
 		return
 	}
@@ -28,13 +28,14 @@
 	checker.checkOneAnswer(submission, answer, at)
 }
 
-// ranAs returns the submission whose results the answer must hold: its own, or the
-// one that ran the not-repeatable job, whose answer a resubmission gets.
-func (checker *Checker) ranAs(submission *checkedSubmission, id identifier.SubmissionID) (identifier.SubmissionID, *checkedSubmission) {
+// executedAs returns the submission whose results the answer must hold: the submission
+// itself, or, if it is a resubmission of a not-repeatable job and started no task, the
+// submission that ran the job.
+func (checker *Checker) executedAs(submission *checkedSubmission, id identifier.SubmissionID) (identifier.SubmissionID, *checkedSubmission) {
 	if submission.request == nil || len(submission.starts) > 0 {
 		return id, submission
 	}
-	first, ran := checker.runs[*submission.request]
+	first, ran := checker.firstRuns[*submission.request]
 	if !ran || checker.submissions[first] == nil {
 		return id, submission
 	}
@@ -43,41 +44,41 @@
 
 func (checker *Checker) checkCaller(submission *checkedSubmission, answer CallerAnswer, at identifier.Moment) {
 	if answer.Caller != submission.caller {
-		checker.violate("every caller gets its own answer", answer.Submission, at,
+		checker.addViolation("every caller gets its own answer", answer.Submission, at,
 			"caller %s got the answer of caller %s", answer.Caller, submission.caller)
 	}
-	ranAs, _ := checker.ranAs(submission, answer.Submission)
+	ranAs, _ := checker.executedAs(submission, answer.Submission)
 	for _, result := range answer.Answers {
 		if result.Submission != ranAs {
-			checker.violate("every caller gets its own answer", answer.Submission, at,
+			checker.addViolation("every caller gets its own answer", answer.Submission, at,
 				"the answer holds the result of task %s of submission %s", result.Task, result.Submission)
 		}
 	}
 }
 
-// checkComplete wants each task's result exactly once, and each task to have
-// started at a backend server: a result without a start would be made up.
+// checkComplete checks that a complete answer holds each task's result exactly once and
+// that each task has started at a backend server: a result without a start is fabricated.
 func (checker *Checker) checkComplete(submission *checkedSubmission, answer CallerAnswer, at identifier.Moment) {
 	if answer.Outcome != tracer.OutcomeComplete {
 		return
 	}
-	_, ran := checker.ranAs(submission, answer.Submission)
+	_, ran := checker.executedAs(submission, answer.Submission)
 	counts := make(map[identifier.TaskID]int, len(submission.tasks))
 	for _, result := range answer.Answers {
 		counts[result.Task]++
 	}
 	for _, task := range submission.tasks {
 		if counts[task] != 1 {
-			checker.violate("an answer is complete or marked failed, never partial", answer.Submission, at,
+			checker.addViolation("an answer is complete or marked failed, never partial", answer.Submission, at,
 				"task %s has %d results", task, counts[task])
 		}
 		if ran.starts[task] == nil {
-			checker.violate("an answer is complete or marked failed, never partial", answer.Submission, at,
+			checker.addViolation("an answer is complete or marked failed, never partial", answer.Submission, at,
 				"task %s has never started", task)
 		}
 	}
 	if len(counts) > len(submission.tasks) {
-		checker.violate("an answer is complete or marked failed, never partial", answer.Submission, at,
+		checker.addViolation("an answer is complete or marked failed, never partial", answer.Submission, at,
 			"%d results for %d tasks", len(answer.Answers), len(submission.tasks))
 	}
 }
@@ -86,52 +87,51 @@
 	if !answer.NotRun {
 		return
 	}
-	if !submission.saidNoRun {
-		submission.saidNoRun = true
+	if !submission.reportedNotRun {
+		submission.reportedNotRun = true
 		submission.notRunAt = at
 	}
 	if len(submission.starts) > 0 {
-		checker.violate("what was refused as not run did not run", answer.Submission, at,
+		checker.addViolation("what was refused as not run did not run", answer.Submission, at,
 			"%d of its tasks had started", len(submission.starts))
 	}
 }
 
-// checkOneAnswer wants at most one answer for each request, and the same answer
-// for all of them but the refusals as not known to have run.
+// checkOneAnswer checks that each request gets at most one answer, and that all final
+// answers of a submission are the same. Refusals as not known to have run aren't final.
 func (checker *Checker) checkOneAnswer(submission *checkedSubmission, answer CallerAnswer, at identifier.Moment) {
 	submission.answers++
 	if submission.answers > submission.requests {
-		checker.violate("exactly one answer for each submission", answer.Submission, at,
+		checker.addViolation("exactly one answer for each submission", answer.Submission, at,
 			"%d answers to %d requests", submission.answers, submission.requests)
 	}
-	if submission.answers == 1 || (!submission.first.Final() && answer.Final()) {
-		submission.first = answer
+	if submission.answers == 1 || (!submission.firstAnswer.Final() && answer.Final()) {
+		submission.firstAnswer = answer
 		return
 	}
-	if submission.first.Final() && answer.Final() && !sameAnswer(submission.first, answer) {
-		checker.violate("exactly one answer for each submission", answer.Submission, at,
-			"the first answer was %s, this one is %s", describe(submission.first), describe(answer))
+	if submission.firstAnswer.Final() && answer.Final() && !sameAnswer(submission.firstAnswer, answer) {
+		checker.addViolation("exactly one answer for each submission", answer.Submission, at,
+			"the first answer was %s, this one is %s", describe(submission.firstAnswer), describe(answer))
 	}
 }
 
-// Final tells whether the answer says what became of the submission. A refusal
-// as not known to have run says only that nobody could tell it there and then;
-// the answer to a resend may.
+// Final reports whether the answer states the submission's outcome. A refusal as not known
+// to have run doesn't: the outcome couldn't be determined then, but a resend may get it.
 func (answer *CallerAnswer) Final() bool {
 	return answer.Outcome != tracer.OutcomeRefused || answer.NotRun
 }
 
-// Outcome returns the first final answer that the submission's caller got, or else
-// the first.
+// Outcome returns the outcome of the first final answer that the submission's caller received,
+// or else of the first answer; false if there is none.
 func (checker *Checker) Outcome(submission identifier.SubmissionID) (tracer.Outcome, bool) {
 	checked := checker.submissions[submission]
 	if checked == nil || checked.answers == 0 {
 		return 0, false
 	}
-	return checked.first.Outcome, true
+	return checked.firstAnswer.Outcome, true
 }
 
-// Counts returns how the submissions have ended so far.
+// Counts returns the numbers of submissions, tasks and outcomes so far.
 func (checker *Checker) Counts() OutcomeCounts {
 	var counts OutcomeCounts
 	for _, id := range checker.order {
@@ -139,7 +139,7 @@
 		counts.Submissions++
 		counts.Tasks += len(submission.tasks)
 		if submission.answers > 0 {
-			counts.add(submission.first.Outcome)
+			counts.add(submission.firstAnswer.Outcome)
 		}
 	}
 	return counts
--- a/pkg/replayer/backendserver.go
+++ b/pkg/replayer/backendserver.go
@@ -9,27 +9,27 @@
 	"github.com/stoathitch/stoathitch/pkg/replayer/fakenetwork"
 )
 
-// serverBatch is what a backend server sends an entry host at once.
+// serverBatch is one batch of messages from a backend server to an entry host.
 type serverBatch []dispatcher.Input
 
-// runningBefore is how long backend servers have run when the replay begins.
-const runningBefore = time.Hour
+// uptimeAtStart is the uptime of backend servers when the replay begins.
+const uptimeAtStart = time.Hour
 
-// backendServer is the place of one fake backend server.
+// backendServer connects one fake backend server to the replay, over all its incarnations.
 type backendServer struct {
 	replay      *replay
 	id          identifier.BackendServerID
-	place       *fakenetwork.Place
+	node        *fakenetwork.Node
 	incarnation uint64
 	process     *fakebackend.Server
 }
 
 func (replay *replay) addServer(id identifier.BackendServerID, domain identifier.FailureDomain) {
 	server := &backendServer{replay: replay, id: id}
-	server.place = replay.network.AddPlace(fakenetwork.Address(id), domain)
+	server.node = replay.network.AddNode(fakenetwork.Address(id), domain)
 	for _, host := range replay.hosts {
 		if host.domain == domain {
-			replay.network.Link(server.place, host.place)
+			replay.network.Link(server.node, host.node)
 		}
 	}
 	replay.servers = append(replay.servers, server)
@@ -44,15 +44,15 @@
 		Slots:       deployment.Slots,
 		Connections: deployment.Connections,
 		Incarnation: server.incarnation,
-		World:       server,
+		Environment: server,
 		StartedAt:   server.Now(),
 	}
 	if server.incarnation == 1 {
-		// The trace begins in the midst of an ordinary day.
-		server.process.StartedAt = server.Now().Add(-runningBefore)
+		// The trace begins in a cluster that has been running for a while.
+		server.process.StartedAt = server.Now().Add(-uptimeAtStart)
 	}
 	server.process.Run()
-	server.replay.network.Start(server.place, &serverProcess{server: server, process: server.process})
+	server.replay.network.Start(server.node, &serverProcess{server: server, process: server.process})
 }
 
 func (server *backendServer) die() {
@@ -61,18 +61,18 @@
 	}
 	server.process.Die()
 	server.process = nil
-	server.replay.network.Stop(server.place)
+	server.replay.network.Stop(server.node)
 }
 
-// comeBack ends every fault that the server has.
-func (server *backendServer) comeBack() {
-	server.replay.network.Isolate(server.place, false)
+// restore ends every fault of the server and starts it again if it died.
+func (server *backendServer) restore() {
+	server.replay.network.Isolate(server.node, false)
 	server.replay.checker.OnServerReturned(server.id)
 	if server.process == nil {
 		server.start()
 		return
 	}
-	server.process.Return()
+	server.process.Recover()
 }
 
 func (server *backendServer) leave(at identifier.Moment) {
@@ -82,48 +82,48 @@
 	}
 }
 
-// Now returns the virtual moment.
+// Now returns the current virtual moment.
 func (server *backendServer) Now() identifier.Moment { return server.replay.clock.Now() }
 
-// At schedules an action.
+// At schedules an action at a virtual moment.
 func (server *backendServer) At(moment identifier.Moment, action func()) {
 	server.replay.clock.At(moment, action)
 }
 
-// ToHost sends one batch.
+// ToHost counts one batch and sends it to an entry host.
 func (server *backendServer) ToHost(host identifier.HostID, parts []dispatcher.Input) {
-	server.replay.ledger.hostBatch(host, parts)
-	server.replay.network.Send(server.place, fakenetwork.Address(host), serverBatch(parts))
+	server.replay.traffic.hostBatch(host, parts)
+	server.replay.network.Send(server.node, fakenetwork.Address(host), serverBatch(parts))
 }
 
-// Started tells the checker and the ledger of a start.
+// Started records a start in the checker and in the message traffic.
 func (server *backendServer) Started(id identifier.BackendServerID, start *dispatcher.Start) {
-	begun := TaskStart{BackendServer: id, Submission: start.Submission, Job: start.Job, Task: start.Task, Repeatable: true}
+	taskStart := TaskStart{BackendServer: id, Submission: start.Submission, Job: start.Job, Task: start.Task, Repeatable: true}
 	if known := server.replay.submissions[start.Submission]; known != nil {
-		begun.Caller = known.job.Caller
-		begun.Repeatable = known.job.Repeatable
+		taskStart.Caller = known.job.Caller
+		taskStart.Repeatable = known.job.Repeatable
 	}
-	server.replay.checker.OnTaskStarted(begun, server.Now())
-	server.replay.ledger.started(id, start.TaskKey)
+	server.replay.checker.OnTaskStarted(taskStart, server.Now())
+	server.replay.traffic.started(id, start.TaskKey)
 }
 
-// serverProcess connects one life of a backend server to the network.
+// serverProcess connects one incarnation of a backend server to the network.
 type serverProcess struct {
 	server  *backendServer
 	process *fakebackend.Server
 }
 
-// Connected opens a stream.
+// Connected notifies the server of a stream that opened to an entry host.
 func (process *serverProcess) Connected(peer fakenetwork.Address) {
 	process.process.Connected(identifier.HostID(peer))
 }
 
-// Disconnected ends a stream.
+// Disconnected notifies the server of a stream that ended.
 func (process *serverProcess) Disconnected(peer fakenetwork.Address) {
 	process.process.Disconnected(identifier.HostID(peer))
 }
 
-// Receive takes one batch.
+// Receive passes one batch of an entry host to the server.
 func (process *serverProcess) Receive(from fakenetwork.Address, message any) {
 	process.process.Receive(identifier.HostID(from), message.(*dispatcher.ToServer))
 }
--- a/pkg/replayer/bound.go
+++ b/pkg/replayer/bound.go
@@ -10,36 +10,37 @@
 	"github.com/stoathitch/stoathitch/pkg/tracer"
 )
 
-// Order is the order in which one central queue serves its jobs.
+// Order is the order in which the central queue serves jobs.
 type Order int
 
-// The orders of a central queue.
+// Orders of the central queue.
 const (
 	// OrderFirstCome serves jobs in the order of their arrival.
 	OrderFirstCome Order = iota
-	// OrderFewestTasks serves the narrowest job first, which needs no estimate.
+	// OrderFewestTasks serves the job with the fewest tasks first, which needs no estimate
+	// of run times.
 	OrderFewestTasks
-	// OrderLeastWork serves the job with the least work first, as if every run
-	// time were known.
+	// OrderLeastWork serves the job with the smallest sum of run times first, as if they
+	// were known in advance.
 	OrderLeastWork
 )
 
-// Reach is where a central queue may run a job.
+// Reach is the set of failure domains in which the central queue may run a job.
 type Reach int
 
-// The reaches of a central queue.
+// Reaches of the central queue.
 const (
-	// ReachMayRun is every failure domain in which the job may run.
+	// ReachMayRun allows every failure domain in which the job may run.
 	ReachMayRun Reach = iota
-	// ReachHome is the job's home only: one queue for each failure domain.
+	// ReachHome allows only the job's home, as if each failure domain had a queue of its own.
 	ReachHome
 )
 
-// CentralQueue returns response over ideal of one queue over all slots, which
-// knows every run time, pays no delay beyond the ideal's, loses nothing and
-// leaves no slot idle that a waiting task may use. It ignores faults,
-// cancellations, deadlines and resends. No dispatcher that serves jobs in the
-// same order has shorter queues, so an aim below it can't be met on this trace.
+// CentralQueue simulates one queue over all slots and returns the distribution of response
+// time over ideal response time. The queue knows every run time, adds no delay beyond the
+// ideal's, loses nothing and leaves no slot idle that a waiting task may use. It ignores
+// faults, cancellations, deadlines and resends. It is a bound: no dispatcher that serves
+// jobs in the same order has shorter queues, so a lower target can't be met on this trace.
 func CentralQueue(trace *tracer.Trace, order Order, reach Reach) Distribution {
 	queue := newCentralQueue(trace, order, reach)
 	for _, event := range trace.Events {
@@ -66,8 +67,8 @@
 	job     *tracer.Job
 	domains []identifier.FailureDomain
 	rank    int64
-	// queued are the run times of the tasks that have not started, the longest
-	// first, because the job is as slow as its last task.
+	// queued holds the run times of the tasks that have not started, the longest first,
+	// since the last task to end determines the job's response time.
 	queued  []time.Duration
 	running int
 }
@@ -115,7 +116,7 @@
 	queue.fill(job.At)
 }
 
-// rank is what jobs wait in the order of; equal ones wait in order of arrival.
+// rank returns the job's sort key in the queue. Jobs of equal rank are served in order of arrival.
 func (queue *centralQueue) rank(job *tracer.Job) int64 {
 	switch queue.order {
 	case OrderFewestTasks:
@@ -127,7 +128,7 @@
 	}
 }
 
-// runUntil ends the tasks that end by then and gives their slots on.
+// runUntil ends the tasks that are due by the moment and fills the slots that they free.
 func (queue *centralQueue) runUntil(moment identifier.Moment) {
 	for len(queue.ends) > 0 && queue.ends[0].at <= moment {
 		ended := heap.Pop(&queue.ends).(taskEnd)
@@ -146,7 +147,7 @@
 	queue.ratios = append(queue.ratios, float64(at.Sub(done.job.At)+network)/float64(ideal))
 }
 
-// fill starts what waits wherever it may run and a slot is free.
+// fill starts queued tasks, in the queue's order, in free slots of their allowed domains.
 func (queue *centralQueue) fill(now identifier.Moment) {
 	for _, waiting := range queue.waiting {
 		if queue.full() {
@@ -173,17 +174,17 @@
 	return true
 }
 
-// endHeap orders running tasks by their end.
+// endHeap is a heap of running tasks, ordered by their end.
 type endHeap []taskEnd
 
 func (ends endHeap) Len() int                    { return len(ends) }
 func (ends endHeap) Less(first, second int) bool { return ends[first].at < ends[second].at }
 func (ends endHeap) Swap(first, second int)      { ends[first], ends[second] = ends[second], ends[first] }
 
-// Push adds a task; only container/heap calls it.
+// Push appends a task for container/heap.
 func (ends *endHeap) Push(added any) { *ends = append(*ends, added.(taskEnd)) }
 
-// Pop removes the last task; only container/heap calls it.
+// Pop removes the last task for container/heap.
 func (ends *endHeap) Pop() any {
 	last := len(*ends) - 1
 	popped := (*ends)[last]
--- a/pkg/replayer/callers.go
+++ b/pkg/replayer/callers.go
@@ -12,39 +12,39 @@
 	"github.com/stoathitch/stoathitch/pkg/tracer"
 )
 
-// callersPrefix begins the address of the callers of a failure domain. No host
-// has it, because names of hosts hold no slash.
+// callersPrefix starts the address of the callers of a failure domain. It can't collide
+// with a host, since host names contain no slash.
 const callersPrefix = "callers/"
 
 func isCallers(address fakenetwork.Address) bool {
 	return strings.HasPrefix(string(address), callersPrefix)
 }
 
-// callers stands for all callers of one failure domain. They keep waiting for
-// their answers; what is done when a connection closes is up to the trace.
+// callers simulates all callers of one failure domain. They wait for their answers without
+// a timeout; whether they resend after a connection closes is defined by the trace.
 type callers struct {
 	replay *replay
 	domain identifier.FailureDomain
-	place  *fakenetwork.Place
+	node   *fakenetwork.Node
 }
 
-// submission is what the replay knows of one submission from outside.
+// submission is the state of one submission as its caller observes it.
 type submission struct {
-	job     *tracer.Job
-	message *messenger.Job
-	ideal   time.Duration
-	sentAt  identifier.Moment
-	// lastHost is where the latest sending went.
+	job         *tracer.Job
+	message     *messenger.Job
+	ideal       time.Duration
+	submittedAt identifier.Moment
+	// lastHost is the entry host to which the job was sent last.
 	lastHost *entryHost
-	// answeredBy is the request that brought the answer that counts: the first
-	// final one, or else the first.
+	// answeredBy is the request that received the decisive answer: the first final one,
+	// or else the first.
 	answeredBy *request
 	final      bool
 	complete   bool
 	completeAt identifier.Moment
 }
 
-// request is one sending or cancellation on its way through one entry host.
+// request is one submission, resend or cancellation that is sent to one entry host.
 type request struct {
 	waiter     forwarder.WaiterID
 	submission *submission
@@ -61,17 +61,17 @@
 
 func (replay *replay) addCallers(domain identifier.FailureDomain) {
 	created := &callers{replay: replay, domain: domain}
-	created.place = replay.network.AddPlace(fakenetwork.Address(callersPrefix+domain), domain)
+	created.node = replay.network.AddNode(fakenetwork.Address(callersPrefix+domain), domain)
 	for _, host := range replay.hosts {
-		replay.network.Link(created.place, host.place)
+		replay.network.Link(created.node, host.node)
 	}
 	replay.callers[domain] = created
 }
 
-// sendJob sends a job, or sends it again, through the host that the trace names
-// or that the balancer picks.
+// sendJob sends or resends a job to the entry host that the trace names, or else to one
+// that the balancer picks.
 func (replay *replay) sendJob(job *tracer.Job) {
-	replay.checker.OnSending(job)
+	replay.checker.OnSubmission(job)
 	known := replay.submissions[job.Submission]
 	if known == nil {
 		known = replay.newSubmission(job)
@@ -79,26 +79,26 @@
 	}
 	host := replay.hostByID[job.EntryHost]
 	if host == nil {
-		host = replay.balance(job.FailureDomain)
+		host = replay.pickEntryHost(job.FailureDomain)
 	}
 	known.lastHost = host
 	replay.send(known, host, replay.callers[job.FailureDomain], false)
 }
 
-// sendCancel cancels a submission where it was sent last, or at another host when
-// that one is dead.
+// sendCancel sends a cancellation to the host to which the submission was sent last, or to
+// one that the balancer picks if that host is dead.
 func (replay *replay) sendCancel(cancel *tracer.Cancel) {
 	known := replay.submissions[cancel.Submission]
 	replay.checker.OnCancellation(cancel.Submission)
 	host := known.lastHost
 	if host == nil || host.process == nil {
-		host = replay.balance(known.job.FailureDomain)
+		host = replay.pickEntryHost(known.job.FailureDomain)
 	}
 	replay.send(known, host, replay.callers[known.job.FailureDomain], true)
 }
 
-// send posts a request. Where no host lives or the connection is refused the
-// caller has no answer.
+// send sends a request. The caller gets no answer if there is no host or the connection
+// is refused.
 func (replay *replay) send(known *submission, host *entryHost, from *callers, cancels bool) {
 	if host == nil {
 		return
@@ -111,17 +111,17 @@
 		cancels:    cancels,
 	}
 	replay.requests = append(replay.requests, created)
-	if replay.network.Send(from.place, host.place.Address, created) {
-		replay.ledger.callerRequest(created)
+	if replay.network.Send(from.node, host.node.Address, created) {
+		replay.traffic.callerRequest(created)
 	}
 }
 
-// balance picks a ready entry host of the failure domain, or else of another that
-// the callers reach.
-func (replay *replay) balance(domain identifier.FailureDomain) *entryHost {
+// pickEntryHost picks a random ready entry host that the callers reach, preferably of their own
+// failure domain. It returns nil if there is none.
+func (replay *replay) pickEntryHost(domain identifier.FailureDomain) *entryHost {
 	var own, others []*entryHost
 	for _, host := range replay.hosts {
-		ready := host.process != nil && !host.process.notReady && replay.network.Reachable(host.place, replay.callers[domain].place)
+		ready := host.process != nil && !host.process.notReady && replay.network.Reachable(host.node, replay.callers[domain].node)
 		switch {
 		case !ready:
 		case host.domain == domain:
@@ -156,21 +156,21 @@
 		})
 	}
 	return &submission{
-		job:     job,
-		message: message,
-		ideal:   IdealResponse(job, &replay.trace.Deployment),
-		sentAt:  replay.clock.Now(),
+		job:         job,
+		message:     message,
+		ideal:       IdealResponse(job, &replay.trace.Deployment),
+		submittedAt: replay.clock.Now(),
 	}
 }
 
-// Connected does nothing: callers dial for each request.
+// Connected does nothing, since callers dial for each request.
 func (callers *callers) Connected(fakenetwork.Address) {}
 
-// Disconnected does nothing: the requests through that host stay without an
-// answer unless the trace sends them again.
+// Disconnected does nothing: requests to that host remain unanswered unless the trace
+// resends them.
 func (callers *callers) Disconnected(fakenetwork.Address) {}
 
-// Receive takes an answer.
+// Receive records an answer and passes it to the checker.
 func (callers *callers) Receive(_ fakenetwork.Address, message any) {
 	received := message.(*callerAnswer)
 	now := callers.replay.clock.Now()
--- a/pkg/replayer/checker.go
+++ b/pkg/replayer/checker.go
@@ -13,18 +13,18 @@
 // still receive new work.
 const LeavingGrace = 3 * time.Second
 
-// Checker checks the promises of the brief from what callers and backend servers
-// saw. Feed it in order of virtual time. Construct it with NewChecker.
+// Checker checks the dispatcher's guarantees against what callers and backend servers
+// observed. Call its On methods in order of virtual time. Construct it with NewChecker.
 type Checker struct {
 	submissions map[identifier.SubmissionID]*checkedSubmission
 	order       []identifier.SubmissionID
-	runs        map[requestKey]identifier.SubmissionID
+	firstRuns   map[requestKey]identifier.SubmissionID
 	leaving     map[identifier.BackendServerID]identifier.Moment
 	started     int
 	violations  []string
 }
 
-// TaskStart is a start as the backend server saw it.
+// TaskStart is a start of a task as the backend server observed it.
 type TaskStart struct {
 	BackendServer identifier.BackendServerID
 	Submission    identifier.SubmissionID
@@ -34,22 +34,21 @@
 	Repeatable    bool
 }
 
-// CallerAnswer is an answer as the caller saw it.
+// CallerAnswer is an answer to a submission as the caller observed it.
 type CallerAnswer struct {
 	Submission identifier.SubmissionID
-	// Caller is who received the answer, whoever it was meant for.
+	// Caller is the caller that received the answer, which may differ from the submission's.
 	Caller  identifier.CallerID
 	Outcome tracer.Outcome
-	// NotRun is the claim that no task started; without it a refusal says that
-	// the job is not known to have run.
+	// NotRun states that no task started. A refusal without it states that the job is not
+	// known to have run.
 	NotRun bool
-	// Answers are the results that came with the answer, as the backend servers
-	// labelled them.
+	// Answers are the labels of the results in the answer.
 	Answers []TaskAnswer
 }
 
-// TaskAnswer is the label that a fake backend server puts into each result, by
-// which a result that reached the wrong answer is seen.
+// TaskAnswer is the label that a fake backend server puts into each result. It reveals
+// results in the wrong answer.
 type TaskAnswer struct {
 	Submission identifier.SubmissionID
 	Task       identifier.TaskID
@@ -57,42 +56,42 @@
 
 type checkedSubmission struct {
 	caller identifier.CallerID
-	// request is the job, where it is not repeatable.
+	// request identifies the job if it is not repeatable; else it is nil.
 	request *requestKey
 	tasks   []identifier.TaskID
-	// requests counts what may be answered: each sending and each cancellation.
-	requests  int
-	starts    map[identifier.TaskID]*taskStarts
-	answers   int
-	first     CallerAnswer
-	notRunAt  identifier.Moment
-	saidNoRun bool
+	// requests counts what may be answered: each submission, resend and cancellation.
+	requests       int
+	starts         map[identifier.TaskID]*taskStarts
+	answers        int
+	firstAnswer    CallerAnswer
+	notRunAt       identifier.Moment
+	reportedNotRun bool
 }
 
-// taskStarts is how often a task started, and where and when it did so first.
+// taskStarts counts the starts of a task and records where and when it started first.
 type taskStarts struct {
 	count       int
 	firstServer identifier.BackendServerID
 	firstAt     identifier.Moment
 }
 
-// requestKey names a request over all its submissions.
+// requestKey identifies a caller's job, which all its submissions share.
 type requestKey struct {
 	caller identifier.CallerID
 	job    identifier.JobID
 }
 
-// NewChecker returns a checker that has seen nothing.
+// NewChecker returns a checker without observations.
 func NewChecker() *Checker {
 	return &Checker{
 		submissions: make(map[identifier.SubmissionID]*checkedSubmission),
-		runs:        make(map[requestKey]identifier.SubmissionID),
+		firstRuns:   make(map[requestKey]identifier.SubmissionID),
 		leaving:     make(map[identifier.BackendServerID]identifier.Moment),
 	}
 }
 
-// OnSending notes that the caller sends the job; a resend is noted again.
-func (checker *Checker) OnSending(job *tracer.Job) {
+// OnSubmission records that the caller sends or resends the job.
+func (checker *Checker) OnSubmission(job *tracer.Job) {
 	submission := checker.submissions[job.Submission]
 	if submission == nil {
 		submission = &checkedSubmission{caller: job.Caller, tasks: TaskIDs(job), starts: make(map[identifier.TaskID]*taskStarts)}
@@ -105,16 +104,16 @@
 	submission.requests++
 }
 
-// OnCancellation notes that the caller cancels a submission. A cancellation is a
-// request of its own, which gets the submission's one answer too.
+// OnCancellation records that the caller cancels a submission. A cancellation is a request
+// of its own, which gets the submission's answer too.
 func (checker *Checker) OnCancellation(id identifier.SubmissionID) {
 	if submission := checker.submissions[id]; submission != nil {
 		submission.requests++
 	}
 }
 
-// TaskIDs returns the ids that the replay gives to the tasks of a job: their
-// numbers from 0, the same in each submission of the job.
+// TaskIDs returns the ids of a job's tasks in a replay: "t-" and their numbers from 0. They
+// are the same in each submission of the job.
 func TaskIDs(job *tracer.Job) []identifier.TaskID {
 	ids := make([]identifier.TaskID, 0, len(job.Tasks))
 	for number := range job.Tasks {
@@ -123,18 +122,18 @@
 	return ids
 }
 
-// OnTaskStarted notes that a backend server began to run a task.
+// OnTaskStarted records and checks that a backend server began to run a task.
 func (checker *Checker) OnTaskStarted(start TaskStart, at identifier.Moment) {
 	checker.started++
 	submission := checker.submissions[start.Submission]
 	if submission == nil || !slices.Contains(submission.tasks, start.Task) {
-		checker.violate("only work that a caller sent is started", start.Submission, at,
+		checker.addViolation("only work that a caller sent is started", start.Submission, at,
 			"task %s started at %s but nobody sent it", start.Task, start.BackendServer)
 		return
 	}
 	checker.checkSingleStart(submission, start, at)
 	checker.checkSingleRun(start, at)
-	checker.checkTrueRefusal(submission, start, at)
+	checker.checkRefusalHolds(submission, start, at)
 	checker.checkLeaving(start, at)
 }
 
@@ -145,34 +144,34 @@
 		return
 	}
 	known.count++
-	checker.violate("no task within a submission starts twice", start.Submission, at,
+	checker.addViolation("no task within a submission starts twice", start.Submission, at,
 		"task %s started for the %s time, at %s; the first time at %s, at %s",
 		start.Task, ordinal(known.count), start.BackendServer, known.firstServer, time.Duration(known.firstAt))
 }
 
-// checkSingleRun holds a not-repeatable request to the first submission that
-// started any of its tasks: two submissions that each ran a part would together
-// have run the request more than once.
+// checkSingleRun checks that only one submission of a not-repeatable request starts tasks:
+// two submissions that each ran some of them would together have run the request more than
+// once.
 func (checker *Checker) checkSingleRun(start TaskStart, at identifier.Moment) {
 	if start.Repeatable {
 		return
 	}
 	key := requestKey{caller: start.Caller, job: start.Job}
-	first, ran := checker.runs[key]
+	first, ran := checker.firstRuns[key]
 	if !ran {
-		checker.runs[key] = start.Submission
+		checker.firstRuns[key] = start.Submission
 		return
 	}
 	if first != start.Submission {
-		checker.violate("a not-repeatable request runs at most once", start.Submission, at,
+		checker.addViolation("a not-repeatable request runs at most once", start.Submission, at,
 			"task %s of job %s of caller %s started at %s, after submission %s had started",
 			start.Task, start.Job, start.Caller, start.BackendServer, first)
 	}
 }
 
-func (checker *Checker) checkTrueRefusal(submission *checkedSubmission, start TaskStart, at identifier.Moment) {
-	if submission.saidNoRun {
-		checker.violate("what was refused as not run did not run", start.Submission, at,
+func (checker *Checker) checkRefusalHolds(submission *checkedSubmission, start TaskStart, at identifier.Moment) {
+	if submission.reportedNotRun {
+		checker.addViolation("what was refused as not run did not run", start.Submission, at,
 			"task %s started at %s, after the refusal at %s", start.Task, start.BackendServer, formatMoment(submission.notRunAt))
 	}
 }
@@ -180,37 +179,37 @@
 func (checker *Checker) checkLeaving(start TaskStart, at identifier.Moment) {
 	since, leaving := checker.leaving[start.BackendServer]
 	if leaving && at.Sub(since) > LeavingGrace {
-		checker.violate("a leaving backend server receives no new work", start.Submission, at,
+		checker.addViolation("a leaving backend server receives no new work", start.Submission, at,
 			"task %s started at %s, which said at %s that it leaves", start.Task, start.BackendServer, formatMoment(since))
 	}
 }
 
-// OnServerLeaving notes that a backend server announced that it leaves.
+// OnServerLeaving records that a backend server announced that it leaves.
 func (checker *Checker) OnServerLeaving(server identifier.BackendServerID, at identifier.Moment) {
 	if _, already := checker.leaving[server]; !already {
 		checker.leaving[server] = at
 	}
 }
 
-// OnServerReturned notes that a backend server takes work again.
+// OnServerReturned records that a backend server accepts work again.
 func (checker *Checker) OnServerReturned(server identifier.BackendServerID) {
 	delete(checker.leaving, server)
 }
 
-// OnRequestCutOff notes that the connection of a caller that still waited was
-// closed by an entry host that was shutting down gracefully.
+// OnRequestCutOff records the violation that an entry host ended a graceful shutdown and closed
+// the connection of a caller that still waited for an answer.
 func (checker *Checker) OnRequestCutOff(submission identifier.SubmissionID, host identifier.HostID, at identifier.Moment) {
-	checker.violate("a graceful shutdown cuts off no request in progress", submission, at,
+	checker.addViolation("a graceful shutdown cuts off no request in progress", submission, at,
 		"entry host %s ended before it answered", host)
 }
 
-// Violations returns one sentence for each breach, in the order of their moments.
+// Violations returns one sentence for each violation, in the order of their moments.
 func (checker *Checker) Violations() []string { return checker.violations }
 
-// TasksStarted returns how many starts the backend servers saw.
+// TasksStarted returns the number of task starts, repeated ones included.
 func (checker *Checker) TasksStarted() int { return checker.started }
 
-func (checker *Checker) violate(promise string, submission identifier.SubmissionID, at identifier.Moment, format string, arguments ...any) {
+func (checker *Checker) addViolation(promise string, submission identifier.SubmissionID, at identifier.Moment, format string, arguments ...any) {
 	detail := fmt.Sprintf(format, arguments...)
 	checker.violations = append(checker.violations,
 		fmt.Sprintf("promise %q broken for submission %s at %s: %s", promise, submission, formatMoment(at), detail))
--- a/pkg/replayer/checker_test.go
+++ b/pkg/replayer/checker_test.go
@@ -12,10 +12,10 @@
 	"github.com/stoathitch/stoathitch/pkg/tracer"
 )
 
-// TestChecker runs histories of what callers and backend servers saw. Each line
-// of a "history" is a moment and an observation; the result is the violations.
-// Every history that breaks a promise must be told, and no other: a checker that
-// sees nothing would pass each dispatcher.
+// TestChecker feeds the checker histories of what callers and backend servers observed. Each line
+// of a "history" is a moment and an observation; the result is the counts and the violations.
+// It guards against a checker that misses violations, and would so pass any dispatcher, or that
+// reports violations of guarantees that were kept.
 func TestChecker(t *testing.T) {
 	datadriven.RunTest(t, "testdata/checker", func(t *testing.T, data *datadriven.TestData) string {
 		checker := NewChecker()
@@ -40,7 +40,7 @@
 	subject := words[2]
 	switch words[1] {
 	case "sends":
-		checker.OnSending(job(words))
+		checker.OnSubmission(job(words))
 	case "starts":
 		checker.OnTaskStarted(start(words), at)
 	case "gets":
@@ -69,8 +69,7 @@
 	}
 }
 
-// start reads "AT starts SUBMISSION TASK SERVER [once]"; all are of caller ann's
-// job j.
+// start reads "AT starts SUBMISSION TASK SERVER [once]", a start in job j of caller ann.
 func start(words []string) TaskStart {
 	return TaskStart{
 		Submission:    identifier.SubmissionID(words[2]),
--- a/pkg/replayer/controlsize.go
+++ b/pkg/replayer/controlsize.go
@@ -10,7 +10,7 @@
 	backendv1 "github.com/stoathitch/stoathitch/pkg/protocol/backend/v1"
 )
 
-// peerControlSize returns the bytes of a message between hosts on the wire.
+// peerControlSize returns the encoded size in bytes of a message between entry hosts.
 func peerControlSize(message *coordinator.PeerMessage) int {
 	encoded, err := cbor.Marshal(message)
 	if err != nil {
@@ -19,7 +19,7 @@
 	return len(encoded)
 }
 
-// leadSize returns the bytes of a Lead; nil is none.
+// leadSize returns the encoded size in bytes of a Lead message, 0 for nil.
 func leadSize(lead *dispatcher.Lead) int {
 	if lead == nil {
 		return 0
@@ -29,8 +29,8 @@
 	}})
 }
 
-// serverControlSize returns the bytes of what a backend server sends beside
-// answers and refusals.
+// serverControlSize returns the encoded size in bytes of a backend server's control message,
+// and 0 for other inputs.
 func serverControlSize(input dispatcher.Input) int {
 	switch input := input.(type) {
 	case *dispatcher.ServerHeartbeat:
--- a/pkg/replayer/doc.go
+++ b/pkg/replayer/doc.go
@@ -1,7 +1,7 @@
-// Package replayer plays recorded traces through the deciding packages in virtual
-// time and judges what came of it.
+// Package replayer replays recorded traces through the deciding packages in virtual time
+// and checks the results.
 //
-// The promises are checked from what the fake backend servers and the callers
-// saw, never from the dispatcher's own books: a dispatcher that forgot a start
-// would otherwise vouch for itself.
+// The dispatcher's guarantees are checked against what the fake backend servers and the
+// callers observed, never against the dispatcher's own state, which would hide a start
+// that the dispatcher forgot.
 package replayer
--- a/pkg/replayer/entryhost.go
+++ b/pkg/replayer/entryhost.go
@@ -12,28 +12,28 @@
 	"github.com/stoathitch/stoathitch/pkg/replayer/fakenetwork"
 )
 
-// The daemon's own timing of a graceful shutdown.
+// Durations of a graceful shutdown, the same as in the daemon.
 const (
 	balancerGrace    = time.Second
 	shutdownDeadline = 30 * time.Second
 )
 
-// entryHost is the place of one entry host, with the process that lives there.
+// entryHost is one entry host of the deployment, with its current process if it runs.
 type entryHost struct {
 	replay      *replay
 	id          identifier.HostID
 	domain      identifier.FailureDomain
-	place       *fakenetwork.Place
+	node        *fakenetwork.Node
 	incarnation uint64
 	process     *hostProcess
-	// startAgain tells to start as soon as the shutdown has ended.
-	startAgain bool
-	// disk is nil on a host that is no keeper.
+	// restartAfterShutdown starts the host again as soon as its shutdown has ended.
+	restartAfterShutdown bool
+	// disk is nil on a host that isn't a keeper.
 	disk *fakedisk.Disk
 }
 
-// hostProcess drives one life of a coordinator as pkg/runner does: a tick as soon
-// as there is input or a deadline falls due. Its clock starts at its own zero.
+// hostProcess drives one incarnation of a coordinator as pkg/runner does: it ticks as soon as
+// there is input or a deadline is due. Its clock starts at zero.
 type hostProcess struct {
 	host        *entryHost
 	replay      *replay
@@ -42,7 +42,7 @@
 	inbox       []coordinator.Input
 	tickDue     bool
 	wakeAt      identifier.Moment
-	// notReady tells the balancer to send no new work; refusing refuses it.
+	// notReady makes the balancer send no new work; refusing makes the host refuse it.
 	notReady bool
 	refusing bool
 	waiting  map[forwarder.WaiterID]*request
@@ -50,15 +50,15 @@
 
 func (replay *replay) addHost(id identifier.HostID, domain identifier.FailureDomain) {
 	host := &entryHost{replay: replay, id: id, domain: domain}
-	host.place = replay.network.AddPlace(fakenetwork.Address(id), domain)
+	host.node = replay.network.AddNode(fakenetwork.Address(id), domain)
 	for _, other := range replay.hosts {
-		replay.network.Link(other.place, host.place)
+		replay.network.Link(other.node, host.node)
 	}
 	replay.hosts = append(replay.hosts, host)
 	replay.hostByID[id] = host
 }
 
-// start begins a life of the host with empty memory.
+// start starts a new incarnation of the host, without the memory of earlier ones.
 func (host *entryHost) start() {
 	host.incarnation++
 	process := &hostProcess{
@@ -70,13 +70,12 @@
 		waiting:     make(map[forwarder.WaiterID]*request),
 	}
 	host.process = process
-	process.mount()
-	host.replay.network.Start(host.place, process)
+	process.restoreFromDisk()
+	host.replay.network.Start(host.node, process)
 	process.scheduleTick()
 }
 
-// stop ends the life of the host at once. Requests that wait see their connection
-// close.
+// stop ends the host's process at once. The connections of waiting requests close.
 func (host *entryHost) stop() {
 	if host.process == nil {
 		return
@@ -85,17 +84,17 @@
 	if host.disk != nil {
 		host.disk.Crash()
 	}
-	host.replay.network.Stop(host.place)
+	host.replay.network.Stop(host.node)
 }
 
-func (process *hostProcess) lives() bool { return process.host.process == process }
+func (process *hostProcess) running() bool { return process.host.process == process }
 
-// now is the process's own monotonic clock.
+// now returns the process's monotonic time, which starts at zero at boot.
 func (process *hostProcess) now() identifier.Moment {
 	return process.replay.clock.Now() - process.bootedAt
 }
 
-// post hands an input to the next tick.
+// post queues an input for the next tick.
 func (process *hostProcess) post(input coordinator.Input) {
 	process.inbox = append(process.inbox, input)
 	process.scheduleTick()
@@ -111,37 +110,37 @@
 
 func (process *hostProcess) tick() {
 	process.tickDue = false
-	if !process.lives() {
+	if !process.running() {
 		return
 	}
 	inputs := process.inbox
 	process.inbox = nil
 	outputs := process.coordinator.Tick(process.now(), inputs)
 	for _, output := range outputs {
-		process.carryOut(output)
+		process.handleOutput(output)
 	}
-	process.arm()
+	process.scheduleNextDeadline()
 }
 
-// arm sees to it that the process ticks at its next deadline.
-func (process *hostProcess) arm() {
+// scheduleNextDeadline schedules a tick at the coordinator's next deadline.
+func (process *hostProcess) scheduleNextDeadline() {
 	next := process.coordinator.NextDeadline()
 	if next == identifier.Never || next >= process.wakeAt {
 		return
 	}
 	process.wakeAt = next
-	process.replay.clock.At(process.bootedAt+next, func() { process.wake(next) })
+	process.replay.clock.At(process.bootedAt+next, func() { process.onDeadline(next) })
 }
 
-func (process *hostProcess) wake(at identifier.Moment) {
-	if process.wakeAt != at || !process.lives() {
+func (process *hostProcess) onDeadline(at identifier.Moment) {
+	if process.wakeAt != at || !process.running() {
 		return
 	}
 	process.wakeAt = identifier.Never
 	process.scheduleTick()
 }
 
-func (process *hostProcess) carryOut(output coordinator.Output) {
+func (process *hostProcess) handleOutput(output coordinator.Output) {
 	switch output := output.(type) {
 	case *coordinator.ToPeer:
 		process.toPeer(output)
@@ -159,13 +158,13 @@
 }
 
 func (process *hostProcess) toPeer(output *coordinator.ToPeer) {
-	process.replay.ledger.peerBatch(process.host.id, output)
-	process.replay.network.Send(process.host.place, fakenetwork.Address(output.Host), &output.Batch)
+	process.replay.traffic.peerBatch(process.host.id, output)
+	process.replay.network.Send(process.host.node, fakenetwork.Address(output.Host), &output.Batch)
 }
 
 func (process *hostProcess) toServer(batch *dispatcher.ToServer) {
-	process.replay.ledger.serverBatch(process.host.id, batch)
-	process.replay.network.Send(process.host.place, fakenetwork.Address(batch.Server), batch)
+	process.replay.traffic.serverBatch(process.host.id, batch)
+	process.replay.network.Send(process.host.node, fakenetwork.Address(batch.Server), batch)
 }
 
 func (process *hostProcess) toCaller(answer *forwarder.AnswerCaller) {
@@ -178,21 +177,21 @@
 }
 
 func (process *hostProcess) respond(request *request, answer *messenger.JobAnswer) {
-	process.replay.ledger.callerAnswer(request)
+	process.replay.traffic.callerAnswer(request)
 	message := &callerAnswer{request: request, answer: answer}
-	process.replay.network.Send(process.host.place, request.callers.place.Address, message)
+	process.replay.network.Send(process.host.node, request.callers.node.Address, message)
 }
 
-// Connected posts that a connection stands.
+// Connected notifies the coordinator of a new connection to another entry host.
 func (process *hostProcess) Connected(peer fakenetwork.Address) {
-	if host := process.replay.hostByID[identifier.HostID(peer)]; host != nil && process.lives() {
+	if host := process.replay.hostByID[identifier.HostID(peer)]; host != nil && process.running() {
 		process.post(&coordinator.PeerConnected{Host: host.id})
 	}
 }
 
-// Disconnected posts that a connection has ended.
+// Disconnected notifies the coordinator that a connection to a host or backend server has ended.
 func (process *hostProcess) Disconnected(peer fakenetwork.Address) {
-	if !process.lives() {
+	if !process.running() {
 		return
 	}
 	if host := process.replay.hostByID[identifier.HostID(peer)]; host != nil {
@@ -203,9 +202,9 @@
 	}
 }
 
-// Receive posts a message.
+// Receive passes messages of hosts, backend servers and callers to the coordinator.
 func (process *hostProcess) Receive(from fakenetwork.Address, message any) {
-	if !process.lives() {
+	if !process.running() {
 		return
 	}
 	switch message := message.(type) {
@@ -216,12 +215,12 @@
 			process.post(&coordinator.ServerEvent{Event: event})
 		}
 	case *request:
-		process.serve(message)
+		process.handleRequest(message)
 	}
 }
 
-// serve takes a caller's request as pkg/receiver does.
-func (process *hostProcess) serve(request *request) {
+// handleRequest handles a caller's request as pkg/receiver does.
+func (process *hostProcess) handleRequest(request *request) {
 	if request.cancels {
 		process.waiting[request.waiter] = request
 		process.post(&coordinator.CallerEvent{Event: &forwarder.CallerCancelled{
@@ -243,7 +242,7 @@
 	}})
 }
 
-// shutDown begins a graceful shutdown in the daemon's steps.
+// shutDown starts a graceful shutdown with the same steps as the daemon.
 func (process *hostProcess) shutDown() {
 	process.notReady = true
 	clock := process.replay.clock
@@ -254,9 +253,9 @@
 	clock.At(clock.Now().Add(shutdownDeadline), process.endWaiting)
 }
 
-// endWaiting tells the callers that still wait that the process ends, and ends it.
+// endWaiting has the coordinator answer the callers that still wait, and then ends the process.
 func (process *hostProcess) endWaiting() {
-	if !process.lives() {
+	if !process.running() {
 		return
 	}
 	process.post(&coordinator.CallerEvent{Event: &forwarder.ShutdownStarted{}})
@@ -264,21 +263,22 @@
 	clock.At(clock.Now(), process.end)
 }
 
-// end closes the process. Requests that still wait are cut off.
+// end ends the process and records the requests that it cuts off. It starts the host again if
+// that was requested during the shutdown.
 func (process *hostProcess) end() {
-	if !process.lives() {
+	if !process.running() {
 		return
 	}
-	process.cutOffWaiting()
+	process.recordCutOffRequests()
 	host := process.host
 	host.stop()
-	if host.startAgain {
-		host.startAgain = false
+	if host.restartAfterShutdown {
+		host.restartAfterShutdown = false
 		host.start()
 	}
 }
 
-func (process *hostProcess) cutOffWaiting() {
+func (process *hostProcess) recordCutOffRequests() {
 	for _, request := range process.replay.requests {
 		if process.waiting[request.waiter] == request {
 			process.replay.checker.OnRequestCutOff(request.submission.job.Submission, process.host.id, process.replay.clock.Now())
--- a/pkg/replayer/error.go
+++ b/pkg/replayer/error.go
@@ -8,16 +8,16 @@
 
 //go:generate enumer -type=ErrorKind -trimprefix=Error -transform=kebab -text
 
-// ErrorKind says what went wrong around a replay.
+// ErrorKind classifies the errors of this package.
 type ErrorKind int
 
-// The kinds of errors.
+// Kinds of errors.
 const (
 	ErrorEncoding ErrorKind = iota
 	ErrorUnknownPolicy
 )
 
-// Error is the one error type of this package.
+// Error is the type of all errors of this package.
 type Error struct {
 	Operation string
 	Kind      ErrorKind
--- a/pkg/replayer/expectation.go
+++ b/pkg/replayer/expectation.go
@@ -8,12 +8,12 @@
 	"github.com/stoathitch/stoathitch/pkg/tracer"
 )
 
-// OutcomeLookup returns how a submission ended for its caller, and false for one
-// that got no answer.
+// OutcomeLookup returns the outcome that a submission's caller received, and false if it
+// received no answer.
 type OutcomeLookup func(submission identifier.SubmissionID) (tracer.Outcome, bool)
 
-// UnmetExpectations compares the stated outcomes of a trace with what came of it
-// and returns one sentence for each that does not hold, in the trace's order.
+// UnmetExpectations compares the expectations of a trace with the results of its replay and
+// returns one sentence for each that does not hold, in the trace's order.
 func UnmetExpectations(trace *tracer.Trace, figures *Figures, outcomes OutcomeLookup) []string {
 	var unmet []string
 	for _, event := range trace.Events {
@@ -28,7 +28,7 @@
 	return unmet
 }
 
-// unmetExpectation returns an empty sentence when the expectation holds.
+// unmetExpectation returns an empty string if the expectation holds.
 func unmetExpectation(expect *tracer.Expect, figures *Figures, outcomes OutcomeLookup) string {
 	if expect.NamesSubmission() {
 		return unmetOutcome(expect, outcomes)
--- a/pkg/replayer/explaining.go
+++ b/pkg/replayer/explaining.go
@@ -7,17 +7,18 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// explainedSteps is how many decisions the hosts keep where one submission is to
-// be explained: enough for a long trace.
-const explainedSteps = 1 << 20
+// maxExplainedSteps bounds the decisions that each host keeps if one submission is to be
+// explained. It is enough for a long trace.
+const maxExplainedSteps = 1 << 20
 
-// HostStep is a decision of one host, at a moment of the trace.
+// HostStep is a decision of one host; its At is a moment of the trace.
 type HostStep struct {
 	Host identifier.HostID
 	explainer.Step
 }
 
-// explain gathers what the hosts that live at the end decided about a submission.
+// explain returns the decisions about a submission, ordered by moment, of the hosts that are
+// running at the end. Those of earlier incarnations are lost.
 func (replay *replay) explain(submission identifier.SubmissionID) []HostStep {
 	var steps []HostStep
 	for _, host := range replay.hosts {
--- a/pkg/replayer/explaining_test.go
+++ b/pkg/replayer/explaining_test.go
@@ -9,8 +9,8 @@
 	"github.com/stoathitch/stoathitch/pkg/tracer"
 )
 
-// TestExplain tells the way of one submission, from its arrival at the lead to its
-// end and the resend after it.
+// TestExplain checks that the explanation of one submission covers its arrival at the lead, the
+// start and the answer of its task, and its end, which a resend follows.
 func TestExplain(t *testing.T) {
 	file, err := os.Open("../../testdata/traces/small-resend-after-deadline.trace")
 	if err != nil {
@@ -29,10 +29,10 @@
 	for _, step := range result.Steps {
 		steps = append(steps, fmt.Sprintf("%s %s %s", step.Kind, step.Task, step.Detail))
 	}
-	told := strings.Join(steps, "; ")
+	joined := strings.Join(steps, "; ")
 	for _, wanted := range []string{"arrived  geel-entry-", "started t-0 ", "answered t-0 ", "ended  complete"} {
-		if !strings.Contains(told, wanted) {
-			t.Errorf("the steps %q lack %q", told, wanted)
+		if !strings.Contains(joined, wanted) {
+			t.Errorf("the steps %q lack %q", joined, wanted)
 		}
 	}
 }
--- a/pkg/replayer/fakebackend/server.go
+++ b/pkg/replayer/fakebackend/server.go
@@ -1,6 +1,6 @@
-// Package fakebackend is a backend server in virtual time. It keeps the rules of
+// Package fakebackend simulates a backend server in virtual time. It follows the rules of
 // proto/backend/v1 as pkg/executor does: slots, epochs, refusals, reports, answers
-// that are kept until they are acknowledged, and cancellations that come first.
+// that are kept until they are acknowledged, and cancellations that precede their start.
 package fakebackend
 
 import (
@@ -14,17 +14,17 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// HeartbeatInterval is the time between two heartbeats.
+// HeartbeatInterval is the time between two heartbeats on each connection.
 const HeartbeatInterval = 500 * time.Millisecond
 
-// failureTime is how long a task runs at a server that fails every task.
+// failureTime is the run time of a task on a server that fails every task.
 const failureTime = time.Millisecond
 
-// World is what surrounds the server.
-type World interface {
+// Environment provides the clock and the network of the server, and observes its starts.
+type Environment interface {
 	Now() identifier.Moment
 	At(moment identifier.Moment, action func())
-	// ToHost sends the parts of one batch.
+	// ToHost sends one batch to an entry host.
 	ToHost(host identifier.HostID, parts []dispatcher.Input)
 	// Started is called when a task begins to run.
 	Started(server identifier.BackendServerID, start *dispatcher.Start)
@@ -37,123 +37,124 @@
 	Slots       identifier.Slots
 	Connections int
 	Incarnation uint64
-	World       World
+	Environment Environment
 	// StartedAt is when the process started.
 	StartedAt identifier.Moment
-	// FailsEveryTask and Slowdown are faults; a Slowdown of zero is none.
+	// FailsEveryTask and Slowdown are faults. Slowdown multiplies run times; zero means none.
 	FailsEveryTask bool
 	Slowdown       float64
 
 	leaving bool
 	dead    bool
-	links   []identifier.HostID
-	cells   map[messenger.CellNumber]*cell
+	hosts   []identifier.HostID
+	cells   map[messenger.CellNumber]*cellLead
 	tasks   map[dispatcher.TaskKey]*task
-	// acknowledged holds the submissions of which answers were acknowledged, and their cells.
+	// acknowledged maps each submission with acknowledged answers to its cell.
 	acknowledged map[identifier.SubmissionID]messenger.CellNumber
 	cancelled    map[dispatcher.TaskKey]bool
 	outgoing     map[identifier.HostID][]dispatcher.Input
 	busy         identifier.Slots
-	started      int
+	startCount   int
 }
 
-// cell is who leads a cell as far as the server has seen.
-type cell struct {
+// cellLead is the last known lead of a cell: the host with the highest epoch seen.
+type cellLead struct {
 	epoch identifier.Epoch
 	host  identifier.HostID
 }
 
-// task is one that runs, or whose answer is kept.
+// task is running, or has ended with an answer that is not acknowledged yet.
 type task struct {
-	order  int
-	cell   messenger.CellNumber
-	begun  identifier.Moment
-	answer *dispatcher.ServerAnswer
+	order     int
+	cell      messenger.CellNumber
+	startedAt identifier.Moment
+	answer    *dispatcher.ServerAnswer
 }
 
-// Payload returns the payload that tells a server how long the task runs.
+// Payload returns a task payload that encodes the run time in nanoseconds.
 func Payload(runTime time.Duration) []byte {
 	return strconv.AppendInt(nil, int64(runTime), 10)
 }
 
-// ResultKey reads from a result which task it belongs to.
+// ResultKey decodes the task's key from a result.
 func ResultKey(result []byte) dispatcher.TaskKey {
 	submission, task, _ := strings.Cut(string(result), "\n")
 	return dispatcher.TaskKey{Submission: identifier.SubmissionID(submission), Task: identifier.TaskID(task)}
 }
 
-// Run begins to send heartbeats.
+// Run initializes the server and starts its heartbeats.
 func (server *Server) Run() {
-	server.cells = make(map[messenger.CellNumber]*cell)
+	server.cells = make(map[messenger.CellNumber]*cellLead)
 	server.tasks = make(map[dispatcher.TaskKey]*task)
 	server.acknowledged = make(map[identifier.SubmissionID]messenger.CellNumber)
 	server.cancelled = make(map[dispatcher.TaskKey]bool)
 	server.outgoing = make(map[identifier.HostID][]dispatcher.Input)
-	server.beat()
+	server.sendHeartbeats()
 }
 
-// Die ends the process with all that runs there.
+// Die ends the process and all its running tasks.
 func (server *Server) Die() { server.dead = true }
 
-func (server *Server) beat() {
+func (server *Server) sendHeartbeats() {
 	if server.dead {
 		return
 	}
-	for _, host := range server.links {
+	for _, host := range server.hosts {
 		server.queue(host, &dispatcher.ServerHeartbeat{Server: server.ID, Busy: server.busy})
 	}
-	server.World.At(server.World.Now().Add(HeartbeatInterval), server.beat)
+	server.Environment.At(server.Environment.Now().Add(HeartbeatInterval), server.sendHeartbeats)
 }
 
-// Connected announces the server's complete state on a new stream.
+// Connected announces the server's complete state on a new stream. Streams beyond
+// Connections are ignored.
 func (server *Server) Connected(host identifier.HostID) {
-	if len(server.links) >= server.Connections {
+	if len(server.hosts) >= server.Connections {
 		return
 	}
-	server.links = append(server.links, host)
+	server.hosts = append(server.hosts, host)
 	server.announce(host)
 }
 
 func (server *Server) announce(host identifier.HostID) {
 	announced := &dispatcher.ServerAnnounced{
 		Server: server.ID, Incarnation: server.Incarnation, Slots: server.Slots, Leaving: server.leaving,
-		Uptime: server.World.Now().Sub(server.StartedAt),
+		Uptime: server.Environment.Now().Sub(server.StartedAt),
 	}
 	announced.Tasks, announced.Unacknowledged = server.state(func(*task) bool { return true })
 	server.queue(host, announced)
 }
 
-// Disconnected drops what was not sent yet; the next Announce tells it.
+// Disconnected drops unsent messages; the next Announce carries the complete state.
 func (server *Server) Disconnected(host identifier.HostID) {
-	server.links = slices.DeleteFunc(server.links, func(link identifier.HostID) bool { return link == host })
+	server.hosts = slices.DeleteFunc(server.hosts, func(link identifier.HostID) bool { return link == host })
 	delete(server.outgoing, host)
 }
 
-// Leave says to all that the server takes no new start.
+// Leave notifies all connected hosts that the server accepts no new starts.
 func (server *Server) Leave() {
 	server.leaving = true
-	for _, host := range server.links {
+	for _, host := range server.hosts {
 		server.queue(host, &dispatcher.ServerLeaving{Server: server.ID})
 	}
 }
 
-// Return ends every fault of a living server. One that was leaving announces
-// itself anew.
-func (server *Server) Return() {
+// Recover ends every fault of a running server. A server that was leaving sends its
+// complete state again.
+func (server *Server) Recover() {
 	server.FailsEveryTask, server.Slowdown = false, 0
 	if !server.leaving {
 		return
 	}
 	server.leaving = false
-	for _, host := range server.links {
+	for _, host := range server.hosts {
 		server.announce(host)
 	}
 }
 
-// Receive applies one batch of an entry host in the order of the protocol.
+// Receive applies one batch of an entry host in the order that the protocol defines.
 func (server *Server) Receive(host identifier.HostID, batch *dispatcher.ToServer) {
 	if batch.Lead != nil {
-		server.raise(host, batch.Lead.Cell, batch.Lead.Epoch)
+		server.updateLead(host, batch.Lead.Cell, batch.Lead.Epoch)
 		server.report(host, batch.Lead)
 	}
 	var refusals []dispatcher.ServerRefusal
@@ -188,10 +189,10 @@
 	}
 }
 
-func (server *Server) raise(host identifier.HostID, number messenger.CellNumber, epoch identifier.Epoch) {
+func (server *Server) updateLead(host identifier.HostID, number messenger.CellNumber, epoch identifier.Epoch) {
 	known := server.cells[number]
 	if known == nil {
-		known = &cell{}
+		known = &cellLead{}
 		server.cells[number] = known
 	}
 	if epoch >= known.epoch {
@@ -204,14 +205,14 @@
 	reported := &dispatcher.ServerReported{Server: server.ID, Cell: number, Epoch: server.cells[number].epoch}
 	reported.Tasks, reported.Unacknowledged = server.state(func(task *task) bool { return task.cell == number })
 	if lead.ListAcknowledged {
-		reported.Acknowledged, reported.ListsAcknowledged = server.acknowledgedOf(number), true
+		reported.Acknowledged, reported.ListsAcknowledged = server.acknowledgedDigests(number), true
 	}
 	server.queue(host, reported)
 }
 
-// acknowledgedOf lists the submissions of a cell of which answers were acknowledged. A trace is
-// shorter than they are remembered.
-func (server *Server) acknowledgedOf(number messenger.CellNumber) []messenger.SubmissionDigest {
+// acknowledgedDigests returns the sorted digests of a cell's submissions with acknowledged
+// answers. They never expire, since a trace is shorter than a real server's retention of them.
+func (server *Server) acknowledgedDigests(number messenger.CellNumber) []messenger.SubmissionDigest {
 	var digests []messenger.SubmissionDigest
 	for submission, cell := range server.acknowledged {
 		if cell == number {
@@ -222,7 +223,7 @@
 	return digests
 }
 
-// state lists tasks in the order of their starts.
+// state returns the running tasks and the kept answers that match, in the order of their starts.
 func (server *Server) state(wanted func(*task) bool) ([]dispatcher.TaskKey, []dispatcher.ServerAnswer) {
 	var keys []dispatcher.TaskKey
 	for key, task := range server.tasks {
@@ -262,13 +263,13 @@
 }
 
 func (server *Server) run(host identifier.HostID, start *dispatcher.Start) {
-	server.raise(host, start.Cell, start.Epoch)
-	server.started++
+	server.updateLead(host, start.Cell, start.Epoch)
+	server.startCount++
 	server.busy++
-	begun := server.World.Now()
-	created := &task{order: server.started, cell: start.Cell, begun: begun}
+	startedAt := server.Environment.Now()
+	created := &task{order: server.startCount, cell: start.Cell, startedAt: startedAt}
 	server.tasks[start.TaskKey] = created
-	server.World.Started(server.ID, start)
+	server.Environment.Started(server.ID, start)
 	outcome := dispatcher.ServerAnswer{
 		TaskKey: start.TaskKey,
 		Result:  []byte(string(start.Submission) + "\n" + string(start.Task)),
@@ -278,7 +279,7 @@
 		outcome = dispatcher.ServerAnswer{TaskKey: start.TaskKey, Failed: true, Reason: "the server fails every task"}
 		runTime = failureTime
 	}
-	server.World.At(begun.Add(runTime), func() { server.finish(created, &outcome) })
+	server.Environment.At(startedAt.Add(runTime), func() { server.finish(created, &outcome) })
 }
 
 func (server *Server) runTime(payload []byte) time.Duration {
@@ -301,35 +302,36 @@
 	server.finish(known, &dispatcher.ServerAnswer{TaskKey: key, Cancelled: true, Reason: "cancelled"})
 }
 
-// finish keeps the answer and sends it to the lead with the highest epoch.
+// finish keeps the answer and sends it to the cell's lead with the highest epoch.
 func (server *Server) finish(task *task, answer *dispatcher.ServerAnswer) {
 	if server.dead || task.answer != nil {
 		return
 	}
-	answer.RunTime = server.World.Now().Sub(task.begun)
+	answer.RunTime = server.Environment.Now().Sub(task.startedAt)
 	task.answer = answer
 	server.busy--
 	host := server.cells[task.cell].host
 	server.queue(host, &dispatcher.TasksAnswered{Server: server.ID, Answers: []dispatcher.ServerAnswer{*answer}})
 }
 
-// queue gathers what is sent to a host in one moment into one batch.
+// queue adds an input to the batch that is sent to the host in the current moment.
 func (server *Server) queue(host identifier.HostID, part dispatcher.Input) {
-	if !slices.Contains(server.links, host) {
+	if !slices.Contains(server.hosts, host) {
 		return
 	}
 	waiting := server.outgoing[host]
 	if waiting == nil {
-		server.World.At(server.World.Now(), func() { server.flush(host) })
+		server.Environment.At(server.Environment.Now(), func() { server.flush(host) })
 	}
-	if joined := joinAnswers(waiting, part); joined {
+	if joined := mergeAnswers(waiting, part); joined {
 		return
 	}
 	server.outgoing[host] = append(waiting, part)
 }
 
-// joinAnswers adds answers to those that the batch has already.
-func joinAnswers(waiting []dispatcher.Input, part dispatcher.Input) bool {
+// mergeAnswers appends answers to the last message of the batch and returns true, if both carry
+// answers.
+func mergeAnswers(waiting []dispatcher.Input, part dispatcher.Input) bool {
 	added, isAnswers := part.(*dispatcher.TasksAnswered)
 	if !isAnswers || len(waiting) == 0 {
 		return false
@@ -345,6 +347,6 @@
 	waiting := server.outgoing[host]
 	delete(server.outgoing, host)
 	if len(waiting) > 0 && !server.dead {
-		server.World.ToHost(host, waiting)
+		server.Environment.ToHost(host, waiting)
 	}
 }
--- a/pkg/replayer/fakedisk/disk.go
+++ b/pkg/replayer/fakedisk/disk.go
@@ -1,5 +1,5 @@
-// Package fakedisk is the disk of a keeper in virtual time: writes become durable
-// in order, one sync after the other, and outlive the process.
+// Package fakedisk simulates the disk of a keeper in virtual time. Writes become durable
+// in order, one sync after the other, and survive a crash of the process.
 package fakedisk
 
 import (
@@ -9,38 +9,38 @@
 	"github.com/stoathitch/stoathitch/pkg/replicator"
 )
 
-// Disk keeps what was synced. Set the exported fields before use.
+// Disk keeps the synced log and snapshot of a keeper. Set the exported fields before use.
 type Disk struct {
 	// Sync is how long one sync takes.
 	Sync time.Duration
-	// After runs an action later.
+	// After schedules an action after a delay of virtual time.
 	After func(delay time.Duration, action func())
 
-	restored replicator.Restored
-	waiting  []Write
-	syncing  bool
-	life     int
+	restored    replicator.Restored
+	waiting     []Write
+	syncing     bool
+	incarnation int
 }
 
-// Write is one thing to write; exactly one of Persist and Snapshot is set. Done is
-// called once it is durable, unless the process died before.
+// Write is one write request; exactly one of Persist and Snapshot is set. Done is
+// called once the write is durable, unless the process crashed before.
 type Write struct {
 	Persist  *replicator.Persist
 	Snapshot *replicator.Snapshot
 	Done     func()
 }
 
-// Restored returns what a starting process finds.
+// Restored returns the durable state that a starting process reads.
 func (disk *Disk) Restored() replicator.Restored { return disk.restored }
 
-// Crash drops what was not synced yet.
+// Crash drops the writes that are not synced yet.
 func (disk *Disk) Crash() {
-	disk.life++
+	disk.incarnation++
 	disk.waiting = nil
 	disk.syncing = false
 }
 
-// Write queues a write. Those that wait while a sync runs share the next one.
+// Write queues a write. Writes that are queued while a sync runs share the next sync.
 func (disk *Disk) Write(write Write) {
 	disk.waiting = append(disk.waiting, write)
 	disk.sync()
@@ -51,10 +51,10 @@
 		return
 	}
 	disk.syncing = true
-	group, life := disk.waiting, disk.life
+	group, incarnation := disk.waiting, disk.incarnation
 	disk.waiting = nil
 	disk.After(disk.Sync, func() {
-		if disk.life != life {
+		if disk.incarnation != incarnation {
 			return
 		}
 		for _, write := range group {
--- a/pkg/replayer/fakenetwork/clock.go
+++ b/pkg/replayer/fakenetwork/clock.go
@@ -1,6 +1,6 @@
-// Package fakenetwork is the network of a trace replay: one virtual clock and
+// Package fakenetwork simulates the network of a trace replay: one virtual clock and
 // ordered connections between processes, with delays, silent partitions and
-// processes that die. Nothing here takes real time or runs at the same time.
+// processes that die. It takes no real time and runs nothing concurrently.
 package fakenetwork
 
 import (
@@ -9,27 +9,27 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Clock runs events in the order of their moments; events of one moment run in
-// the order in which they were scheduled, so that every replay runs alike.
+// Clock runs events in the order of their moments. Events of the same moment run in
+// the order in which they were scheduled, which makes replays deterministic.
 type Clock struct {
 	now      identifier.Moment
 	events   eventHeap
 	sequence uint64
 }
 
-// NewClock returns a clock that stands at start.
+// NewClock returns a clock whose current moment is start.
 func NewClock(start identifier.Moment) *Clock { return &Clock{now: start} }
 
-// Now returns the virtual moment.
+// Now returns the current virtual moment.
 func (clock *Clock) Now() identifier.Moment { return clock.now }
 
-// At schedules an action; one whose moment has passed runs now.
+// At schedules an action. One whose moment has passed is scheduled for the current moment.
 func (clock *Clock) At(moment identifier.Moment, action func()) {
 	clock.sequence++
 	heap.Push(&clock.events, event{at: max(moment, clock.now), sequence: clock.sequence, action: action})
 }
 
-// Run runs all events up to and including the moment end.
+// Run runs all events up to and including the moment end, and then sets the clock to end.
 func (clock *Clock) Run(end identifier.Moment) {
 	for len(clock.events) > 0 && clock.events[0].at <= end {
 		next := heap.Pop(&clock.events).(event)
--- a/pkg/replayer/fakenetwork/network.go
+++ b/pkg/replayer/fakenetwork/network.go
@@ -6,33 +6,33 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Address names the place of a process; a process that restarts keeps it.
+// Address identifies a node. It stays the same when the node's process restarts.
 type Address string
 
-// Process is what lives at an address from its start to its death.
+// Process receives the network events of a node from the process's start until it stops.
 type Process interface {
 	Connected(peer Address)
 	Disconnected(peer Address)
 	Receive(from Address, message any)
 }
 
-// Network connects processes. A message on an open connection is never lost and
-// never overtakes another, as with TCP: a silent partition holds it back until
-// the partition ends, and only the end of a process closes its connections.
+// Network connects processes. As with TCP, messages on an open connection are neither
+// lost nor reordered: a silent partition delays them until it ends, and connections
+// close only when a process ends.
 type Network struct {
 	Clock *Clock
-	// Delay returns the one-way delay between two places.
-	Delay func(from, to *Place) time.Duration
-	// ReconnectPause is how long a process waits before it dials again.
+	// Delay returns the one-way delay between two nodes.
+	Delay func(from, to *Node) time.Duration
+	// ReconnectPause is the delay before a closed or prevented connection is dialled again.
 	ReconnectPause time.Duration
 
-	places map[Address]*Place
+	nodes  map[Address]*Node
 	links  []*link
 	cutOff map[identifier.FailureDomain]bool
 }
 
-// Place is where a process lives, or may live again.
-type Place struct {
+// Node is an address in a failure domain at which a process can run and be restarted.
+type Node struct {
 	Address       Address
 	FailureDomain identifier.FailureDomain
 
@@ -42,13 +42,14 @@
 	byPeer   map[Address]*link
 }
 
-// link is a pair of places between which a connection is wanted.
+// link is a pair of nodes that connect whenever both run a process.
 type link struct {
-	ends       [2]*Place
+	ends       [2]*Node
 	connection *connection
 }
 
-// connection is one life of a link. A closed end neither sends nor receives.
+// connection is one connection of a link between two processes. A closed end neither sends
+// nor receives.
 type connection struct {
 	link      *link
 	processes [2]Process
@@ -61,64 +62,64 @@
 	delivery func()
 }
 
-// AddPlace makes a place without a process.
-func (network *Network) AddPlace(address Address, domain identifier.FailureDomain) *Place {
-	if network.places == nil {
-		network.places = make(map[Address]*Place)
+// AddNode creates a node without a process.
+func (network *Network) AddNode(address Address, domain identifier.FailureDomain) *Node {
+	if network.nodes == nil {
+		network.nodes = make(map[Address]*Node)
 		network.cutOff = make(map[identifier.FailureDomain]bool)
 	}
-	place := &Place{Address: address, FailureDomain: domain, byPeer: make(map[Address]*link)}
-	network.places[address] = place
-	return place
+	node := &Node{Address: address, FailureDomain: domain, byPeer: make(map[Address]*link)}
+	network.nodes[address] = node
+	return node
 }
 
-// Link wants a connection between two places whenever both have a process.
-func (network *Network) Link(first, second *Place) {
-	created := &link{ends: [2]*Place{first, second}}
+// Link keeps two nodes connected whenever both run a process and reach each other.
+func (network *Network) Link(first, second *Node) {
+	created := &link{ends: [2]*Node{first, second}}
 	network.links = append(network.links, created)
-	for number, place := range created.ends {
-		place.links = append(place.links, created)
-		place.byPeer[created.ends[1-number].Address] = created
+	for number, node := range created.ends {
+		node.links = append(node.links, created)
+		node.byPeer[created.ends[1-number].Address] = created
 	}
 }
 
-// Start begins the life of a process and dials its peers.
-func (network *Network) Start(place *Place, process Process) {
-	place.process = process
-	for _, link := range place.links {
+// Start runs a process on the node and dials its peers.
+func (network *Network) Start(node *Node, process Process) {
+	node.process = process
+	for _, link := range node.links {
 		network.dial(link, 0)
 	}
 }
 
-// Stop ends the process of a place, as the kernel would: what it sent before
-// still arrives, followed by the end of its connections.
-func (network *Network) Stop(place *Place) {
-	place.process = nil
-	for _, link := range place.links {
+// Stop ends the process of a node as the kernel would: messages that it sent before
+// still arrive, followed by the close of its connections.
+func (network *Network) Stop(node *Node) {
+	node.process = nil
+	for _, link := range node.links {
 		if connection := link.connection; connection != nil {
-			network.closeFrom(connection, link.endOf(place))
+			network.closeFrom(connection, link.endOf(node))
 		}
 	}
 }
 
-// Lives tells whether the place has a process.
-func (place *Place) Lives() bool { return place.process != nil }
+// Running reports whether the node has a process.
+func (node *Node) Running() bool { return node.process != nil }
 
-// Isolate begins or ends a silent partition between the place and all others.
-func (network *Network) Isolate(place *Place, isolated bool) {
-	place.isolated = isolated
-	network.release()
+// Isolate starts or ends a silent partition between the node and all others.
+func (network *Network) Isolate(node *Node, isolated bool) {
+	node.isolated = isolated
+	network.resume()
 }
 
-// CutOff begins or ends a silent partition between a failure domain and the
+// CutOff starts or ends a silent partition between a failure domain and the
 // others.
 func (network *Network) CutOff(domain identifier.FailureDomain, cutOff bool) {
 	network.cutOff[domain] = cutOff
-	network.release()
+	network.resume()
 }
 
-// Reachable tells whether packets pass between two places.
-func (network *Network) Reachable(first, second *Place) bool {
+// Reachable reports whether no partition separates two nodes.
+func (network *Network) Reachable(first, second *Node) bool {
 	if first.isolated || second.isolated {
 		return false
 	}
@@ -128,9 +129,9 @@
 	return !network.cutOff[first.FailureDomain] && !network.cutOff[second.FailureDomain]
 }
 
-// Send sends a message on the open connection to a peer. It returns false where
-// there is none.
-func (network *Network) Send(from *Place, to Address, message any) bool {
+// Send sends a message on the open connection to a peer. It returns false if there
+// is none.
+func (network *Network) Send(from *Node, to Address, message any) bool {
 	link := from.byPeer[to]
 	if link == nil || link.connection == nil {
 		return false
@@ -144,11 +145,11 @@
 	return true
 }
 
-// dial opens a connection once both ends live and reach each other.
+// dial opens a connection after the pause if both nodes then run a process and reach each other.
 func (network *Network) dial(link *link, pause time.Duration) {
 	network.Clock.At(network.Clock.Now().Add(pause), func() {
 		first, second := link.ends[0], link.ends[1]
-		if link.connection != nil || !first.Lives() || !second.Lives() || !network.Reachable(first, second) {
+		if link.connection != nil || !first.Running() || !second.Running() || !network.Reachable(first, second) {
 			return
 		}
 		opened := &connection{link: link, processes: [2]Process{first.process, second.process}}
@@ -160,7 +161,7 @@
 	})
 }
 
-// closeFrom closes a connection at the end whose process is gone.
+// closeFrom closes a connection at the end whose process has ended, and then at the peer's.
 func (network *Network) closeFrom(connection *connection, end int) {
 	if connection.closed[end] {
 		return
@@ -185,7 +186,7 @@
 	}
 }
 
-// pass delivers to an end after the delay, or holds the message in a partition.
+// pass schedules a delivery to an end after the delay, or holds it back during a partition.
 func (network *Network) pass(connection *connection, to int, delivery func()) {
 	ends := connection.link.ends
 	if !network.Reachable(ends[0], ends[1]) {
@@ -200,9 +201,9 @@
 	})
 }
 
-// release lets held messages go on where a partition has ended, and dials where
-// it prevented a connection.
-func (network *Network) release() {
+// resume delivers held messages on links whose partition has ended, and dials links
+// whose connection it prevented.
+func (network *Network) resume() {
 	for _, link := range network.links {
 		if !network.Reachable(link.ends[0], link.ends[1]) {
 			continue
@@ -219,8 +220,8 @@
 	}
 }
 
-func (link *link) endOf(place *Place) int {
-	if link.ends[0] == place {
+func (link *link) endOf(node *Node) int {
+	if link.ends[0] == node {
 		return 0
 	}
 	return 1
--- a/pkg/replayer/figures.go
+++ b/pkg/replayer/figures.go
@@ -10,8 +10,8 @@
 	"github.com/stoathitch/stoathitch/pkg/tracer"
 )
 
-// Figures is what `replay --json` prints. The same trace, policy and seed give
-// the same bytes.
+// Figures are the results of a replay, as `replay --json` prints them. The same trace, policy
+// and seed give the same bytes.
 type Figures struct {
 	// Jobs counts submissions: a resend adds none, a resubmission adds one.
 	Jobs           int `json:"jobs"`
@@ -21,7 +21,7 @@
 	JobsRefused    int `json:"jobs-refused"`
 	JobsUnanswered int `json:"jobs-unanswered"`
 	TasksStarted   int `json:"tasks-started"`
-	// Violations are sentences that name the promise, the submission and the moment.
+	// Violations are sentences that name the violated guarantee, the submission and the moment.
 	Violations            []string     `json:"violations"`
 	ResponseOverIdeal     Distribution `json:"response-over-ideal"`
 	MessagesPerTask       float64      `json:"messages-per-task"`
@@ -32,7 +32,7 @@
 	Seed                  uint64                        `json:"seed"`
 }
 
-// Distribution sums up a set of ratios; all zero when there is none.
+// Distribution summarizes a set of ratios. All fields are zero for an empty set.
 type Distribution struct {
 	Mean float64 `json:"mean"`
 	P50  float64 `json:"p50"`
@@ -40,33 +40,34 @@
 	Max  float64 `json:"max"`
 }
 
-// Measurements are the raw counts of one replay that Figures are made from.
+// Measurements are the raw counts of one replay from which Figures are computed.
 type Measurements struct {
 	Policy string
 	Seed   uint64
-	// Length is the virtual time that the replay took.
+	// Length is the virtual duration of the replay, without the time before the trace.
 	Length time.Duration
 	Jobs   int
 	Tasks  int
-	// Complete, Failed and Refused count submissions by the caller's answer.
+	// Complete, Failed and Refused count submissions by the answer that the caller received.
 	Complete, Failed, Refused int
 	TasksStarted              int
 	Violations                []string
-	// ResponsesOverIdeal has one ratio for each complete job.
+	// ResponsesOverIdeal holds response time over ideal response time of each complete job.
 	ResponsesOverIdeal []float64
 	Messages           int
-	// WastedMessages counts a message by the share of it that nobody needed.
+	// WastedMessages sums, over all messages, the fraction of each that was not needed.
 	WastedMessages float64
 	ControlBytes   []HostBytes
 }
 
-// HostBytes is the control traffic that one entry host sent.
+// HostBytes is the size of the control traffic that one entry host sent and that backend servers
+// sent to it.
 type HostBytes struct {
 	Host  identifier.HostID
 	Bytes identifier.Bytes
 }
 
-// NewFigures makes the printed figures from raw measurements.
+// NewFigures computes the printed figures from raw measurements.
 func NewFigures(measurements *Measurements) *Figures {
 	answered := measurements.Complete + measurements.Failed + measurements.Refused
 	figures := &Figures{
@@ -91,7 +92,7 @@
 	return figures
 }
 
-// NewDistribution sums up ratios; percentiles are by nearest rank.
+// NewDistribution summarizes ratios. Percentiles are computed by nearest rank.
 func NewDistribution(ratios []float64) Distribution {
 	if len(ratios) == 0 {
 		return Distribution{}
@@ -109,7 +110,7 @@
 	}
 }
 
-// JSON returns the figures as one line of JSON.
+// JSON returns the figures as one line of JSON, with a line break at its end.
 func (figures *Figures) JSON() ([]byte, error) {
 	line, err := json.Marshal(figures)
 	if err != nil {
@@ -118,7 +119,7 @@
 	return append(line, '\n'), nil
 }
 
-// Value returns the figure that a trace may bound by its name.
+// Value returns the value of a figure for which a trace may state an upper bound.
 func (figures *Figures) Value(figure tracer.Figure) float64 {
 	switch figure {
 	case tracer.FigureJobs:
@@ -154,8 +155,8 @@
 	case tracer.FigureSeed:
 		return float64(figures.Seed)
 	}
-	// A figure that the parser took but that stands nowhere above must not pass
-	// as zero: an expectation on it would hold for ever.
+	// A figure that the parser accepts but that has no case above must not be zero, since
+	// every expectation on it would then hold.
 	return math.Inf(1)
 }
 
@@ -186,7 +187,7 @@
 	return rounded(float64(bytes) / length.Seconds())
 }
 
-// rounded keeps six decimals: enough to compare policies, few enough to read.
+// rounded rounds to six decimals, which are enough to compare policies and still readable.
 func rounded(value float64) float64 {
 	const scale = 1e6
 	return math.Round(value*scale) / scale
--- a/pkg/replayer/figures_test.go
+++ b/pkg/replayer/figures_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// A figure that the parser accepts but that Value forgets would leave an
-// expectation that can never hold, so that each is asked for once.
+// TestEveryFigureHasAValue guards against figures that the parser accepts but for which Value has no
+// case: expectations on them could never hold.
 func TestEveryFigureHasAValue(t *testing.T) {
 	for _, figure := range tracer.FigureValues() {
 		if value := exampleFigures().Value(figure); math.IsInf(value, 0) {
--- a/pkg/replayer/hosting.go
+++ b/pkg/replayer/hosting.go
@@ -10,10 +10,10 @@
 	"github.com/stoathitch/stoathitch/pkg/replicator"
 )
 
-// keepers is how many hosts of a deployment have a disk.
-const keepers = 3
+// maxKeepers is the number of hosts of a deployment that have a disk, if it has as many hosts.
+const maxKeepers = 3
 
-// newCoordinator makes the very host that the daemon runs.
+// newCoordinator creates the same coordinator that the daemon runs.
 func (replay *replay) newCoordinator(host *entryHost) *coordinator.Coordinator {
 	created := &coordinator.Coordinator{
 		Self:     host.member(),
@@ -42,21 +42,21 @@
 	return member
 }
 
-// addDisks makes keepers of the first host of each failure domain, then of the
-// second ones, until there are enough.
+// addDisks makes the first host of each failure domain a keeper, then the second hosts,
+// until there are maxKeepers.
 func (replay *replay) addDisks() {
 	perDomain := replay.trace.Deployment.EntryHostsPerFailureDomain
 	order := slices.Clone(replay.hosts)
 	slices.SortStableFunc(order, func(first, second *entryHost) int {
 		return slices.Index(replay.hosts, first)%perDomain - slices.Index(replay.hosts, second)%perDomain
 	})
-	for _, host := range order[:min(keepers, len(order))] {
+	for _, host := range order[:min(maxKeepers, len(order))] {
 		host.disk = &fakedisk.Disk{Sync: replay.trace.Deployment.Sync, After: replay.after}
 	}
 }
 
-// mount hands a starting keeper what its disk holds, before anything else.
-func (process *hostProcess) mount() {
+// restoreFromDisk passes the disk's content to a starting keeper as its first input.
+func (process *hostProcess) restoreFromDisk() {
 	if disk := process.host.disk; disk != nil {
 		process.post(&coordinator.Restored{Restored: disk.Restored()})
 	}
--- a/pkg/replayer/peerparts.go
+++ b/pkg/replayer/peerparts.go
@@ -6,8 +6,8 @@
 	"github.com/stoathitch/stoathitch/pkg/keeper"
 )
 
-// peerParts returns the parts of a message between entry hosts, or nothing for
-// control traffic.
+// peerParts returns the parts of a message between entry hosts, or nil for control
+// traffic.
 func peerParts(from, to identifier.HostID, message *coordinator.PeerMessage) []part {
 	switch {
 	case message.Forward != nil:
@@ -29,8 +29,7 @@
 	}
 }
 
-// recordedIn lists the submissions whose records, receipts or claims a message
-// carries.
+// recordedIn returns the submissions whose records, receipts or claims a message carries.
 func recordedIn(message *coordinator.PeerMessage) []identifier.SubmissionID {
 	switch {
 	case message.AnswerReceipt != "":
--- a/pkg/replayer/policy.go
+++ b/pkg/replayer/policy.go
@@ -8,43 +8,43 @@
 	"github.com/stoathitch/stoathitch/pkg/tracer"
 )
 
-// DefaultPolicy is the policy of a replay that names none: one lead starts all
+// DefaultPolicy is the policy of a replay without a stated one: a single lead starts all
 // tasks of its failure domain.
 const DefaultPolicy = "cell-lead"
 
-// policy is one way to dispatch: how the settings of a host are filled.
+// policy is a named variant of dispatching, applied to the settings of each host.
 type policy struct {
-	name string
-	fill func(settings *coordinator.Settings, deployment *tracer.Deployment)
+	name  string
+	apply func(settings *coordinator.Settings, deployment *tracer.Deployment)
 }
 
 var policies = []policy{
 	{DefaultPolicy, func(*coordinator.Settings, *tracer.Deployment) {}},
-	// Each entry host leads a share of its own of the backend servers.
-	{"cell-each-host", divide},
+	// Each entry host leads a disjoint subset of the backend servers.
+	{"cell-each-host", oneCellPerHost},
 	// Each entry host starts tasks on all backend servers of the failure domain and
-	// sees the starts of others only by refusals and heartbeats.
-	{"random", shared(selector.KindRandom)},
-	{"two-choices", shared(selector.KindTwoChoices)},
-	{"least-loaded", shared(selector.KindLeastLoaded)},
-	{"blend", shared(selector.KindBlend)},
+	// learns of the starts of others only through refusals and heartbeats.
+	{"random", sharedServers(selector.KindRandom)},
+	{"two-choices", sharedServers(selector.KindTwoChoices)},
+	{"least-loaded", sharedServers(selector.KindLeastLoaded)},
+	{"blend", sharedServers(selector.KindBlend)},
 }
 
-func divide(settings *coordinator.Settings, deployment *tracer.Deployment) {
+func oneCellPerHost(settings *coordinator.Settings, deployment *tracer.Deployment) {
 	settings.Dispatcher.Cells = deployment.EntryHostsPerFailureDomain
 	settings.Forwarder.Cells = deployment.EntryHostsPerFailureDomain
 }
 
-func shared(kind selector.Kind) func(*coordinator.Settings, *tracer.Deployment) {
+func sharedServers(kind selector.Kind) func(*coordinator.Settings, *tracer.Deployment) {
 	return func(settings *coordinator.Settings, deployment *tracer.Deployment) {
-		divide(settings, deployment)
+		oneCellPerHost(settings, deployment)
 		settings.Dispatcher.SharedServers = true
 		settings.Dispatcher.Selection.Kind = kind
 		settings.Dispatcher.Selection.Leads = deployment.EntryHostsPerFailureDomain
 	}
 }
 
-// Policies lists the names of the policies that a replay can use.
+// Policies returns the names of all policies, the default first.
 func Policies() []string {
 	var names []string
 	for _, policy := range policies {
--- a/pkg/replayer/random_test.go
+++ b/pkg/replayer/random_test.go
@@ -17,10 +17,9 @@
 	randomCount = flag.Uint64("random-count", 12, "how many replays with random faults to run")
 )
 
-// TestRandomFaults replays overlapping faults of every kind, struck at random, on
-// work with resends, resubmissions, cancellations and deadlines. Every promise must
-// hold through all of them. A replay that breaks one is shrunk to the faults that it
-// takes.
+// TestRandomFaults replays random, overlapping faults of every kind on work with resends,
+// resubmissions, cancellations and deadlines, and checks that every guarantee holds. A replay
+// that violates one is shrunk to the faults that are needed for it.
 func TestRandomFaults(t *testing.T) {
 	for seed := *randomFrom; seed < *randomFrom+*randomCount; seed++ {
 		if violations := replayRandom(t, seed, nil); len(violations) > 0 {
@@ -29,21 +28,21 @@
 	}
 }
 
-// TestKeptSeeds replays the schedules of random faults that once broke a promise.
+// TestKeptSeeds replays schedules of random faults that are regression cases.
 //
-// Symptom: tasks of a submission start a second time.
+// Failure: tasks of a submission start a second time.
 // Sequence: two of the three entry hosts of a failure domain die, shut down or are
-// isolated within seconds of each other; the submission is sent again.
-// Causes, by what the replays show:
+// isolated within seconds of each other; the submission is resent.
+// Causes, as seen in the replays:
 //   - 43, 88: a lead that saw no other host handed a job over to another failure domain
-//     and forgot that with its cell, which it or another took anew.
+//     and lost the record of it with its cell, which it or another host then led again.
 //   - 110, 258: a deposed lead that had been cut off handed a job over that the new lead had
-//     run already.
+//     already run.
 //   - 123: both hosts that knew a job which ran in another failure domain were lost.
-//   - 115: a deposed lead told its caller another answer than the new lead had given,
-//     because a host that had the new lead's confirmed the deposed one's as well.
-//   - 246: as 123, while the other failure domain was cut off; and what
-//     TestAcknowledgedAnswerOutlivesBothHosts shows.
+//   - 115: a deposed lead sent its caller a different answer than the new lead had given,
+//     because a host that held the new lead's answer confirmed the deposed lead's as well.
+//   - 246: as 123, while the other failure domain was cut off; and the sequence of
+//     TestAcknowledgedAnswerOutlivesBothHosts.
 //   - 169: two hosts of the same failure domain were lost.
 func TestKeptSeeds(t *testing.T) {
 	for _, seed := range []uint64{43, 88, 110, 115, 123, 169, 246, 258} {
@@ -55,10 +54,10 @@
 	}
 }
 
-// TestAcknowledgedAnswerOutlivesBothHosts. Symptom: a task starts a second time at home.
-// Sequence: seed 246 with two of its faults: a job ends and its answer stands at two hosts
-// of the home, so its backend server forgets it; both hosts are lost, and the job is sent
-// again. Cause: nobody was asked who knows that it has run.
+// TestAcknowledgedAnswerOutlivesBothHosts guards against a second start of a task at home.
+// Sequence, in seed 246 with two of its faults: a job ends and its answer is stored on two hosts
+// of the home, so its backend server forgets it; both hosts are lost, and the job is resent.
+// Cause: no query was sent to those that know that the job has run.
 func TestAcknowledgedAnswerOutlivesBothHosts(t *testing.T) {
 	var others []tracer.Event
 	for _, fault := range randomParameters(246).Faults {
@@ -72,13 +71,13 @@
 	}
 }
 
-// TestSeedsOfHostsLostInTurn replays schedules of random faults that broke a promise. What is
-// known of a submission stands at two hosts of one failure domain, and a lead that missed both
-// took a resend for new: "task t-0 started for the second time, at binh-chanh-2; the first time
-// at binh-chanh-3". In 70073 and 70395 two of three hosts are isolated or die within a second;
-// in 70382 so do two of the home and the lead of the failure domain that the job was handed to; in
-// 70231 all hosts of the home are lost in turn, and a caller that had heard "complete" heard
-// "failed" from one that had just started; 91321 is alike.
+// TestSeedsOfHostsLostInTurn guards against second starts after hosts are lost one after another.
+// The records of a submission are stored on two hosts of one failure domain, and a lead that received
+// them from neither treated a resend as new: "task t-0 started for the second time, at
+// binh-chanh-2; the first time at binh-chanh-3". In 70073 and 70395 two of three hosts are isolated
+// or die within a second; in 70382 so do two of the home and the lead of the failure domain to which
+// the job was handed over; in 70231 all hosts of the home are lost one after another, and a caller that
+// had received "complete" received "failed" from a host that had just started; 91321 is similar.
 func TestSeedsOfHostsLostInTurn(t *testing.T) {
 	for _, seed := range []uint64{70073, 70231, 70382, 70395, 91321} {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
@@ -89,60 +88,60 @@
 	}
 }
 
-// TestSeedOfAServerThatReturns replays a schedule in which tasks started a second time at the moment
-// that a silent backend server returned. The new lead waited for its report; meanwhile the deposed
-// lead had come back, finished the job and had the server forget its tasks, which were absent from
-// the report then: "t-5 started for the second time, at thu-duc-0; the first time at thu-duc-1".
+// TestSeedOfAServerThatReturns guards against second starts of tasks when a silent backend server
+// returns. The new lead waited for the server's report. Meanwhile the deposed lead had returned,
+// finished the job and acknowledged its answers, so that the server forgot the tasks and its report
+// lacked them: "t-5 started for the second time, at thu-duc-0; the first time at thu-duc-1".
 func TestSeedOfAServerThatReturns(t *testing.T) {
-	expectKept(t, 90930)
+	expectNoViolations(t, 90930)
 }
 
-// TestSeedsOfDeposedLeads replays schedules of random faults that once broke a promise.
+// TestSeedsOfDeposedLeads replays schedules of random faults that are regression cases.
 //
-// Symptom: tasks start a second time, mostly in the moment in which a partition ends.
-// Sequence: a lead is cut off and replaced; it comes back, and what waited for it on its
-// connections arrives before the word of its successor.
-// Causes, by what the replays show:
-//   - 90204, 90536, 91910, 255265808: it hands a job over which its successor has run, to a failure
-//     domain that was cut off and doesn't know of the successor.
-//   - 91619: it tells its caller that a job has not run which its successor has started.
-//   - 90789, 90959: it gives back a claim that was granted late, under which its successor runs.
+// Failure: tasks start a second time, mostly at the moment at which a partition ends.
+// Sequence: a lead is cut off and replaced; it returns, and the messages held back on its
+// connections arrive before the announcement of its successor.
+// Causes, as seen in the replays:
+//   - 90204, 90536, 91910, 255265808: it hands over a job that its successor has run, to a failure
+//     domain that was cut off and doesn't know the successor.
+//   - 91619: it answers its caller that a job has not run which its successor has started.
+//   - 90789, 90959: it releases a claim that was granted late and under which its successor runs.
 //   - 90705: a job whose answer another host had was dropped, but not from the list of jobs whose
 //     tasks wait for a silent backend server.
-//   - 90935: a host that starts while all others are lost or cut off knew none of them, and took
-//     itself to miss nothing.
-//   - 300389, 400309, 400750, 400842: a home lead that counted as lost was told that its job had
-//     not run, when it had sent the job again already.
-//   - 91654: a host that was cut off took itself to have missed nothing; only the last host that
-//     the others could see had known the job.
+//   - 90935: a host that started while all others were lost or cut off knew none of them, and
+//     assumed that it missed no records.
+//   - 300389, 400309, 400750, 400842: a home lead that was considered lost was notified that its
+//     job had not run, when it had already resent the job.
+//   - 91654: a host that was cut off assumed that it had missed no records; only the last host that
+//     the others could reach had known the job.
 func TestSeedsOfDeposedLeads(t *testing.T) {
 	for _, seed := range []uint64{90204, 90536, 90705, 90789, 90935, 90959, 91619, 91654, 91910, 300389, 400309, 400750, 400842, 255265808} {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
-			expectKept(t, seed)
+			expectNoViolations(t, seed)
 		})
 	}
 }
 
-// TestSeedsOfSlowShutdowns replays schedules in which an entry host ends 30 s after it was told to
-// shut down, before a job ends whose backend server takes eight times as long: "entry host
-// tan-binh-entry-2 ended before it answered". Its callers saw their connections close.
+// TestSeedsOfSlowShutdowns guards against shutdowns that cut off requests. An entry host ends 30 s
+// after the start of its shutdown, before a job ends whose backend server takes eight times as long:
+// "entry host tan-binh-entry-2 ended before it answered". Its callers' connections were closed.
 func TestSeedsOfSlowShutdowns(t *testing.T) {
 	for _, seed := range []uint64{81016, 91230, 91339, 91978, 255265817} {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
-			expectKept(t, seed)
+			expectNoViolations(t, seed)
 		})
 	}
 }
 
-// TestRefusalOutlivesBothHosts replays a schedule that breaks a promise: a submission is refused as
-// not run, both hosts that know of the refusal are lost within 0.2 s, and the resend of the refused
-// submission runs.
+// TestRefusalOutlivesBothHosts guards against the start of a refused submission: it is refused as not
+// run, both hosts that know of the refusal are lost within 0.2 s, and its resend runs.
 func TestRefusalOutlivesBothHosts(t *testing.T) {
-	expectKept(t, 375)
+	expectNoViolations(t, 375)
 }
 
-// expectKept replays a schedule that was kept. It isn't shrunk, which takes a dozen replays.
-func expectKept(t *testing.T, seed uint64) {
+// expectNoViolations replays the schedule of a regression case. It doesn't shrink a failing one,
+// which takes a dozen replays.
+func expectNoViolations(t *testing.T, seed uint64) {
 	t.Helper()
 	for _, violation := range replayRandom(t, seed, nil) {
 		t.Error(violation)
@@ -164,7 +163,7 @@
 	return parameters
 }
 
-// replayRandom returns the broken promises, and replays without the faults left out.
+// replayRandom replays the schedule of a seed without the faults in leftOut and returns the violations.
 func replayRandom(t *testing.T, seed uint64, leftOut []tracer.Event) []string {
 	t.Helper()
 	parameters := randomParameters(seed)
@@ -202,65 +201,67 @@
 	}
 }
 
-// TestSeedsOfLostRefusals replays schedules like that of TestRefusalOutlivesBothHosts: both hosts that
-// know of a refusal are lost within a second, and the resend of the refused submission runs.
+// TestSeedsOfLostRefusals guards against the same failure as TestRefusalOutlivesBothHosts: both hosts
+// that know of a refusal are lost within a second, and the resend of the refused submission runs.
 func TestSeedsOfLostRefusals(t *testing.T) {
 	for _, seed := range []uint64{300375, 500227, 500765} {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
-			expectKept(t, seed)
+			expectNoViolations(t, seed)
 		})
 	}
 }
 
-// TestSeedsOfGuestsOutOfReach replays schedules in which all hosts of a home that knew a submission are
-// lost or cut off, and the failure domain that had run it is cut off as well: a new lead of the home
-// takes the resend for new. It knows that it may miss records, and serves what looks new all the same.
+// TestSeedsOfGuestsOutOfReach guards against second starts when all hosts of a home that knew a
+// submission are lost or cut off, and the failure domain that ran it is cut off as well. A new lead of
+// the home treats the resend as new: it knows that it may miss records, but still serves submissions
+// that look new.
 func TestSeedsOfGuestsOutOfReach(t *testing.T) {
 	for _, seed := range []uint64{500011, 500639} {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
-			expectKept(t, seed)
+			expectNoViolations(t, seed)
 		})
 	}
 }
 
-// TestSeedOfAHostThatRejoinsAlone guards against a second start by a host that was alone and rejoins when
-// no other host is left that knew the submission, while the server that ran it is silent.
-func TestSeedOfAHostThatRejoinsAlone(t *testing.T) { expectKept(t, 10697622) }
+// TestSeedOfAHostThatRejoinsAlone guards against a second start by a host that was isolated from all
+// others and rejoins when no other host is left that knew the submission, while the backend server that
+// ran it is silent.
+func TestSeedOfAHostThatRejoinsAlone(t *testing.T) { expectNoViolations(t, 10697622) }
 
-// TestSeedOfARefusalThatIsolatedHostsKnew guards against the start of a refused submission whose refusal
-// only hosts knew that are isolated now.
-func TestSeedOfARefusalThatIsolatedHostsKnew(t *testing.T) { expectKept(t, 10697713) }
+// TestSeedOfARefusalThatIsolatedHostsKnew guards against the start of a refused submission when
+// all hosts that know of the refusal are isolated.
+func TestSeedOfARefusalThatIsolatedHostsKnew(t *testing.T) { expectNoViolations(t, 10697713) }
 
-// TestSeedOfAShutdownOfTheLastHost guards against a planned shutdown that ends on a caller without an
-// answer where no other host of the failure domain lives.
-func TestSeedOfAShutdownOfTheLastHost(t *testing.T) { expectKept(t, 10697867) }
+// TestSeedOfAShutdownOfTheLastHost guards against a planned shutdown that leaves a caller without an
+// answer when no other host of the failure domain is running.
+func TestSeedOfAShutdownOfTheLastHost(t *testing.T) { expectNoViolations(t, 10697867) }
 
-// TestSeedOfAnotherAnswer guards against a caller that is told "failed" after another sending was told
-// "complete".
-func TestSeedOfAnotherAnswer(t *testing.T) { expectKept(t, 31203205) }
+// TestSeedOfAnotherAnswer guards against the answer "failed" to one request of a submission after
+// another was answered "complete".
+func TestSeedOfAnotherAnswer(t *testing.T) { expectNoViolations(t, 31203205) }
 
-// TestSeedsOfRefusalsThatLostHostsKnew guards against the start of a refused submission whose refusal
-// only hosts knew that are lost.
+// TestSeedsOfRefusalsThatLostHostsKnew guards against the start of a refused submission when all hosts
+// that knew of the refusal are lost.
 func TestSeedsOfRefusalsThatLostHostsKnew(t *testing.T) {
 	for _, seed := range []uint64{31203303, 31203373} {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
-			expectKept(t, seed)
+			expectNoViolations(t, seed)
 		})
 	}
 }
 
-// TestSeedOfAShutdownWithARequest guards against a planned shutdown that ends on a caller without an
+// TestSeedOfAShutdownWithARequest guards against a planned shutdown that leaves a caller without an
 // answer.
-func TestSeedOfAShutdownWithARequest(t *testing.T) { expectKept(t, 31203498) }
+func TestSeedOfAShutdownWithARequest(t *testing.T) { expectNoViolations(t, 31203498) }
 
 // TestSeedOfARunInAnotherFailureDomain guards against a second start at home of a task that runs in
-// another failure domain, after the home's hosts were lost or alone.
-func TestSeedOfARunInAnotherFailureDomain(t *testing.T) { expectKept(t, 32208263) }
+// another failure domain, after the home's hosts were lost or isolated from all others.
+func TestSeedOfARunInAnotherFailureDomain(t *testing.T) { expectNoViolations(t, 32208263) }
 
-// TestSeedOfAResendAfterARefusal guards against the start of a refused submission whose refusal only
-// hosts knew that are lost.
-func TestSeedOfAResendAfterARefusal(t *testing.T) { expectKept(t, 32208451) }
+// TestSeedOfAResendAfterARefusal guards against the start of a refused submission, by its resend, when
+// all hosts that knew of the refusal are lost.
+func TestSeedOfAResendAfterARefusal(t *testing.T) { expectNoViolations(t, 32208451) }
 
-// TestSeedOfAnswersThatDiffer guards against callers of one submission that are told different answers by
-// hosts that were isolated, one of them "not run".
-func TestSeedOfAnswersThatDiffer(t *testing.T) { expectKept(t, 33300169) }
+// TestSeedOfAnswersThatDiffer guards against different answers to one submission from hosts that were
+// isolated, one of them "not run".
+func TestSeedOfAnswersThatDiffer(t *testing.T) { expectNoViolations(t, 33300169) }
--- a/pkg/replayer/replayer.go
+++ b/pkg/replayer/replayer.go
@@ -14,42 +14,42 @@
 	// warmUp is the time before the trace in which hosts connect and cells get
 	// their leads.
 	warmUp = 5 * time.Second
-	// afterwards is how long the replay goes on after the last work or deadline,
-	// so that a late breach of a promise is still seen.
-	afterwards = 30 * time.Second
+	// coolDown is how long the replay continues after the last work or deadline, so that
+	// late violations are detected.
+	coolDown = 30 * time.Second
 	// reconnectPause is how long backend servers and entry hosts wait before they
-	// dial again.
+	// reconnect.
 	reconnectPause = 100 * time.Millisecond
 )
 
-// Replayer replays one trace in virtual time against the coordinators that the
-// daemon runs. Set the exported fields before Run.
+// Replayer replays one trace in virtual time with the same coordinators that the daemon
+// runs. Set the exported fields before Run.
 type Replayer struct {
 	Trace *tracer.Trace
-	// Policy is one of Policies; empty means the default.
+	// Policy is one of Policies; empty means DefaultPolicy.
 	Policy string
-	// Seed drives the choices of the fake balancer. With the same trace, policy
-	// and seed, Run returns the same figures.
+	// Seed drives the random choices of the fake balancer and the seeds of the coordinators. With
+	// the same trace, policy and seed, Run returns the same figures.
 	Seed uint64
-	// Explain names a submission whose decisions are wanted; empty wants none.
+	// Explain is the submission whose decisions Run returns in Result.Steps; empty means none.
 	Explain identifier.SubmissionID
 }
 
-// Result is what came of a replay.
+// Result holds the results of a replay.
 type Result struct {
 	Figures *Figures
-	// Unmet has one sentence for each stated outcome that does not hold.
+	// Unmet has one sentence for each expectation of the trace that does not hold.
 	Unmet []string
-	// Steps are the decisions on the submission that was to be explained.
+	// Steps are the decisions about the submission in Replayer.Explain.
 	Steps []HostStep
 }
 
-// Sound tells whether no promise was broken and every stated outcome holds.
+// Sound reports whether no guarantee was violated and every expectation of the trace holds.
 func (result *Result) Sound() bool {
 	return len(result.Figures.Violations) == 0 && len(result.Unmet) == 0
 }
 
-// Run replays the trace to its end.
+// Run replays the trace to its end. It fails only for an unknown policy.
 func (replayer *Replayer) Run() (*Result, error) {
 	policy, err := findPolicy(replayer.Policy)
 	if err != nil {
@@ -57,7 +57,7 @@
 	}
 	replay := newReplay(replayer, policy)
 	if replayer.Explain != "" {
-		replay.settings.Dispatcher.ExplainedSteps = explainedSteps
+		replay.settings.Dispatcher.ExplainedSteps = maxExplainedSteps
 	}
 	replay.start()
 	replay.schedule()
@@ -67,8 +67,7 @@
 	return &Result{Figures: figures, Unmet: unmet, Steps: replay.explain(replayer.Explain)}, nil
 }
 
-// replay is the state of one run. Moment zero of its clock is the start of the
-// trace.
+// replay is the state of one replay. The trace starts at moment zero of its clock.
 type replay struct {
 	trace    *tracer.Trace
 	policy   *policy
@@ -77,7 +76,7 @@
 	clock    *fakenetwork.Clock
 	network  *fakenetwork.Network
 	checker  *Checker
-	ledger   *ledger
+	traffic  *traffic
 	settings coordinator.Settings
 	end      identifier.Moment
 
@@ -100,7 +99,7 @@
 		random:      rand.New(rand.NewPCG(replayer.Seed, deployment.Seed)),
 		clock:       clock,
 		checker:     NewChecker(),
-		ledger:      newLedger(),
+		traffic:     newTraffic(),
 		settings:    coordinator.DefaultSettings(),
 		hostByID:    make(map[identifier.HostID]*entryHost),
 		serverByID:  make(map[identifier.BackendServerID]*backendServer),
@@ -108,14 +107,14 @@
 		submissions: make(map[identifier.SubmissionID]*submission),
 	}
 	created.network = &fakenetwork.Network{Clock: clock, Delay: created.delay, ReconnectPause: reconnectPause}
-	policy.fill(&created.settings, deployment)
+	policy.apply(&created.settings, deployment)
 	created.end = created.lastMoment()
 	created.build(deployment)
 	return created
 }
 
-// delay returns the one-way delay between two places.
-func (replay *replay) delay(from, to *fakenetwork.Place) time.Duration {
+// delay returns the one-way network delay between two nodes.
+func (replay *replay) delay(from, to *fakenetwork.Node) time.Duration {
 	deployment := &replay.trace.Deployment
 	switch {
 	case isCallers(from.Address) || isCallers(to.Address):
@@ -127,7 +126,8 @@
 	}
 }
 
-// lastMoment returns when the replay ends.
+// lastMoment returns the moment at which the replay ends: the last event, or coolDown after the
+// last work or deadline if that is later.
 func (replay *replay) lastMoment() identifier.Moment {
 	last, lastWork := identifier.Moment(0), identifier.Moment(0)
 	for _, event := range replay.trace.Events {
@@ -141,14 +141,14 @@
 			lastWork = max(lastWork, job.Deadline)
 		}
 	}
-	return max(last, lastWork.Add(afterwards))
+	return max(last, lastWork.Add(coolDown))
 }
 
 func (replay *replay) after(delay time.Duration, action func()) {
 	replay.clock.At(replay.clock.Now().Add(delay), action)
 }
 
-// build makes the places of the deployment and the connections between them.
+// build creates the nodes of the deployment and the links between them.
 func (replay *replay) build(deployment *tracer.Deployment) {
 	for _, domain := range deployment.FailureDomains {
 		for number := range deployment.EntryHostsPerFailureDomain {
@@ -169,14 +169,14 @@
 		host.start()
 	}
 	for _, domain := range replay.trace.Deployment.FailureDomains {
-		replay.network.Start(replay.callers[domain].place, replay.callers[domain])
+		replay.network.Start(replay.callers[domain].node, replay.callers[domain])
 	}
 	for _, server := range replay.servers {
 		server.start()
 	}
 }
 
-// schedule puts the events of the trace on the clock.
+// schedule schedules the events of the trace, except expectations, on the clock.
 func (replay *replay) schedule() {
 	for _, event := range replay.trace.Events {
 		switch event := event.(type) {
@@ -186,7 +186,7 @@
 			replay.clock.At(event.At, func() { replay.sendCancel(event) })
 		case *tracer.Expect:
 		default:
-			replay.clock.At(event.Moment(), func() { replay.strike(event) })
+			replay.clock.At(event.Moment(), func() { replay.applyFault(event) })
 		}
 	}
 }
@@ -204,26 +204,26 @@
 		Refused:      counts.Refused,
 		TasksStarted: replay.checker.TasksStarted(),
 		Violations:   replay.checker.Violations(),
-		Messages:     replay.ledger.messages(),
+		Messages:     replay.traffic.messages(),
 	}
-	measurements.WastedMessages = replay.ledger.wasted(replay.submissions)
+	measurements.WastedMessages = replay.traffic.wasted(replay.submissions)
 	for _, event := range replay.trace.Events {
 		if job, isJob := event.(*tracer.Job); isJob {
 			measurements.addResponse(replay.submissions[job.Submission], job)
 		}
 	}
 	for _, host := range replay.hosts {
-		measurements.ControlBytes = append(measurements.ControlBytes, HostBytes{Host: host.id, Bytes: replay.ledger.control[host.id]})
+		measurements.ControlBytes = append(measurements.ControlBytes, HostBytes{Host: host.id, Bytes: replay.traffic.control[host.id]})
 	}
 	return measurements
 }
 
-// addResponse adds the response time of a complete job, once for its first
-// sending.
+// addResponse adds the response over ideal of a complete submission, only for the job event
+// that sent it first.
 func (measurements *Measurements) addResponse(submission *submission, job *tracer.Job) {
 	if submission == nil || !submission.complete || submission.job != job {
 		return
 	}
-	response := submission.completeAt.Sub(submission.sentAt)
+	response := submission.completeAt.Sub(submission.submittedAt)
 	measurements.ResponsesOverIdeal = append(measurements.ResponsesOverIdeal, float64(response)/float64(submission.ideal))
 }
--- a/pkg/replayer/traces_test.go
+++ b/pkg/replayer/traces_test.go
@@ -14,10 +14,9 @@
 
 const tracesFolder = "../../testdata/traces"
 
-// TestKeptTraces replays each kept trace. A broken promise or an unmet outcome
-// fails, whatever the golden files say. The figures stand in golden files, so that
-// what a change of policy does to them is seen in its diff; -rewrite writes them
-// anew.
+// TestKeptTraces replays the regression traces. It fails on a violated guarantee or an unmet
+// expectation, whatever the golden files contain. The figures are compared with golden files,
+// so that the diff of a policy change shows its effect on them; -rewrite updates the files.
 func TestKeptTraces(t *testing.T) {
 	names, err := filepath.Glob(filepath.Join(tracesFolder, "*.trace"))
 	if err != nil || len(names) == 0 {
@@ -28,13 +27,13 @@
 		t.Run(short, func(t *testing.T) {
 			t.Parallel()
 			datadriven.RunTest(t, "testdata/figures/"+short, func(t *testing.T, _ *datadriven.TestData) string {
-				return replayKept(t, name)
+				return replayWithoutViolations(t, name)
 			})
 		})
 	}
 }
 
-func replayKept(t *testing.T, name string) string {
+func replayWithoutViolations(t *testing.T, name string) string {
 	t.Helper()
 	result, line := replayFile(t, name, "")
 	for _, violation := range result.Figures.Violations {
@@ -46,8 +45,8 @@
 	return strings.ReplaceAll(string(line), ",\"", ",\n\"")
 }
 
-// TestSameBytes replays under every policy twice: the same trace, policy and seed
-// print the same bytes.
+// TestSameBytes guards against nondeterminism: two replays with the same trace, policy and seed
+// must print the same bytes, under every policy.
 func TestSameBytes(t *testing.T) {
 	name := filepath.Join(tracesFolder, "phuc-tin-two-faults.trace")
 	for _, policy := range Policies() {
