--- a/pkg/commander/replay.go
+++ b/pkg/commander/replay.go
@@ -87,7 +87,7 @@
 			if err != nil {
 				return nil, 0, err
 			}
-			if !result.Sound() {
+			if !result.Passed() {
 				wanting++
 			}
 			rows = append(rows, replayRow(loaded, result.Figures))
--- a/pkg/replayer/replayer.go
+++ b/pkg/replayer/replayer.go
@@ -44,8 +44,8 @@
 	Steps []HostStep
 }
 
-// Sound reports whether no guarantee was violated and every expectation of the trace holds.
-func (result *Result) Sound() bool {
+// Passed reports whether no guarantee was violated and every expectation of the trace holds.
+func (result *Result) Passed() bool {
 	return len(result.Figures.Violations) == 0 && len(result.Unmet) == 0
 }
 
