--- a/pkg/commander/replayrow.go
+++ b/pkg/commander/replayrow.go
@@ -30,7 +30,7 @@
 	var rows []reporter.Row
 	for _, bound := range []struct {
 		name  string
-		order replayer.Order
+		order replayer.QueueOrder
 		reach replayer.Reach
 	}{
 		{"central queue, first come", replayer.OrderFirstCome, replayer.ReachMayRun},
--- a/pkg/replayer/bound.go
+++ b/pkg/replayer/bound.go
@@ -10,13 +10,13 @@
 	"github.com/stoathitch/stoathitch/pkg/tracer"
 )
 
-// Order is the order in which the central queue serves jobs.
-type Order int
+// QueueOrder is the order in which the central queue serves jobs.
+type QueueOrder int
 
 // Orders of the central queue.
 const (
 	// OrderFirstCome serves jobs in the order of their arrival.
-	OrderFirstCome Order = iota
+	OrderFirstCome QueueOrder = iota
 	// OrderFewestTasks serves the job with the fewest tasks first, which needs no estimate
 	// of run times.
 	OrderFewestTasks
@@ -41,7 +41,7 @@
 // ideal's, loses nothing and leaves no slot idle that a waiting task may use. It ignores
 // faults, cancellations, deadlines and resends. It is a bound: no dispatcher that serves
 // jobs in the same order has shorter queues, so a lower target can't be met on this trace.
-func CentralQueue(trace *tracer.Trace, order Order, reach Reach) Distribution {
+func CentralQueue(trace *tracer.Trace, order QueueOrder, reach Reach) Distribution {
 	queue := newCentralQueue(trace, order, reach)
 	for _, event := range trace.Events {
 		if job, isJob := event.(*tracer.Job); isJob {
@@ -54,7 +54,7 @@
 
 type centralQueue struct {
 	deployment *tracer.Deployment
-	order      Order
+	order      QueueOrder
 	reach      Reach
 	free       map[identifier.FailureDomain]identifier.Slots
 	waiting    []*centralJob
@@ -79,7 +79,7 @@
 	domain identifier.FailureDomain
 }
 
-func newCentralQueue(trace *tracer.Trace, order Order, reach Reach) *centralQueue {
+func newCentralQueue(trace *tracer.Trace, order QueueOrder, reach Reach) *centralQueue {
 	deployment := &trace.Deployment
 	queue := &centralQueue{
 		deployment: deployment,
