--- a/pkg/commander/replayrow.go
+++ b/pkg/commander/replayrow.go
@@ -31,7 +31,7 @@
 	for _, bound := range []struct {
 		name  string
 		order replayer.QueueOrder
-		reach replayer.Reach
+		reach replayer.PlacementScope
 	}{
 		{"central queue, first come", replayer.OrderFirstCome, replayer.ReachMayRun},
 		{"central queue, fewest tasks", replayer.OrderFewestTasks, replayer.ReachMayRun},
--- a/pkg/replayer/bound.go
+++ b/pkg/replayer/bound.go
@@ -25,13 +25,13 @@
 	OrderLeastWork
 )
 
-// Reach is the set of failure domains in which the central queue may run a job.
-type Reach int
+// PlacementScope is the set of failure domains in which the central queue may run a job.
+type PlacementScope int
 
 // Reaches of the central queue.
 const (
 	// ReachMayRun allows every failure domain in which the job may run.
-	ReachMayRun Reach = iota
+	ReachMayRun PlacementScope = iota
 	// ReachHome allows only the job's home, as if each failure domain had a queue of its own.
 	ReachHome
 )
@@ -41,7 +41,7 @@
 // ideal's, loses nothing and leaves no slot idle that a waiting task may use. It ignores
 // faults, cancellations, deadlines and resends. It is a bound: no dispatcher that serves
 // jobs in the same order has shorter queues, so a lower target can't be met on this trace.
-func CentralQueue(trace *tracer.Trace, order QueueOrder, reach Reach) Distribution {
+func CentralQueue(trace *tracer.Trace, order QueueOrder, reach PlacementScope) Distribution {
 	queue := newCentralQueue(trace, order, reach)
 	for _, event := range trace.Events {
 		if job, isJob := event.(*tracer.Job); isJob {
@@ -55,7 +55,7 @@
 type centralQueue struct {
 	deployment *tracer.Deployment
 	order      QueueOrder
-	reach      Reach
+	reach      PlacementScope
 	free       map[identifier.FailureDomain]identifier.Slots
 	waiting    []*centralJob
 	ends       endHeap
@@ -79,7 +79,7 @@
 	domain identifier.FailureDomain
 }
 
-func newCentralQueue(trace *tracer.Trace, order QueueOrder, reach Reach) *centralQueue {
+func newCentralQueue(trace *tracer.Trace, order QueueOrder, reach PlacementScope) *centralQueue {
 	deployment := &trace.Deployment
 	queue := &centralQueue{
 		deployment: deployment,
