--- a/pkg/commander/replayrow.go
+++ b/pkg/commander/replayrow.go
@@ -33,9 +33,9 @@
 		order replayer.QueueOrder
 		reach replayer.PlacementScope
 	}{
-		{"central queue, first come", replayer.OrderFirstCome, replayer.ReachMayRun},
-		{"central queue, fewest tasks", replayer.OrderFewestTasks, replayer.ReachMayRun},
-		{"central queue, least work", replayer.OrderLeastWork, replayer.ReachMayRun},
+		{"central queue, first come", replayer.OrderFirstCome, replayer.PlacementAllowedDomains},
+		{"central queue, fewest tasks", replayer.OrderFewestTasks, replayer.PlacementAllowedDomains},
+		{"central queue, least work", replayer.OrderLeastWork, replayer.PlacementAllowedDomains},
 		{"queue of the home, first come", replayer.OrderFirstCome, replayer.ReachHome},
 		{"queue of the home, fewest tasks", replayer.OrderFewestTasks, replayer.ReachHome},
 		{"queue of the home, least work", replayer.OrderLeastWork, replayer.ReachHome},
--- a/pkg/replayer/bound.go
+++ b/pkg/replayer/bound.go
@@ -30,8 +30,8 @@
 
 // Reaches of the central queue.
 const (
-	// ReachMayRun allows every failure domain in which the job may run.
-	ReachMayRun PlacementScope = iota
+	// PlacementAllowedDomains allows every failure domain in which the job may run.
+	PlacementAllowedDomains PlacementScope = iota
 	// ReachHome allows only the job's home, as if each failure domain had a queue of its own.
 	ReachHome
 )
