--- a/pkg/commander/replayrow.go
+++ b/pkg/commander/replayrow.go
@@ -36,9 +36,9 @@
 		{"central queue, first come", replayer.OrderFirstCome, replayer.PlacementAllowedDomains},
 		{"central queue, fewest tasks", replayer.OrderFewestTasks, replayer.PlacementAllowedDomains},
 		{"central queue, least work", replayer.OrderLeastWork, replayer.PlacementAllowedDomains},
-		{"queue of the home, first come", replayer.OrderFirstCome, replayer.ReachHome},
-		{"queue of the home, fewest tasks", replayer.OrderFewestTasks, replayer.ReachHome},
-		{"queue of the home, least work", replayer.OrderLeastWork, replayer.ReachHome},
+		{"queue of the home, first come", replayer.OrderFirstCome, replayer.PlacementHomeDomain},
+		{"queue of the home, fewest tasks", replayer.OrderFewestTasks, replayer.PlacementHomeDomain},
+		{"queue of the home, least work", replayer.OrderLeastWork, replayer.PlacementHomeDomain},
 	} {
 		rows = append(rows, newRow(loaded, bound.name, replayer.CentralQueue(loaded.trace, bound.order, bound.reach)))
 	}
--- a/pkg/replayer/bound.go
+++ b/pkg/replayer/bound.go
@@ -32,8 +32,8 @@
 const (
 	// PlacementAllowedDomains allows every failure domain in which the job may run.
 	PlacementAllowedDomains PlacementScope = iota
-	// ReachHome allows only the job's home, as if each failure domain had a queue of its own.
-	ReachHome
+	// PlacementHomeDomain allows only the job's home, as if each failure domain had a queue of its own.
+	PlacementHomeDomain
 )
 
 // CentralQueue simulates one queue over all slots and returns the distribution of response
@@ -105,7 +105,7 @@
 		created.queued = append(created.queued, task.RunTime)
 	}
 	slices.SortFunc(created.queued, func(first, second time.Duration) int { return cmp.Compare(second, first) })
-	if queue.reach == ReachHome {
+	if queue.reach == PlacementHomeDomain {
 		created.domains = created.domains[:1]
 	}
 	created.rank = queue.rank(job)
