--- a/pkg/commander/replayrow.go
+++ b/pkg/commander/replayrow.go
@@ -40,7 +40,7 @@
 		{"queue of the home, fewest tasks", replayer.OrderFewestTasks, replayer.PlacementHomeDomain},
 		{"queue of the home, least work", replayer.OrderLeastWork, replayer.PlacementHomeDomain},
 	} {
-		rows = append(rows, newRow(loaded, bound.name, replayer.CentralQueue(loaded.trace, bound.order, bound.reach)))
+		rows = append(rows, newRow(loaded, bound.name, replayer.SimulateCentralQueue(loaded.trace, bound.order, bound.reach)))
 	}
 	return rows
 }
--- a/pkg/replayer/bound.go
+++ b/pkg/replayer/bound.go
@@ -36,12 +36,12 @@
 	PlacementHomeDomain
 )
 
-// CentralQueue simulates one queue over all slots and returns the distribution of response
+// SimulateCentralQueue simulates one queue over all slots and returns the distribution of response
 // time over ideal response time. The queue knows every run time, adds no delay beyond the
 // ideal's, loses nothing and leaves no slot idle that a waiting task may use. It ignores
 // faults, cancellations, deadlines and resends. It is a bound: no dispatcher that serves
 // jobs in the same order has shorter queues, so a lower target can't be met on this trace.
-func CentralQueue(trace *tracer.Trace, order QueueOrder, reach PlacementScope) Distribution {
+func SimulateCentralQueue(trace *tracer.Trace, order QueueOrder, reach PlacementScope) Distribution {
 	queue := newCentralQueue(trace, order, reach)
 	for _, event := range trace.Events {
 		if job, isJob := event.(*tracer.Job); isJob {
