--- a/cmd/stoathitchd-platform/main.go
+++ b/cmd/stoathitchd-platform/main.go
@@ -1,4 +1,5 @@
-// Command stoathitchd-platform is one process of the system on the users' platform.
+// Command stoathitchd-platform runs one process of the product on the users' platform and exits with
+// the code of adapter.Main.
 package main
 
 import (
