--- a/pkg/awaiter/awaiter.go
+++ b/pkg/awaiter/awaiter.go
@@ -1,5 +1,5 @@
-// Package awaiter lets requests wait for answers that come in elsewhere, by a number
-// that goes with each question.
+// Package awaiter matches asynchronous answers to the requests that wait for them, by a
+// correlation number that the request sends along.
 package awaiter
 
 import (
@@ -7,37 +7,38 @@
 	"sync"
 )
 
-// Awaiter holds the requests that wait. Its zero value is ready, and it is safe for
-// concurrent use.
+// Awaiter keeps the pending requests by number. Its zero value is ready for use, and it is
+// safe for concurrent use.
 type Awaiter[ID ~uint64, Answer any] struct {
 	mutex   sync.Mutex
 	last    ID
 	waiting map[ID]chan Answer
 }
 
-// Await gives a request a number of its own, asks with it and waits for the answer. It
-// returns false once ctx is done; an answer that comes later is dropped.
-func (awaiter *Awaiter[ID, Answer]) Await(ctx context.Context, ask func(ID)) (Answer, bool) {
+// Await assigns a new number to a request, calls send with it and waits for the answer. It
+// returns false once ctx is done; an answer that arrives later is dropped.
+func (awaiter *Awaiter[ID, Answer]) Await(ctx context.Context, send func(ID)) (Answer, bool) {
 	id, answers := awaiter.add()
-	ask(id)
+	send(id)
 	select {
 	case answer := <-answers:
 		return answer, true
 	case <-ctx.Done():
-		awaiter.take(id)
+		awaiter.remove(id)
 		var none Answer
 		return none, false
 	}
 }
 
-// Answer hands an answer to the request that waits for it. It never blocks.
+// Answer delivers an answer to the request that waits for it, and drops it if none does. It
+// never blocks.
 func (awaiter *Awaiter[ID, Answer]) Answer(id ID, answer Answer) {
-	if answers, found := awaiter.take(id); found {
+	if answers, found := awaiter.remove(id); found {
 		answers <- answer
 	}
 }
 
-// Len returns how many requests wait.
+// Len returns the number of pending requests.
 func (awaiter *Awaiter[ID, Answer]) Len() int {
 	awaiter.mutex.Lock()
 	defer awaiter.mutex.Unlock()
@@ -45,7 +46,7 @@
 }
 
 func (awaiter *Awaiter[ID, Answer]) add() (ID, <-chan Answer) {
-	// One place, so that who answers never waits for who asked.
+	// A buffer of one, so that Answer never waits for the requester.
 	answers := make(chan Answer, 1)
 	awaiter.mutex.Lock()
 	defer awaiter.mutex.Unlock()
@@ -57,7 +58,7 @@
 	return awaiter.last, answers
 }
 
-func (awaiter *Awaiter[ID, Answer]) take(id ID) (chan<- Answer, bool) {
+func (awaiter *Awaiter[ID, Answer]) remove(id ID) (chan<- Answer, bool) {
 	awaiter.mutex.Lock()
 	defer awaiter.mutex.Unlock()
 	answers, found := awaiter.waiting[id]
--- a/pkg/awaiter/awaiter_test.go
+++ b/pkg/awaiter/awaiter_test.go
@@ -7,8 +7,9 @@
 	"github.com/stoathitch/stoathitch/pkg/awaiter"
 )
 
-// TestAnswersReachTheirRequests: each request gets the answer to its own number, also
-// one that comes before it waits; one that has left gets none, and nobody is held up.
+// TestAnswersReachTheirRequests guards against answers that reach the wrong request: each
+// request gets the answer to its own number, even one that arrives before it waits. A request
+// whose context is done gets none, and no sender of an answer blocks.
 func TestAnswersReachTheirRequests(t *testing.T) {
 	var waiting awaiter.Awaiter[uint64, string]
 	answer, answered := waiting.Await(context.Background(), func(id uint64) {
