--- a/pkg/runner/clock.go
+++ b/pkg/runner/clock.go
@@ -6,12 +6,12 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// Clock reads the host's monotonic clock as moments since the clock was made.
-// A jump of the wall clock does not move it.
+// Clock reads the monotonic clock as moments since NewClock. Changes of the wall clock don't
+// affect it.
 type Clock struct{ start time.Time }
 
-// NewClock returns a clock that stands at moment 0.
+// NewClock returns a clock that reads moment 0 now.
 func NewClock() *Clock { return &Clock{start: time.Now()} }
 
-// Now returns the present moment.
+// Now returns the time since NewClock.
 func (clock *Clock) Now() identifier.Moment { return identifier.Moment(time.Since(clock.start)) }
--- a/pkg/runner/runner.go
+++ b/pkg/runner/runner.go
@@ -1,6 +1,6 @@
-// Package runner drives a deciding package on the real clock: it gathers what
-// arrives, ticks as soon as there is input or a deadline falls due, and hands the
-// outputs on. A tick never waits for a fixed period, so it adds no delay.
+// Package runner drives a deciding package on the real clock: it collects inputs, ticks as
+// soon as there is an input or a deadline is due, and delivers the outputs. Ticks have no
+// fixed period, so they add no delay.
 package runner
 
 import (
@@ -10,15 +10,16 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// maxBatch bounds the inputs of one tick, so that a flood can't hold back the
-// outputs of what has been decided.
+// maxBatch bounds the inputs of one tick, so that a flood of them doesn't delay the outputs
+// of what has already been decided.
 const maxBatch = 4096
 
-// inboxSize bounds what waits for the next tick. Senders block beyond it, which
-// slows the connections that feed it.
+// inboxSize bounds the inputs that wait for the next tick. When the inbox is full, Post blocks,
+// which puts back-pressure on the connections that feed it.
 const inboxSize = 16384
 
-// Decider is a deciding package that is driven by ticks.
+// Decider is a deciding package: it turns a moment and inputs into outputs. NextDeadline is
+// the moment of the next tick without input, or identifier.Never.
 type Decider[Input, Output any] interface {
 	Tick(now identifier.Moment, inputs []Input) []Output
 	NextDeadline() identifier.Moment
@@ -27,17 +28,18 @@
 // Runner ticks one decider. Set the exported fields before Run.
 type Runner[Input, Output any] struct {
 	Decider Decider[Input, Output]
-	// Deliver carries the outputs of one tick out. It must not block for long.
+	// Deliver sends the outputs of one tick on. It must not block for long.
 	Deliver func(outputs []Output)
 	Clock   *Clock
 
 	inbox chan Input
 }
 
-// Prepare makes the inbox, so that Post may be called before Run.
+// Prepare creates the inbox. Call it before the first Post and before Run.
 func (runner *Runner[Input, Output]) Prepare() { runner.inbox = make(chan Input, inboxSize) }
 
-// Post hands an input to the next tick. It returns false once ctx is done.
+// Post queues an input for the next tick and blocks while the inbox is full. It returns false
+// once ctx is done.
 func (runner *Runner[Input, Output]) Post(ctx context.Context, input Input) bool {
 	select {
 	case runner.inbox <- input:
@@ -53,7 +55,7 @@
 	defer timer.Stop()
 	inputs := make([]Input, 0, maxBatch)
 	for {
-		runner.arm(timer)
+		runner.resetTimer(timer)
 		inputs = inputs[:0]
 		select {
 		case <-ctx.Done():
@@ -62,7 +64,7 @@
 		case input := <-runner.inbox:
 			inputs = append(inputs, input)
 		}
-		inputs = runner.gather(inputs)
+		inputs = runner.drainInbox(inputs)
 		outputs := runner.Decider.Tick(runner.Clock.Now(), inputs)
 		if len(outputs) > 0 {
 			runner.Deliver(outputs)
@@ -71,8 +73,8 @@
 	}
 }
 
-// arm sets the timer to the next deadline.
-func (runner *Runner[Input, Output]) arm(timer *time.Timer) {
+// resetTimer sets the timer to the next deadline, or stops it if there is none.
+func (runner *Runner[Input, Output]) resetTimer(timer *time.Timer) {
 	next := runner.Decider.NextDeadline()
 	if next == identifier.Never {
 		timer.Stop()
@@ -81,8 +83,8 @@
 	timer.Reset(max(next.Sub(runner.Clock.Now()), 0))
 }
 
-// gather takes what else has arrived, without waiting.
-func (runner *Runner[Input, Output]) gather(inputs []Input) []Input {
+// drainInbox appends inputs that have already arrived, up to maxBatch, without waiting.
+func (runner *Runner[Input, Output]) drainInbox(inputs []Input) []Input {
 	for len(inputs) < maxBatch {
 		select {
 		case input := <-runner.inbox:
