--- a/pkg/assembler/bodies.go
+++ b/pkg/assembler/bodies.go
@@ -8,7 +8,8 @@
 	"github.com/stoathitch/stoathitch/pkg/loader"
 )
 
-// ConfigBody is the JSON of a version of the configuration.
+// ConfigBody is the JSON form of one version of the configuration. Document is "{}" where the
+// version has none.
 type ConfigBody struct {
 	configurer.Version
 	Document json.RawMessage `json:"document"`
@@ -22,7 +23,8 @@
 	return body
 }
 
-// ChangeBody is the JSON of a change of the configuration.
+// ChangeBody is the JSON form of a request to change the configuration. Expected is the version
+// that the change is based on.
 type ChangeBody struct {
 	Request  identifier.RequestID     `json:"request"`
 	Expected identifier.ConfigVersion `json:"expected"`
@@ -30,11 +32,11 @@
 	Document json.RawMessage          `json:"document"`
 }
 
-// ErrorBody is the JSON of a request that could not be served.
+// ErrorBody is the JSON form of the response to a request that could not be served.
 type ErrorBody struct {
-	// Error names the kind of error, Detail says it in a sentence.
+	// Error is the kind of error, Detail explains it in a sentence.
 	Error  string `json:"error"`
 	Detail string `json:"detail"`
-	// Problems lists what is wrong in a configuration document.
+	// Problems lists the errors of a configuration document.
 	Problems []loader.Problem `json:"problems,omitempty"`
 }
--- a/pkg/assembler/callers_test.go
+++ b/pkg/assembler/callers_test.go
@@ -14,7 +14,8 @@
 
 var httpBlock = regexp.MustCompile("(?s)```http\n(.*?)```")
 
-// TestCallersPage runs every example of docs/CALLERS.md in order against a host.
+// TestCallersPage runs every example of docs/CALLERS.md in order against a host and compares
+// status and body.
 func TestCallersPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CALLERS.md")
 	if err != nil {
--- a/pkg/assembler/checkedfile.go
+++ b/pkg/assembler/checkedfile.go
@@ -10,13 +10,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// checksumLength is the length of the checksum at the start of a file.
+// checksumLength is the length in bytes of the xxHash checksum at the start of a file.
 const checksumLength = 8
 
 var errWrongChecksum = eris.New("its checksum is wrong")
 
-// writeChecked replaces a file by the CBOR form of a value behind its checksum. Nothing
-// is synced: after a loss of power the file may be torn, which readChecked tells.
+// writeChecked replaces a file by a checksum and the CBOR encoding of a value. It doesn't sync:
+// after a power loss the file may be torn, which readChecked detects.
 func writeChecked(path string, value any) error {
 	encoded, err := cbor.Marshal(value)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return eris.Wrap(os.Rename(temporary, path), "rename")
 }
 
-// readChecked reads what writeChecked wrote.
+// readChecked reads a file that writeChecked wrote. It returns errWrongChecksum for a torn file.
 func readChecked(path string, value any) error {
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/pkg/assembler/config_test.go
+++ b/pkg/assembler/config_test.go
@@ -18,8 +18,8 @@
 	return &assembler.ChangeBody{Request: request, Expected: expected, Operator: "tam", Document: json.RawMessage(document)}
 }
 
-// TestConfigurationComesIntoForce changes limits and quotas while the system runs
-// and sees them at both hosts, one of which is no keeper.
+// TestConfigurationComesIntoForce changes limits and quotas while the system runs and checks
+// that they apply on both hosts, one of which is not a keeper.
 func TestConfigurationComesIntoForce(t *testing.T) {
 	deployment := startDeployment(t, 2, nil)
 	deployment.startServers(t, 2, 8)
@@ -57,8 +57,8 @@
 	checkChanges(t, deployment.hosts[1], document)
 }
 
-// checkChanges: a resend gives the first answer, a change on an old version loses,
-// and a wrong document is refused with its problems.
+// checkChanges checks that a resent change gets the first result, that a change based on an old
+// version is a conflict, and that an invalid document is refused with its problems.
 func checkChanges(t *testing.T, host *requester.Requester, document string) {
 	t.Helper()
 	again, err := host.ChangeConfig(t.Context(), change("r-1", 0, document))
--- a/pkg/assembler/parts.go
+++ b/pkg/assembler/coordinator.go
@@ -10,7 +10,7 @@
 	"github.com/stoathitch/stoathitch/pkg/planner"
 )
 
-// newCoordinator makes the deciding part of a host from its settings.
+// newCoordinator creates the coordinator of a host from its settings.
 func newCoordinator(settings *loader.Settings, incarnation identifier.Incarnation) *coordinator.Coordinator {
 	self := memberOf(settings.Self())
 	self.Incarnation = incarnation
@@ -20,7 +20,7 @@
 		Settings: coordinatorSettings(settings),
 		LimitsOf: limitsReader(settings),
 		QuotasOf: quotasReader(settings),
-		// The daemon's clock stands at moment 0 now.
+		// The daemon's clock reads moment 0 now.
 		WallStart: planner.WallTime(time.Now().UnixMilli()),
 	}
 	for _, host := range settings.Hosts {
--- a/pkg/assembler/parts_test.go
+++ b/pkg/assembler/coordinator_test.go
@@ -10,9 +10,9 @@
 	"github.com/stoathitch/stoathitch/pkg/selector"
 )
 
-// TestDefaultSettingsAreTheMeasuredOnes: the daemon's defaults must be those that
-// the deciding packages were measured with.
-func TestDefaultSettingsAreTheMeasuredOnes(t *testing.T) {
+// TestDefaultSettingsMatchDecidingPackages guards against a daemon whose defaults differ from those
+// of the deciding packages.
+func TestDefaultSettingsMatchDecidingPackages(t *testing.T) {
 	settings := loader.Defaults()
 	got := coordinatorSettings(&settings).Dispatcher
 	health := assessor.DefaultSettings()
@@ -22,7 +22,7 @@
 	}
 }
 
-// TestDispatchSettingsTakeEffect checks that no key of `dispatch` is read in vain.
+// TestDispatchSettingsTakeEffect guards against keys of `dispatch` that are read but have no effect.
 func TestDispatchSettingsTakeEffect(t *testing.T) {
 	changes := map[string]func(*loader.Dispatch){
 		"policy":                func(dispatch *loader.Dispatch) { dispatch.Policy = loader.PolicyTwoChoices },
@@ -44,7 +44,7 @@
 	}
 }
 
-// effect is what the keys of `dispatch` change.
+// effect holds the settings that the keys of `dispatch` change.
 type effect struct {
 	cells     int
 	selection selector.Settings
--- a/pkg/assembler/daemon.go
+++ b/pkg/assembler/daemon.go
@@ -1,5 +1,5 @@
-// Package assembler puts one daemon together from its settings: listeners,
-// connections, the coordinator and its runner. Nothing is decided here.
+// Package assembler builds one daemon from its settings: listeners, connections, the coordinator
+// and its runner. It makes no decisions.
 package assembler
 
 import (
@@ -27,22 +27,22 @@
 	"github.com/stoathitch/stoathitch/pkg/runner"
 )
 
-// balancerGrace is how long the readiness path says "not ready" before new work
-// is refused, so that the platform's balancer can turn away first.
+// balancerGrace is how long the readiness path reports "not ready" before new work is refused,
+// so that the platform's load balancer can stop routing to this host first.
 const balancerGrace = time.Second
 
 // Daemon is one process of the system. Set the exported fields before Run.
 type Daemon struct {
 	*provider.Common
-	// DialPeer opens the connections to other hosts; nil dials TCP. Tests cut
-	// failure domains off with it.
+	// DialPeer opens the connections to other hosts; nil dials TCP. Tests replace it to cut off
+	// failure domains.
 	DialPeer connector.Dialer
-	// Extension serves further interfaces; nil where there are none.
+	// Extension serves additional interfaces; nil if there are none.
 	Extension Extension
-	// Tune changes the coordinator's settings beyond what the settings file can say;
-	// nil changes nothing.
+	// Tune adjusts settings of the coordinator that the settings file doesn't cover; nil changes
+	// nothing.
 	Tune func(settings *coordinator.Settings)
-	// Founding tells who founds the keepers' log.
+	// Founding determines the first members of the keepers' log.
 	Founding Founding
 
 	clock    *runner.Clock
@@ -52,19 +52,18 @@
 	receiver *receiver.Receiver
 	measurer *measurer.Measurer
 	drained  chan struct{}
-	// keeping is nil on a host without a disk.
-	keeping    *keeping
-	operations *operations
-	memory     *memory
-	cellMemory *cellMemory
-	security   *security
+	// journalWriter is nil on a host that is not a keeper and so has no journal.
+	journalWriter *journalWriter
+	operations    *operations
+	configStore   *configStore
+	cellStore     *cellStore
+	security      *security
 }
 
-// Run serves until ctx is done, then shuts down gracefully: it turns unready,
-// refuses new work, and answers what it has accepted. A done hurry ends it at
-// once.
-func (daemon *Daemon) Run(ctx, hurry context.Context) error {
-	if err := daemon.secure(); err != nil {
+// Run serves until ctx is done, then shuts down gracefully: it reports unready, refuses new
+// work and answers accepted jobs. When abort is done, it ends at once.
+func (daemon *Daemon) Run(ctx, abort context.Context) error {
+	if err := daemon.loadSecurity(); err != nil {
 		return err
 	}
 	founders, err := daemon.founders()
@@ -78,7 +77,7 @@
 	}
 	running, stop := context.WithCancel(context.Background())
 	defer daemon.closeJournal()
-	// The runner must have ended before the journal closes: it may hand over writes.
+	// The runner must end before the journal closes, because it may still queue writes.
 	var runners sync.WaitGroup
 	defer runners.Wait()
 	defer stop()
@@ -86,10 +85,10 @@
 		listeners.close()
 		return err
 	}
-	daemon.memory.recall(running, daemon)
-	runners.Go(func() { daemon.memory.run(running) })
-	daemon.cellMemory.recall(running, daemon)
-	runners.Go(func() { daemon.cellMemory.run(running) })
+	daemon.configStore.restore(running, daemon)
+	runners.Go(func() { daemon.configStore.run(running) })
+	daemon.cellStore.restore(running, daemon)
+	runners.Go(func() { daemon.cellStore.run(running) })
 	servers := daemon.serve(listeners)
 	if daemon.Extension != nil {
 		if err := daemon.Extension.Open(daemon); err != nil {
@@ -104,7 +103,7 @@
 	daemon.Log.Info("started", "callers", listeners.callers.Addr(),
 		"backend-servers", listeners.backendServersAddress(), "peers", listeners.peers.Addr())
 	<-ctx.Done()
-	daemon.drain(running, hurry)
+	daemon.drain(running, abort)
 	servers.stop()
 	return nil
 }
@@ -112,8 +111,8 @@
 func (daemon *Daemon) assemble(founders founders) {
 	daemon.clock = runner.NewClock()
 	daemon.drained = make(chan struct{})
-	// The wall clock makes a later process of the same host the newer one; the
-	// membership mends it where the clock has been set back.
+	// The wall clock gives a later process of the same host the higher incarnation. If the
+	// clock has been set back, the membership protocol corrects it.
 	incarnation := identifier.Incarnation(time.Now().UnixNano())
 	deciding := newCoordinator(daemon.Settings, incarnation)
 	deciding.Settings.JoinKeepers = founders.join
@@ -137,16 +136,16 @@
 	daemon.servers.Prepare()
 	daemon.receiver = &receiver.Receiver{Common: daemon.Common, Post: daemon.runner.Post, Clock: daemon.clock, Measurer: daemon.measurer}
 	daemon.receiver.Prepare()
-	daemon.memory = newMemory(daemon.Common)
-	daemon.cellMemory = newCellMemory(daemon.Common)
+	daemon.configStore = newConfigStore(daemon.Common)
+	daemon.cellStore = newCellStore(daemon.Common)
 	daemon.operations = newOperations(daemon.Common, daemon.runner.Post)
 }
 
-// deliver carries the outputs of one tick out.
+// deliver routes the outputs of one tick to connections, callers and storage.
 func (daemon *Daemon) deliver(outputs []coordinator.Output) {
 	for _, output := range outputs {
 		if accepted, isInForce := output.(*coordinator.ConfigInForce); isInForce {
-			daemon.memory.remember(accepted.Version)
+			daemon.configStore.save(accepted.Version)
 		}
 		if daemon.Extension != nil && daemon.Extension.Deliver(output) {
 			continue
@@ -169,7 +168,7 @@
 	}
 }
 
-// deliverControl carries out what membership, keepers and configuration want.
+// deliverControl handles the outputs about membership, keepers, configuration and operators.
 func (daemon *Daemon) deliverControl(output coordinator.Output) {
 	switch output := output.(type) {
 	case *coordinator.LeadChanged:
@@ -182,17 +181,17 @@
 		daemon.Log.Info("keeper leader changed", "leader", output.Leader, "term", output.Term)
 	case *coordinator.KeeperJoined:
 		daemon.Log.Info("keeper joined", "members", len(output.Members))
-		go daemon.rememberFounders(output.Members)
+		go daemon.saveFounders(output.Members)
 	case *coordinator.KeeperHalted:
 		daemon.Log.Error("keeper halted", "reason", output.Reason)
 	case *coordinator.ConfigInForce:
-		daemon.putInForce(output.Version)
+		daemon.applyConfig(output.Version)
 	case *coordinator.StoreCells:
-		daemon.cellMemory.remember(output.Cells)
+		daemon.cellStore.save(output.Cells)
 	case *coordinator.Persist:
-		daemon.keeping.persist(output.Persist)
+		daemon.journalWriter.persist(output.Persist)
 	case *coordinator.SaveSnapshot:
-		daemon.keeping.saveSnapshot(output.Snapshot)
+		daemon.journalWriter.saveSnapshot(output.Snapshot)
 	case *coordinator.OperatorAnswer, *coordinator.ConfigAnswer, *coordinator.ConfigHistory, *coordinator.StatusAnswer, *coordinator.ExplainAnswer:
 		daemon.operations.Answer(output)
 	}
@@ -214,11 +213,11 @@
 	}
 }
 
-// drain answers what has been accepted, within the settings' deadline.
-func (daemon *Daemon) drain(ctx, hurry context.Context) {
+// drain answers the accepted jobs, within the shutdown deadline of the settings.
+func (daemon *Daemon) drain(ctx, abort context.Context) {
 	daemon.receiver.SetReady(false)
 	daemon.Log.Info("shutting down", "waiting", daemon.receiver.Waiting())
-	deadline, cancel := context.WithTimeout(hurry, daemon.Settings.Timeouts.ShutdownDeadline.Std())
+	deadline, cancel := context.WithTimeout(abort, daemon.Settings.Timeouts.ShutdownDeadline.Std())
 	defer cancel()
 	if daemon.Extension != nil {
 		daemon.Extension.Drain(deadline)
@@ -231,37 +230,38 @@
 	case <-daemon.drained:
 		daemon.Log.Info("shut down, every accepted job is answered")
 	case <-deadline.Done():
-		daemon.endWaiting(ctx, hurry)
-		daemon.logShutDownEarly()
+		daemon.notifyWaiting(ctx, abort)
+		daemon.logEarlyShutdown()
 	}
 }
 
-// endingReserve is how long the callers that still wait at the end of a drain may take to hear
-// that their host ends: two ticks on a machine that is short of processor time.
-const endingReserve = 400 * time.Millisecond
+// shutdownNoticeTimeout is how long a drain that has reached its deadline waits until the
+// remaining callers have been answered that their host shuts down: two ticks on a machine that
+// is short of processor time.
+const shutdownNoticeTimeout = 400 * time.Millisecond
 
-// endingInterval is how often endWaiting looks whether all have heard.
-const endingInterval = 5 * time.Millisecond
+// shutdownNoticeInterval is how often notifyWaiting checks whether all have been answered.
+const shutdownNoticeInterval = 5 * time.Millisecond
 
-// endWaiting tells the callers whose jobs outlast the drain where to ask for them. A hurried
-// shutdown tells nobody.
-func (daemon *Daemon) endWaiting(ctx, hurry context.Context) {
+// notifyWaiting answers the callers whose jobs outlast the drain with where to request them from
+// now on. An aborted shutdown notifies nobody.
+func (daemon *Daemon) notifyWaiting(ctx, abort context.Context) {
 	waiting := daemon.receiver.Waiting()
-	if hurry.Err() != nil || waiting == 0 {
+	if abort.Err() != nil || waiting == 0 {
 		return
 	}
 	daemon.Log.Warn("the time to shut down is over, jobs go on elsewhere", "waiting", waiting)
 	daemon.runner.Post(ctx, &coordinator.CallerEvent{Event: &forwarder.ShutdownStarted{}})
-	reserve, cancel := context.WithTimeout(hurry, endingReserve)
+	reserve, cancel := context.WithTimeout(abort, shutdownNoticeTimeout)
 	defer cancel()
 	for daemon.receiver.Waiting() > 0 && reserve.Err() == nil {
-		sleep(reserve, endingInterval)
+		sleep(reserve, shutdownNoticeInterval)
 	}
 }
 
-// logShutDownEarly says what is lost. With nobody waiting nothing is, so that a
-// process which is told to end at once doesn't cry out.
-func (daemon *Daemon) logShutDownEarly() {
+// logEarlyShutdown logs how many requests are lost. If nobody waits, nothing is lost and it logs
+// no error, so that a process which is told to end at once raises no alarm.
+func (daemon *Daemon) logEarlyShutdown() {
 	if waiting := daemon.receiver.Waiting(); waiting > 0 {
 		daemon.Log.Error("shut down early, requests lost", "waiting", waiting)
 		return
@@ -278,7 +278,7 @@
 	}
 }
 
-// servers are the serving sides of the listeners.
+// servers are the running servers of the three listeners.
 type servers struct {
 	callers        *listener.Server
 	backendServers *grpc.Server
@@ -287,7 +287,7 @@
 
 func (daemon *Daemon) serve(listeners *listeners) *servers {
 	router := mux.NewRouter()
-	daemon.security.guard(router)
+	daemon.security.authenticate(router)
 	daemon.receiver.Register(router)
 	daemon.operations.Register(router)
 	daemon.registerStatus(router)
@@ -307,9 +307,9 @@
 	return created
 }
 
-// NewServer returns a server for callers. It bounds what a caller may hold of this
-// host before it has sent a whole request; the handler bounds the body. Without
-// security callers connect in clear text.
+// NewServer returns an HTTP server for callers. It bounds header size, header time and idle time,
+// that is, what a caller may occupy on this host before it has sent a whole request; the handler
+// bounds the body. If security is nil, callers connect in clear text.
 func (daemon *Daemon) NewServer(handler http.Handler, security *tls.Config) *listener.Server {
 	timeouts := &daemon.Settings.Timeouts
 	created := &listener.Server{HTTP: &http.Server{
@@ -318,14 +318,14 @@
 		IdleTimeout:       timeouts.IdleTimeout.Std(),
 		MaxHeaderBytes:    int(daemon.Settings.Limits.RequestHeader),
 		TLSConfig:         security,
-		// Anybody can cause such lines by knocking at the port.
+		// Anybody who can connect to the port can cause these lines.
 		ErrorLog: daemon.Log.StandardLog(log.StandardLogOptions{ForceLevel: log.DebugLevel}),
 	}}
 	created.Prepare()
 	return created
 }
 
-// Serve serves callers until the server is drained or closed.
+// Serve serves callers until the server is drained or closed, and logs why it ends early.
 func (daemon *Daemon) Serve(server *listener.Server, accepting *listener.Listener) {
 	if err := server.Serve(accepting); err != nil {
 		daemon.Log.Error("callers not served", "address", accepting.Addr(), "err", err)
@@ -338,8 +338,8 @@
 	}
 }
 
-// stop lets requests that have their answer finish writing it, and closes the
-// connections of those that get none, so that their callers learn it at once.
+// stop lets requests that have their answer finish writing it, for a second at most, and closes
+// the connections of those that get none, so that their callers learn it at once.
 func (servers *servers) stop() {
 	deadline, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
--- a/pkg/assembler/daemon_test.go
+++ b/pkg/assembler/daemon_test.go
@@ -14,8 +14,8 @@
 	"github.com/stoathitch/stoathitch/pkg/provider"
 )
 
-// TestKeeperWithoutBackendServers starts a host that is a keeper only, without an
-// address for backend servers, as the settings allow.
+// TestKeeperWithoutBackendServers starts a host that is only a keeper and has no address for
+// backend servers, which the settings allow.
 func TestKeeperWithoutBackendServers(t *testing.T) {
 	deployment := startDeployment(t, 1, func(settings *loader.Settings) {
 		settings.Roles = []loader.Role{loader.RoleKeeper}
@@ -28,8 +28,8 @@
 	})
 }
 
-// TestAddressInUse checks that a daemon which can't have its address ends with an
-// error that names it, before it has opened its journal.
+// TestAddressInUse checks that a daemon whose address is in use ends with an error that names
+// the address, before it opens its journal.
 func TestAddressInUse(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,12 +45,11 @@
 	}
 }
 
-// Symptom: a job that reaches a host in its first moments fails after 10 s as
-// "task-unknown", although no backend server was ever told to start it.
-// Sequence: the host starts, the job arrives, the host takes its first lead.
-// Cause: in the tick of the first lead the forwarder hands the job to it, and only
-// then answers the lead's takeover query; it names the job as one that was forwarded
-// before, so that the lead believes an earlier lead may have started it.
+// Guards against a job that arrives soon after a host has started and fails after 10 s as
+// "task-unknown", although no backend server was ever sent a start. The host starts, the job
+// arrives, the host takes its first lead. In the tick of the first lead the forwarder hands the
+// job to it, and only then answers the lead's takeover query; it names the job as one that was
+// forwarded before, so the lead assumes that an earlier lead may have started it.
 func TestJobBeforeFirstLead(t *testing.T) {
 	deployment := startDeployment(t, 1, nil)
 	eventually(t, "the host takes requests", func(ctx context.Context) bool {
--- a/pkg/assembler/dispatch.go
+++ b/pkg/assembler/dispatch.go
@@ -7,7 +7,7 @@
 	"github.com/stoathitch/stoathitch/pkg/selector"
 )
 
-// fillDispatch takes over how tasks are spread over backend servers.
+// fillDispatch copies the dispatch settings to the dispatcher's settings.
 func fillDispatch(settings *loader.Dispatch, target *dispatcher.Settings) {
 	target.Cells = settings.Cells
 	target.Selection.Kind = kindOf(settings.Policy)
@@ -26,14 +26,14 @@
 	}
 }
 
-// half a failure below the wanted number, because blame is less than the number of
-// failures by what other servers show.
-const blameAllowance = 0.5
+// ejectThresholdAllowance puts the ejection threshold half a failure below the configured number,
+// because the assessor discounts a server's failures by those that other servers show.
+const ejectThresholdAllowance = 0.5
 
 func fillHealth(settings *loader.Dispatch, target *assessor.Settings) {
 	target.MaxEjectedFraction = settings.EjectionFractionMax
-	target.EjectThreshold = float64(settings.EjectionFailures) - blameAllowance
-	// In a window of no more tasks than the wanted failures none could be reached.
+	target.EjectThreshold = float64(settings.EjectionFailures) - ejectThresholdAllowance
+	// A window of no more tasks than the configured failures could never reach the threshold.
 	target.Window = max(target.Window, 2*settings.EjectionFailures)
 	target.EjectionTime = settings.EjectionTime.Std()
 	target.MaxEjectionTime = max(target.MaxEjectionTime, target.EjectionTime)
--- a/pkg/assembler/evacuating.go
+++ b/pkg/assembler/evacuating.go
@@ -13,33 +13,33 @@
 	"github.com/stoathitch/stoathitch/pkg/keeper"
 )
 
-// EvacuationBody is the JSON of an order on a failure domain.
+// EvacuationBody is the JSON form of an order to evacuate a failure domain.
 type EvacuationBody struct {
 	Request       identifier.RequestID     `json:"request"`
 	Operator      string                   `json:"operator"`
 	FailureDomain identifier.FailureDomain `json:"failure-domain"`
-	// Withdrawn takes the evacuation back.
+	// Withdrawn ends the evacuation instead.
 	Withdrawn bool `json:"withdrawn,omitempty"`
 }
 
-// Evacuate carries an operator's order to evacuate a failure domain, or to take that back, to the
-// keepers. It returns nil where no quorum of them has answered, or the operator has hung up before
-// the order went out.
+// Evacuate submits an operator's order to evacuate a failure domain, or to withdraw that, to the
+// keepers. It returns nil if no quorum of them answered, or if the operator hung up before the order
+// was sent.
 //
-// The order is based on the newest version at the moment when it is taken up. One that was held up
-// on its way, and is overtaken by its opposite from there on, has no effect.
+// The order is based on the newest version at the moment when it is handled. An order that is delayed
+// on its way and overtaken by its opposite from then on has no effect.
 func (daemon *Daemon) Evacuate(ctx context.Context, order *configurer.Evacuation) *configurer.Result {
 	return daemon.operations.evacuate(ctx, order)
 }
 
 func (operations *operations) evacuate(ctx context.Context, order *configurer.Evacuation) *configurer.Result {
-	seen := operations.petition(ctx, &coordinator.OperatorRequest{ReadConfig: true})
-	if seen == nil || seen.Config == nil || ctx.Err() != nil {
+	current := operations.requestKeepers(ctx, &coordinator.OperatorRequest{ReadConfig: true})
+	if current == nil || current.Config == nil || ctx.Err() != nil {
 		return nil
 	}
-	order.Expected = seen.Config.Version
+	order.Expected = current.Config.Version
 	order.At = time.Now().UTC().Format(time.RFC3339)
-	result := operations.petition(ctx, &coordinator.OperatorRequest{Command: keeper.Command{Evacuation: order}})
+	result := operations.requestKeepers(ctx, &coordinator.OperatorRequest{Command: keeper.Command{Evacuation: order}})
 	if result == nil || result.Change == nil {
 		return nil
 	}
@@ -48,11 +48,12 @@
 	return result.Change
 }
 
-// petition asks the keepers and returns their result, or nil without one.
-func (operations *operations) petition(ctx context.Context, asked *coordinator.OperatorRequest) *keeper.Result {
+// requestKeepers sends a request to the keepers and returns their result, or nil if it was not
+// applied or ctx is done.
+func (operations *operations) requestKeepers(ctx context.Context, operatorRequest *coordinator.OperatorRequest) *keeper.Result {
 	output := operations.await(ctx, func(waiter uint64) coordinator.Input {
-		asked.Waiter = waiter
-		return asked
+		operatorRequest.Waiter = waiter
+		return operatorRequest
 	})
 	answer, answered := output.(*coordinator.OperatorAnswer)
 	if !answered || !answer.Applied {
--- a/pkg/assembler/evacuating_test.go
+++ b/pkg/assembler/evacuating_test.go
@@ -13,7 +13,7 @@
 	"github.com/stoathitch/stoathitch/pkg/requester"
 )
 
-// evacuate orders the evacuation of the first host's failure domain, or takes it back.
+// evacuate orders the evacuation of the first host's failure domain, or its withdrawal.
 func (deployment *deployment) evacuate(t *testing.T, request identifier.RequestID, withdrawn bool) *configurer.Result {
 	t.Helper()
 	var result *configurer.Result
@@ -27,7 +27,7 @@
 	return result
 }
 
-// domain is the failure domain of the hosts.
+// domain returns the failure domain of the first host, or "" if its status is unavailable.
 func (deployment *deployment) domain(ctx context.Context) identifier.FailureDomain {
 	status, err := deployment.hosts[0].Status(ctx)
 	if err != nil {
@@ -36,8 +36,8 @@
 	return status.FailureDomain
 }
 
-// TestEvacuationOfStreams guards against starts on servers that open a stream, in an evacuated failure
-// domain, before there is any configuration, and against a refusal that is not told at once.
+// TestEvacuationOfStreams guards against task starts in an evacuated failure domain, on servers that
+// open a stream, while there is no configuration yet; and against a refusal that is not sent at once.
 func TestEvacuationOfStreams(t *testing.T) {
 	deployment := startDeployment(t, 2, nil)
 	deployment.startServers(t, 2, 8)
@@ -66,7 +66,7 @@
 	})
 }
 
-// TestWrongEvacuationOrders guards against orders that change something although they can't be meant.
+// TestWrongEvacuationOrders guards against invalid orders that take effect.
 func TestWrongEvacuationOrders(t *testing.T) {
 	deployment := startDeployment(t, 1, nil)
 	deployment.startServers(t, 1, 1)
--- a/pkg/assembler/explaining.go
+++ b/pkg/assembler/explaining.go
@@ -11,9 +11,9 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// ExplainStep is the JSON of one decision on a submission.
+// ExplainStep is the JSON form of one recorded decision on a submission.
 type ExplainStep struct {
-	// At is the wall clock of the deciding host, for display only.
+	// At is a wall clock time of the deciding host, for display only.
 	At            time.Time                  `json:"at"`
 	Host          identifier.HostID          `json:"host"`
 	Kind          explainer.Kind             `json:"kind"`
@@ -22,8 +22,8 @@
 	Detail        string                     `json:"detail,omitempty"`
 }
 
-// explain answers what this host decided about a submission, as far as it still
-// knows.
+// explain answers which decisions this host made about a submission, as far as it still has them
+// in memory.
 func (operations *operations) explain(writer http.ResponseWriter, request *http.Request) {
 	submission := identifier.SubmissionID(mux.Vars(request)["submission"])
 	output := operations.await(request.Context(), func(waiter uint64) coordinator.Input {
--- a/pkg/assembler/extension.go
+++ b/pkg/assembler/extension.go
@@ -9,31 +9,32 @@
 	"github.com/stoathitch/stoathitch/pkg/measurer"
 )
 
-// Extension serves further interfaces of a host beside the product's own ones.
+// Extension serves additional interfaces of a host beside the product's own ones.
 type Extension interface {
-	// Open binds its addresses and begins to serve.
+	// Open binds the extension's addresses and starts serving.
 	Open(daemon *Daemon) error
-	// Deliver carries an output of the coordinator out, and tells whether it was for
+	// Deliver handles an output of the coordinator and reports whether the output was for
 	// the extension. It must not block.
 	Deliver(output coordinator.Output) bool
-	// Drain turns callers away and answers those who wait, until ctx is done.
+	// Drain rejects new callers and answers those that wait, until ctx is done.
 	Drain(ctx context.Context)
-	// Close ends what is still open.
+	// Close closes the connections and listeners that are still open.
 	Close()
 }
 
-// Post hands an input to the coordinator. It returns false once ctx is done.
+// Post sends an input to the coordinator. It returns false once ctx is done.
 func (daemon *Daemon) Post(ctx context.Context, input coordinator.Input) bool {
 	return daemon.runner.Post(ctx, input)
 }
 
-// Petition asks the keepers and returns their result, or nil without one.
-func (daemon *Daemon) Petition(ctx context.Context, asked *coordinator.OperatorRequest) *keeper.Result {
-	return daemon.operations.petition(ctx, asked)
+// Petition sends a request to the keepers and returns their result, or nil if it was not applied
+// or ctx is done.
+func (daemon *Daemon) Petition(ctx context.Context, operatorRequest *coordinator.OperatorRequest) *keeper.Result {
+	return daemon.operations.requestKeepers(ctx, operatorRequest)
 }
 
-// Measurer returns what counts the jobs of this host.
+// Measurer returns the counters of this host's jobs.
 func (daemon *Daemon) Measurer() *measurer.Measurer { return daemon.measurer }
 
-// Now returns the present moment on the coordinator's clock.
+// Now returns the current moment on the coordinator's clock.
 func (daemon *Daemon) Now() identifier.Moment { return daemon.clock.Now() }
--- a/pkg/assembler/founding.go
+++ b/pkg/assembler/founding.go
@@ -16,39 +16,39 @@
 
 //go:generate enumer -type=Founding -trimprefix=Founding -transform=kebab -text
 
-// Founding tells who founds the keepers' log.
+// Founding says how a keeper learns the first members of the keepers' log.
 type Founding int
 
 const (
-	// FoundingBySettings means that the keepers of the settings are the first members,
-	// at each start: the settings name the same ones for as long as the log lives.
+	// FoundingBySettings means that the keepers of the settings are the first members at each
+	// start: the settings must name the same ones for as long as the log exists.
 	FoundingBySettings Founding = iota
-	// FoundingOnce means that this is the first start of the whole system: the keepers
-	// of the settings are remembered in the data folder as the first members.
+	// FoundingOnce means that this is the first start of the whole system: the keepers of the
+	// settings are stored in the data folder as the first members.
 	FoundingOnce
-	// FoundingOver means that the log was founded before. A keeper that remembers no
-	// founders has lost its disk, or is new, and waits until the others take it in.
+	// FoundingOver means that the log was founded before. A keeper without stored founders has
+	// lost its disk, or is new, and waits until the others add it.
 	FoundingOver
 )
 
-// foundersFile names, within the data folder, the file of the first members.
+// foundersFile is the name of the file of the first members within the data folder.
 const foundersFile = "founders.json"
 
-// foundersMode lets only the daemon's user change the file.
+// foundersMode lets only the daemon's user read and change the file.
 const foundersMode = 0o600
 
 // founders are the first members of the keepers' log.
 type founders struct {
 	hosts []identifier.HostID
-	// join tells that this keeper has to be taken in by the others.
+	// join reports whether this keeper has to be added by the others.
 	join bool
 }
 
 // founders returns the first members of the log.
 //
-// The settings of a later start may name other keepers than those of the first. If a
-// keeper took these for the first members, it would count quorums among hosts that
-// never agreed, and one would notice two leaders at once.
+// The settings of a later start may name other keepers than those of the first. A keeper that took
+// these for the first members would count quorums among hosts that never agreed, and there could
+// be two leaders at once.
 func (daemon *Daemon) founders() (founders, error) {
 	if daemon.Founding == FoundingBySettings || !daemon.Settings.HasRole(loader.RoleKeeper) {
 		return founders{}, nil
@@ -75,9 +75,9 @@
 	return founders{hosts: known}, nil
 }
 
-// rememberFounders notes that this keeper counts from now on. Until it is durable, a
-// restart makes the keeper join once more, which does no harm.
-func (daemon *Daemon) rememberFounders(hosts []identifier.HostID) {
+// saveFounders stores that this keeper has become a member. Until that is durable, a restart makes
+// the keeper join again, which is harmless.
+func (daemon *Daemon) saveFounders(hosts []identifier.HostID) {
 	path := filepath.Join(daemon.Settings.DataFolder, foundersFile)
 	if err := writeFounders(path, hosts); err != nil {
 		daemon.Log.Error("founders not remembered, the keeper joins again after a restart", "err", err)
@@ -99,7 +99,7 @@
 	return hosts, nil
 }
 
-// writeFounders writes the file whole and durable before the log takes anything.
+// writeFounders replaces the file atomically and durably, before the log accepts anything.
 func writeFounders(path string, hosts []identifier.HostID) error {
 	content, err := json.Marshal(hosts)
 	if err != nil {
--- a/pkg/assembler/harness_test.go
+++ b/pkg/assembler/harness_test.go
@@ -20,11 +20,11 @@
 	"github.com/stoathitch/stoathitch/pkg/requester"
 )
 
-// patience bounds the wait for something that happens in a fraction of it, so that
-// only a fault reaches it.
-const patience = 30 * time.Second
+// maxWait bounds the wait for something that takes a fraction of it, so that only a fault
+// reaches it.
+const maxWait = 30 * time.Second
 
-// deployment is a running system of one failure domain on loopback.
+// deployment is a running system of one failure domain on loopback addresses.
 type deployment struct {
 	settings []*loader.Settings
 	hosts    []*requester.Requester
@@ -32,15 +32,15 @@
 	logs     lockedBuffer
 }
 
-// signals are what an operator can tell a daemon: the first termination signal and
-// the second. ended is closed when the daemon has ended.
+// signals stand for the first termination signal to a daemon (terminate) and the second (abort).
+// ended is closed when the daemon has ended.
 type signals struct {
 	terminate context.CancelFunc
-	hurry     context.CancelFunc
+	abort     context.CancelFunc
 	ended     chan struct{}
 }
 
-// lockedBuffer takes the logs of several daemons.
+// lockedBuffer collects the logs of several daemons.
 type lockedBuffer struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
@@ -60,8 +60,8 @@
 	return locked.buffer.String()
 }
 
-// startDeployment runs hosts, the first one a keeper, until the test ends. change
-// may edit the settings of each.
+// startDeployment runs hosts, the first one of them a keeper, until the test ends. change may edit
+// the settings of each.
 func startDeployment(tb testing.TB, hosts int, change func(*loader.Settings)) *deployment {
 	tb.Helper()
 	created := &deployment{settings: deploymentSettings(tb, hosts)}
@@ -77,17 +77,17 @@
 
 func (deployment *deployment) startDaemon(tb testing.TB, settings *loader.Settings) *signals {
 	serving, terminate := context.WithCancel(context.Background())
-	patient, hurry := context.WithCancel(context.Background())
-	created := &signals{terminate: terminate, hurry: hurry, ended: make(chan struct{})}
+	graceful, abort := context.WithCancel(context.Background())
+	created := &signals{terminate: terminate, abort: abort, ended: make(chan struct{})}
 	daemon := &assembler.Daemon{Common: provider.New(settings, &deployment.logs)}
 	go func() {
 		defer close(created.ended)
-		if err := daemon.Run(serving, patient); err != nil {
+		if err := daemon.Run(serving, graceful); err != nil {
 			tb.Errorf("daemon: %v", err)
 		}
 	}()
 	tb.Cleanup(func() {
-		hurry()
+		abort()
 		terminate()
 		<-created.ended
 	})
@@ -115,8 +115,7 @@
 	}
 }
 
-// waitUntilLed waits until the first host sees a lead of the cell and a backend
-// server.
+// waitUntilLed waits until the first host knows a lead of the cell and a backend server.
 func (deployment *deployment) waitUntilLed(tb testing.TB) {
 	tb.Helper()
 	eventually(tb, "the cell has a lead and a backend server", func(ctx context.Context) bool {
@@ -138,20 +137,20 @@
 	}
 }
 
-// smallJob is a repeatable job of one task that takes no time.
+// smallJob returns a repeatable job of one task without run time.
 func smallJob(name string) []byte {
 	return fmt.Appendf(nil, `{"submission":%q,"job":%q,"caller":"garage-7","team":"estimates","class":"counter",`+
 		`"repeatable":true,"tasks":[{"task":"a","payload":{"run-time":"0s"}}]}`, name, name)
 }
 
-// eventually tries until it succeeds.
+// eventually retries until try succeeds, and fails the test after maxWait.
 func eventually(tb testing.TB, what string, try func(ctx context.Context) bool) {
 	tb.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), maxWait)
 	defer cancel()
 	for !try(ctx) {
 		if ctx.Err() != nil {
-			tb.Fatalf("not in %s: %s", patience, what)
+			tb.Fatalf("not in %s: %s", maxWait, what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -185,7 +184,7 @@
 	return all
 }
 
-// freeAddresses asks the system for free loopback ports.
+// freeAddresses returns loopback addresses with ports that the system reports as free.
 func freeAddresses(tb testing.TB, count int) []netip.AddrPort {
 	tb.Helper()
 	var addresses []netip.AddrPort
--- a/pkg/assembler/inforce.go
+++ b/pkg/assembler/inforce.go
@@ -8,7 +8,7 @@
 	"github.com/stoathitch/stoathitch/pkg/loader"
 )
 
-// withConfiguration returns the settings of a host under a configuration document.
+// withConfiguration returns the settings of a host with a configuration document applied.
 func withConfiguration(settings *loader.Settings, name string, document []byte) (*loader.Settings, error) {
 	configuration, err := loader.ParseConfiguration(name, document)
 	if err != nil {
@@ -19,7 +19,7 @@
 	return &effective, nil
 }
 
-// limitsReader reads the limits of teams and classes for the coordinator.
+// limitsReader returns a function that reads the limits of teams and classes for the coordinator.
 func limitsReader(settings *loader.Settings) func(document []byte) (dispatcher.LimitsConfigured, bool) {
 	return func(document []byte) (dispatcher.LimitsConfigured, bool) {
 		effective, err := withConfiguration(settings, "document", document)
@@ -30,11 +30,11 @@
 	}
 }
 
-// putInForce gives the receiver its part of a configuration; the coordinator has
-// taken the rest. Every document is checked before it is accepted. One that is
-// wrong all the same was accepted by a host of another release: this host goes on
-// with what it has, and the line is how one notices.
-func (daemon *Daemon) putInForce(version configurer.Version) {
+// applyConfig passes a configuration to the receiver; the coordinator has applied its own part.
+// Every document is checked before it is accepted, so one that is invalid here was accepted by a
+// host of another release: this host keeps its earlier configuration, and the log line is the only
+// sign of it.
+func (daemon *Daemon) applyConfig(version configurer.Version) {
 	if len(version.Document) == 0 {
 		return
 	}
--- a/pkg/assembler/intents.go
+++ b/pkg/assembler/intents.go
@@ -16,15 +16,15 @@
 	"github.com/stoathitch/stoathitch/pkg/planner"
 )
 
-// Waiting for a plan: the first one is there as soon as the workers of the failure
-// domains are known.
+// A request for a plan waits this long for the first one, which exists as soon as the workers of
+// the failure domains are known.
 const (
-	planPatience = 5 * time.Second
-	planPoll     = 50 * time.Millisecond
+	planTimeout      = 5 * time.Second
+	planPollInterval = 50 * time.Millisecond
 )
 
-// intentName is what may name an intent: it stands in paths and in names of tasks.
-var intentName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
+// intentNamePattern matches valid names of intents, which become parts of paths and task names.
+var intentNamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
 
 // registerIntents adds the paths of intents to router.
 func (operations *operations) registerIntents(router *mux.Router) {
@@ -47,7 +47,7 @@
 	if !operations.readIntentBody(writer, request, &body) {
 		return
 	}
-	if !intentName.MatchString(string(body.Name)) {
+	if !intentNamePattern.MatchString(string(body.Name)) {
 		writeJSON(writer, http.StatusBadRequest, ErrorBody{
 			Error: "wrong-name", Detail: "a name has up to 128 letters, digits, dots, dashes and underscores, and begins with a letter or digit",
 		})
@@ -55,7 +55,7 @@
 	}
 	spec := body.Spec.Planned()
 	command := &planner.Command{Kind: planner.CommandCreate, Request: body.Request, Operator: body.Operator, Name: body.Name, Spec: &spec}
-	operations.carryOutIntent(writer, request, command)
+	operations.submitIntentCommand(writer, request, command)
 }
 
 func (operations *operations) orderIntent(writer http.ResponseWriter, request *http.Request, kind planner.CommandKind) {
@@ -63,7 +63,7 @@
 	if !operations.readIntentBody(writer, request, &body) {
 		return
 	}
-	operations.carryOutIntent(writer, request, &planner.Command{
+	operations.submitIntentCommand(writer, request, &planner.Command{
 		Kind: kind, Request: body.Request, Operator: body.Operator, Name: nameOf(request),
 		Revision: body.Revision, PlanNumber: body.Plan, Reason: body.Reason,
 	})
@@ -73,7 +73,8 @@
 	return identifier.IntentName(mux.Vars(request)["name"])
 }
 
-// readIntentBody reads a body that changes an intent, and answers when it is wrong.
+// readIntentBody decodes the body of a request that changes an intent. It returns false once it has
+// answered that the body is malformed.
 func (operations *operations) readIntentBody(writer http.ResponseWriter, request *http.Request, body any) bool {
 	limited := http.MaxBytesReader(writer, request.Body, int64(operations.Settings.Limits.RequestBody))
 	decoder := json.NewDecoder(limited)
@@ -85,9 +86,9 @@
 	return true
 }
 
-// carryOutIntent puts a command into the log and answers with its result.
-func (operations *operations) carryOutIntent(writer http.ResponseWriter, request *http.Request, command *planner.Command) {
-	// With access in the settings the name is the proven one, whatever the body says.
+// submitIntentCommand submits a command to the keepers' log and answers with its result.
+func (operations *operations) submitIntentCommand(writer http.ResponseWriter, request *http.Request, command *planner.Command) {
+	// If the settings have access, the authenticated name replaces the one in the body.
 	command.Operator = planner.OperatorID(operatorOf(request.Context(), string(command.Operator)))
 	if command.Request == "" || command.Operator == "" {
 		writeJSON(writer, http.StatusBadRequest, ErrorBody{Error: "missing-field", Detail: "request and operator must not be empty"})
@@ -135,8 +136,8 @@
 	}
 }
 
-// readIntents asks the keeper that leads. It returns false once it has answered that
-// no keeper did, or when the operator has hung up.
+// readIntents reads intents from the leader of the keepers. It returns false once it has answered
+// that the read failed, or when the operator has hung up.
 func (operations *operations) readIntents(writer http.ResponseWriter, request *http.Request, name identifier.IntentName) ([]planner.Record, bool) {
 	read := &keeper.IntentRead{Name: name, Stale: request.URL.Query().Get("stale") == "true"}
 	output := operations.await(request.Context(), func(waiter uint64) coordinator.Input {
@@ -176,7 +177,7 @@
 	}
 }
 
-// readIntent returns the intent of the path, or nil once it has answered why not.
+// readIntent returns the intent that the path names, or nil once it has answered why not.
 func (operations *operations) readIntent(writer http.ResponseWriter, request *http.Request) *planner.Record {
 	records, read := operations.readIntents(writer, request, nameOf(request))
 	if !read {
@@ -189,10 +190,10 @@
 	return &records[0]
 }
 
-// planIntent waits for the plan of an intent that has none, and shows the one that
-// stands. One that the world outruns is replaced without being asked.
+// planIntent waits for the plan of an intent that has none yet and shows the current one. A plan
+// that is outdated by changes of the system is replaced without a request.
 func (operations *operations) planIntent(writer http.ResponseWriter, request *http.Request) {
-	ctx, cancel := context.WithTimeout(request.Context(), planPatience)
+	ctx, cancel := context.WithTimeout(request.Context(), planTimeout)
 	defer cancel()
 	for {
 		record := operations.readIntent(writer, request)
@@ -205,7 +206,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(planPoll):
+		case <-time.After(planPollInterval):
 		}
 	}
 }
--- a/pkg/assembler/intents_test.go
+++ b/pkg/assembler/intents_test.go
@@ -18,8 +18,8 @@
 	"github.com/stoathitch/stoathitch/pkg/planner"
 )
 
-// startWorkers runs stand-in workers and returns a function that ends the one with
-// a number.
+// startWorkers runs stand-in workers and returns a function that ends the worker with a given
+// number.
 func (deployment *deployment) startWorkers(tb testing.TB, count int, recorder *executor.Recorder) func(number int) {
 	var addresses []string
 	for _, settings := range deployment.settings {
@@ -78,7 +78,7 @@
 	return intent, err
 }
 
-// waitFor waits until an intent is in a state.
+// waitFor waits until an intent is in a state and returns it.
 func (deployment *deployment) waitFor(tb testing.TB, host int, name string, state planner.State) describer.Intent {
 	tb.Helper()
 	var intent describer.Intent
@@ -100,7 +100,7 @@
 	return create
 }
 
-func TestIntentFromStatementToOutcome(t *testing.T) {
+func TestIntentFromCreationToCompletion(t *testing.T) {
 	deployment := startDeployment(t, 2, nil)
 	deployment.startWorkers(t, 4, nil)
 	create := newIntent("nightly", "create-1", 12, 50*time.Millisecond, true)
@@ -122,7 +122,7 @@
 	}
 }
 
-// Symptom: an operator gets no clear word on what is wrong with a request.
+// Guards against a response that doesn't say what is wrong with an operator's request.
 func TestWrongIntentRequests(t *testing.T) {
 	deployment := startDeployment(t, 1, nil)
 	deployment.startWorkers(t, 1, nil)
@@ -161,12 +161,11 @@
 	}
 }
 
-// Symptom: an intent hangs, or tasks are lost, after a worker's process has died.
-// Sequence: two operators create the intent under one name; the loser learns who won,
-// and the winner's resend at the other host gets the first answer. A worker dies while
-// it runs tasks (rows 21 and 23 with a worker's death).
-// Cause: its leases have to run out before its tasks run again elsewhere.
-func TestIntentSurvivesAWorker(t *testing.T) {
+// Guards against an intent that hangs, or tasks that are lost, after a worker's process has died
+// while it runs tasks: its leases have to expire before its tasks run again elsewhere. Before that,
+// two operators create the intent under one name; the loser learns who won, and the winner's resend
+// at the other host gets the first answer (rows 21 and 23 with a worker's death).
+func TestIntentSurvivesWorkerLoss(t *testing.T) {
 	deployment := startDeployment(t, 2, nil)
 	end := deployment.startWorkers(t, 2, nil)
 	create := newIntent("nightly", "create-an", 10, 6*time.Second, true)
--- a/pkg/assembler/keeping.go
+++ b/pkg/assembler/journalwriter.go
@@ -14,29 +14,28 @@
 	"github.com/stoathitch/stoathitch/pkg/replicator"
 )
 
-// keeping carries out what the keeper of this host wants written. Everything goes
-// through one goroutine, so that it reaches the disk in the order that the
-// replicated log asked for.
-type keeping struct {
+// journalWriter writes the journal and the snapshots of this host's keeper. One goroutine does all
+// writes, so that they reach the disk in the order in which the replicated log requested them.
+type journalWriter struct {
 	*provider.Common
-	post    connector.Poster
-	journal *journaler.Journal
-	work    chan keepingWork
-	stopped chan struct{}
+	post     connector.Poster
+	journal  *journaler.Journal
+	requests chan writeRequest
+	stopped  chan struct{}
 }
 
-// keepingWork is one thing to write; exactly one field is set.
-type keepingWork struct {
+// writeRequest is one write; exactly one field is set.
+type writeRequest struct {
 	persist  *replicator.Persist
 	snapshot *replicator.Snapshot
 }
 
-// keepingQueue bounds what waits for the disk. The replicated log bounds its
-// entries in flight well below it.
-const keepingQueue = 65536
+// writeQueueSize bounds the writes that wait for the disk. The replicated log bounds its entries in
+// flight well below it.
+const writeQueueSize = 65536
 
-// openJournal recovers the journal of a keeper and hands it to the coordinator
-// before anything else.
+// openJournal recovers the journal of a keeper and posts it to the coordinator as its first
+// input.
 func (daemon *Daemon) openJournal(ctx context.Context) error {
 	if !daemon.Settings.HasRole(loader.RoleKeeper) {
 		return nil
@@ -51,56 +50,56 @@
 		return &Error{Operation: "read the journal in " + daemon.Settings.DataFolder, Kind: ErrorJournal, Err: err}
 	}
 	daemon.Log.Info("journal recovered", "entries", len(recovered.Entries), "cut-bytes", recovered.CutBytes)
-	daemon.keeping = &keeping{
-		Common:  daemon.Common,
-		post:    daemon.runner.Post,
-		journal: journal,
-		work:    make(chan keepingWork, keepingQueue),
-		stopped: make(chan struct{}),
+	daemon.journalWriter = &journalWriter{
+		Common:   daemon.Common,
+		post:     daemon.runner.Post,
+		journal:  journal,
+		requests: make(chan writeRequest, writeQueueSize),
+		stopped:  make(chan struct{}),
 	}
 	daemon.runner.Post(ctx, &coordinator.Restored{Restored: restored})
-	go daemon.keeping.run(ctx)
+	go daemon.journalWriter.run(ctx)
 	return nil
 }
 
 func (daemon *Daemon) closeJournal() {
-	if daemon.keeping == nil {
+	if daemon.journalWriter == nil {
 		return
 	}
-	<-daemon.keeping.stopped
-	if err := daemon.keeping.journal.Close(); err != nil {
+	<-daemon.journalWriter.stopped
+	if err := daemon.journalWriter.journal.Close(); err != nil {
 		daemon.Log.Error("journal not closed", "err", err)
 	}
 }
 
-func (keeping *keeping) persist(persist replicator.Persist) {
-	keeping.work <- keepingWork{persist: &persist}
+func (journalWriter *journalWriter) persist(persist replicator.Persist) {
+	journalWriter.requests <- writeRequest{persist: &persist}
 }
 
-func (keeping *keeping) saveSnapshot(snapshot replicator.Snapshot) {
-	keeping.work <- keepingWork{snapshot: &snapshot}
+func (journalWriter *journalWriter) saveSnapshot(snapshot replicator.Snapshot) {
+	journalWriter.requests <- writeRequest{snapshot: &snapshot}
 }
 
-// run writes until ctx is done. After a failed write nothing more is reported as
-// durable: the keeper goes on without a vote, and serving goes on without it.
-func (keeping *keeping) run(ctx context.Context) {
-	defer close(keeping.stopped)
+// run writes until ctx is done. After a failed write nothing more is reported as durable: the keeper
+// goes on without a vote, and the host goes on serving.
+func (journalWriter *journalWriter) run(ctx context.Context) {
+	defer close(journalWriter.stopped)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case work := <-keeping.work:
-			keeping.carryOut(ctx, keeping.gather(work))
+		case work := <-journalWriter.requests:
+			journalWriter.process(ctx, journalWriter.drainQueue(work))
 		}
 	}
 }
 
-// gather takes the persists that wait already, so that they share one sync.
-func (keeping *keeping) gather(first keepingWork) []keepingWork {
-	gathered := []keepingWork{first}
+// drainQueue returns the first request and those already queued, so that they share one sync.
+func (journalWriter *journalWriter) drainQueue(first writeRequest) []writeRequest {
+	gathered := []writeRequest{first}
 	for {
 		select {
-		case next := <-keeping.work:
+		case next := <-journalWriter.requests:
 			gathered = append(gathered, next)
 		default:
 			return gathered
@@ -108,23 +107,23 @@
 	}
 }
 
-func (keeping *keeping) carryOut(ctx context.Context, gathered []keepingWork) {
+func (journalWriter *journalWriter) process(ctx context.Context, gathered []writeRequest) {
 	var group []*replicator.Persist
 	for _, work := range gathered {
 		if work.persist != nil && work.persist.Snapshot == nil {
 			group = append(group, work.persist)
 			continue
 		}
-		keeping.append(ctx, group)
+		journalWriter.append(ctx, group)
 		group = nil
-		keeping.replaceOrSave(ctx, work)
+		journalWriter.writeSnapshot(ctx, work)
 	}
-	keeping.append(ctx, group)
+	journalWriter.append(ctx, group)
 }
 
-// append writes a group of persists with one sync and reports the last one that
-// is durable together with all before it.
-func (keeping *keeping) append(ctx context.Context, group []*replicator.Persist) {
+// append writes a group of persists with one sync and reports the last one that is durable
+// together with all before it.
+func (journalWriter *journalWriter) append(ctx context.Context, group []*replicator.Persist) {
 	if len(group) == 0 {
 		return
 	}
@@ -133,40 +132,39 @@
 		batches = append(batches, batchOf(persist))
 	}
 	var durable replicator.PersistSequence
-	for index, err := range keeping.journal.AppendGroup(batches) {
+	for index, err := range journalWriter.journal.AppendGroup(batches) {
 		if err != nil {
-			keeping.Log.Error("journal not written", "err", err)
+			journalWriter.Log.Error("journal not written", "err", err)
 			break
 		}
 		durable = group[index].Sequence
 	}
 	if durable > 0 {
-		keeping.post(ctx, &coordinator.Persisted{Sequence: durable})
+		journalWriter.post(ctx, &coordinator.Persisted{Sequence: durable})
 	}
 }
 
-// replaceOrSave writes a snapshot: one of the own state, or the leader's in place
-// of the whole log.
-func (keeping *keeping) replaceOrSave(ctx context.Context, work keepingWork) {
+// writeSnapshot writes a snapshot: the keeper's own, or the leader's, which replaces the whole log.
+func (journalWriter *journalWriter) writeSnapshot(ctx context.Context, work writeRequest) {
 	snapshot := work.snapshot
 	if snapshot == nil {
 		snapshot = work.persist.Snapshot
 	}
 	converted, err := journalSnapshot(snapshot)
 	if err == nil {
-		err = keeping.journal.SaveSnapshot(converted)
+		err = journalWriter.journal.SaveSnapshot(converted)
 	}
 	if err != nil {
-		keeping.Log.Error("snapshot not written", "err", err)
+		journalWriter.Log.Error("snapshot not written", "err", err)
 		return
 	}
 	if work.snapshot != nil {
-		keeping.post(ctx, &coordinator.SnapshotSaved{Index: snapshot.Index})
+		journalWriter.post(ctx, &coordinator.SnapshotSaved{Index: snapshot.Index})
 		return
 	}
 	rest := *work.persist
 	rest.Snapshot = nil
-	keeping.append(ctx, []*replicator.Persist{&rest})
+	journalWriter.append(ctx, []*replicator.Persist{&rest})
 }
 
 func batchOf(persist *replicator.Persist) journaler.Batch {
--- a/pkg/assembler/large_test.go
+++ b/pkg/assembler/large_test.go
@@ -8,18 +8,17 @@
 	"time"
 )
 
-// Symptom: a job of a few tasks with large payloads, each within the limits, never
-// ended, and backend servers and other hosts were cut off again and again.
-// Sequence: the job goes to a host that doesn't lead; its batch to the lead, or the
-// lead's starts for one backend server, are over 4 MiB.
-// Cause: gRPC refuses a received message of over 4 MiB and ends the stream; the
-// sender then sent the same again.
+// Guards against a job of a few tasks with large payloads, each within the limits, that never ends,
+// while backend servers and other hosts are disconnected again and again. The job goes to a host that
+// doesn't lead, and its batch to the lead, or the lead's starts for one backend server, exceed 4 MiB.
+// gRPC by default refuses received messages of over 4 MiB and ends the stream, and the sender resent
+// the same message.
 func TestLargePayloadsCrossEveryStream(t *testing.T) {
 	deployment := startDeployment(t, 3, nil)
 	deployment.startServers(t, 1, 16)
 	deployment.waitUntilServing(t)
 	for index, host := range deployment.hosts {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), maxWait)
 		defer cancel()
 		answer, err := host.Submit(ctx, largeJob(fmt.Sprintf("large-%d", index), 12, 900<<10))
 		if err != nil {
@@ -35,7 +34,7 @@
 	padding := strings.Repeat("x", payload)
 	var body strings.Builder
 	fmt.Fprintf(&body, `{"submission":%q,"job":%q,"caller":"garage-7","team":"estimates","class":"counter","repeatable":true,"deadline":%q,"tasks":[`,
-		name, name, time.Now().Add(patience).Format(time.RFC3339))
+		name, name, time.Now().Add(maxWait).Format(time.RFC3339))
 	for task := range tasks {
 		if task > 0 {
 			body.WriteByte(',')
--- a/pkg/assembler/latency_bench_test.go
+++ b/pkg/assembler/latency_bench_test.go
@@ -19,15 +19,15 @@
 	"github.com/stoathitch/stoathitch/pkg/requester"
 )
 
-// directHost is the least that can start tasks on a backend server: it sends a
-// start and waits for its answer on the stream.
+// directHost is a minimal entry host: it sends a start to a backend server and waits for its answer
+// on the stream.
 type directHost struct {
 	backendv1.UnimplementedEntryHostServer
 	attached chan grpc.BidiStreamingServer[backendv1.ServerMessage, backendv1.HostMessage]
 	answers  chan *backendv1.ServerMessage
 }
 
-// Attach hands the stream over and passes answers on.
+// Attach publishes the stream and forwards its answers.
 func (host *directHost) Attach(stream grpc.BidiStreamingServer[backendv1.ServerMessage, backendv1.HostMessage]) error {
 	if _, err := stream.Recv(); err != nil {
 		return err
@@ -44,8 +44,8 @@
 	}
 }
 
-// startDirect runs a direct host with one stand-in of its own and returns a
-// function that runs one task there.
+// startDirect runs a directHost with a stand-in backend server of its own and returns a function that
+// runs one task there.
 func startDirect(b *testing.B) func(number int) {
 	b.Helper()
 	host := &directHost{
@@ -89,11 +89,10 @@
 	}
 }
 
-// BenchmarkAddedLatency runs tasks that take no time, one after the other, in turn
-// directly over gRPC and as jobs through the system, and reports them side by side:
-// "alone" is a system of one entry host, "pair-0" and "pair-1" are the hosts of one
-// where the second host remembers each submission before its start. "http" is a
-// request that needs nothing of the system.
+// BenchmarkAddedLatency runs tasks without run time, one after the other, alternately over plain gRPC
+// ("direct") and as jobs through the system, and reports the latencies side by side. "alone" is a
+// system of one entry host; "pair-0" and "pair-1" are the hosts of a system of two, where the second
+// host stores each submission before its start. "http" is a request that needs nothing of the system.
 func BenchmarkAddedLatency(b *testing.B) {
 	direct := startDirect(b)
 	alone := startDeployment(b, 1, nil)
--- a/pkg/assembler/limits.go
+++ b/pkg/assembler/limits.go
@@ -6,13 +6,13 @@
 	"github.com/stoathitch/stoathitch/pkg/loader"
 )
 
-// fillLimits takes over the limits of teams and classes.
+// fillLimits copies the retry ratio and the limits of teams and classes to the dispatcher's settings.
 func fillLimits(settings *loader.Settings, target *dispatcher.LimitSettings) {
 	target.Limiter.RetryRatio = settings.Dispatch.RetryBudgetRatio
 	target.Initial = limitsOf(settings)
 }
 
-// limitsOf returns the limits of teams and classes.
+// limitsOf converts the limits of teams and classes.
 func limitsOf(settings *loader.Settings) dispatcher.LimitsConfigured {
 	var limits dispatcher.LimitsConfigured
 	for _, team := range settings.Teams {
--- a/pkg/assembler/listeners.go
+++ b/pkg/assembler/listeners.go
@@ -12,24 +12,25 @@
 
 //go:generate enumer -type=ErrorKind -trimprefix=Error -transform=kebab -text
 
-// ErrorKind tells what kind of thing went wrong.
+// ErrorKind classifies the errors of this package.
 type ErrorKind int
 
 // The kinds of errors of this package.
 const (
 	// ErrorListen means that an address could not be bound.
 	ErrorListen ErrorKind = iota
-	// ErrorJournal means that the journal of a keeper could not be opened.
+	// ErrorJournal means that the journal or the founders file of a keeper could not be read or
+	// written.
 	ErrorJournal
-	// ErrorSecurity means that key files or tokens can't be used.
+	// ErrorSecurity means that key files or tokens are missing or invalid.
 	ErrorSecurity
 )
 
 // Error is the error type of this package.
 type Error = wrapper.Error[ErrorKind]
 
-// listeners are the bound addresses of one daemon. A host without the role entry
-// may have no address for backend servers.
+// listeners are the bound addresses of one daemon. A host without the role entry may have no address
+// for backend servers.
 type listeners struct {
 	callers        *listener.Listener
 	backendServers *listener.Listener
@@ -38,7 +39,7 @@
 
 func (daemon *Daemon) listen() (*listeners, error) {
 	bound := &listeners{}
-	wanted := []struct {
+	bindings := []struct {
 		address netip.AddrPort
 		target  **listener.Listener
 	}{
@@ -46,21 +47,21 @@
 		{daemon.Settings.BackendServersAddress, &bound.backendServers},
 		{daemon.Settings.PeersAddress, &bound.peers},
 	}
-	for _, wish := range wanted {
-		if !wish.address.IsValid() {
+	for _, binding := range bindings {
+		if !binding.address.IsValid() {
 			continue
 		}
-		opened, err := daemon.Listen(wish.address)
+		opened, err := daemon.Listen(binding.address)
 		if err != nil {
 			bound.close()
 			return nil, err
 		}
-		*wish.target = opened
+		*binding.target = opened
 	}
 	return bound, nil
 }
 
-// Listen binds an address for callers, within the settings' limits of connections.
+// Listen binds an address, with the connection limit and write timeout of the settings.
 func (daemon *Daemon) Listen(address netip.AddrPort) (*listener.Listener, error) {
 	opened, err := net.Listen("tcp", address.String())
 	if err != nil {
@@ -72,16 +73,16 @@
 	}, nil
 }
 
-// backendServersAddress is for the log.
-func (bound *listeners) backendServersAddress() string {
-	if bound.backendServers == nil {
+// backendServersAddress returns the address for the log, "none" if there is none.
+func (listeners *listeners) backendServersAddress() string {
+	if listeners.backendServers == nil {
 		return "none"
 	}
-	return bound.backendServers.Addr().String()
+	return listeners.backendServers.Addr().String()
 }
 
-func (bound *listeners) close() {
-	for _, opened := range []*listener.Listener{bound.callers, bound.backendServers, bound.peers} {
+func (listeners *listeners) close() {
+	for _, opened := range []*listener.Listener{listeners.callers, listeners.backendServers, listeners.peers} {
 		if opened != nil {
 			_ = opened.Close()
 		}
--- a/pkg/assembler/measuring.go
+++ b/pkg/assembler/measuring.go
@@ -9,7 +9,7 @@
 	"github.com/stoathitch/stoathitch/pkg/measurer"
 )
 
-// postServerEvent posts an input after it has counted what a backend server said.
+// postServerEvent counts the refusals and answers of a backend server and then posts the input.
 func (daemon *Daemon) postServerEvent(ctx context.Context, input coordinator.Input) bool {
 	if event, isServerEvent := input.(*coordinator.ServerEvent); isServerEvent {
 		switch event := event.Event.(type) {
@@ -22,7 +22,8 @@
 	return daemon.runner.Post(ctx, input)
 }
 
-// gauges asks the coordinator for its counts of this moment.
+// gauges requests the current counts of jobs and tasks from the coordinator. The coordinator's counts
+// are 0 if the request ends first.
 func (daemon *Daemon) gauges(request *http.Request) measurer.Gauges {
 	gauges := measurer.Gauges{Waiting: daemon.receiver.Waiting(), WaitingBytes: daemon.receiver.WaitingBytes()}
 	output := daemon.operations.await(request.Context(), func(waiter uint64) coordinator.Input {
--- a/pkg/assembler/operations.go
+++ b/pkg/assembler/operations.go
@@ -18,7 +18,7 @@
 	"github.com/stoathitch/stoathitch/pkg/provider"
 )
 
-// operations serves the operators' HTTP paths.
+// operations serves the HTTP API for operators.
 type operations struct {
 	*provider.Common
 	post connector.Poster
@@ -40,7 +40,7 @@
 	operations.registerIntents(router)
 }
 
-// Answer hands an output of the coordinator to the request that waits for it.
+// Answer delivers an output of the coordinator to the request that waits for it.
 func (operations *operations) Answer(output coordinator.Output) {
 	var waiter uint64
 	switch output := output.(type) {
@@ -58,8 +58,8 @@
 	operations.waiting.Answer(waiter, output)
 }
 
-// await posts an input for a new waiter and returns the output that answers it,
-// or nil when the operator hangs up.
+// await posts an input with a new waiter number and returns the output that answers it, or nil when
+// the operator hangs up.
 func (operations *operations) await(ctx context.Context, input func(waiter uint64) coordinator.Input) coordinator.Output {
 	output, _ := operations.waiting.Await(ctx, func(waiter uint64) { operations.post(ctx, input(waiter)) })
 	return output
@@ -74,7 +74,7 @@
 	case !answered:
 	case !answer.Known:
 		writeJSON(writer, http.StatusServiceUnavailable, ErrorBody{
-			Error: "not-known-yet", Detail: "this host has just started and has not heard yet what is in force",
+			Error: "not-known-yet", Detail: "this host has just started and has not received the configuration in force yet",
 		})
 	default:
 		writeJSON(writer, http.StatusOK, bodyOf(answer.Version))
@@ -91,7 +91,7 @@
 		Request: body.Request, Expected: body.Expected, Operator: operatorOf(request.Context(), body.Operator),
 		Document: body.Document, At: time.Now().UTC().Format(time.RFC3339),
 	}
-	result := operations.petition(request.Context(), &coordinator.OperatorRequest{Command: keeper.Command{Change: change}})
+	result := operations.requestKeepers(request.Context(), &coordinator.OperatorRequest{Command: keeper.Command{Change: change}})
 	switch {
 	case request.Context().Err() != nil:
 	case result == nil:
@@ -101,9 +101,8 @@
 	}
 }
 
-// readChange reads a change and checks its document. A wrong document must not
-// reach the log: every host would refuse to put it in force and none could say so
-// to the operator who sent it.
+// readChange decodes a change and validates its document. An invalid document must not reach the log:
+// every host would refuse to apply it, and none could report that to the operator who sent it.
 func (operations *operations) readChange(writer http.ResponseWriter, request *http.Request) (*ChangeBody, *ErrorBody) {
 	var body ChangeBody
 	limited := http.MaxBytesReader(writer, request.Body, int64(operations.Settings.Limits.RequestBody))
@@ -123,7 +122,7 @@
 	return &body, nil
 }
 
-// writeChangeResult writes what became of a change; nil means that no quorum answered.
+// writeChangeResult writes the result of a change; nil means that no quorum answered.
 func writeChangeResult(writer http.ResponseWriter, result *configurer.Result) {
 	if result == nil {
 		writeJSON(writer, http.StatusServiceUnavailable, ErrorBody{
@@ -154,8 +153,7 @@
 	writeJSON(writer, http.StatusOK, bodies)
 }
 
-// writeJSON writes body. An error means that the operator has hung up, so there
-// is nobody to tell.
+// writeJSON writes a response. It ignores errors, since they mean that the client has hung up.
 func writeJSON(writer http.ResponseWriter, status int, body any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
--- a/pkg/assembler/overview.go
+++ b/pkg/assembler/overview.go
@@ -11,13 +11,13 @@
 	"github.com/stoathitch/stoathitch/pkg/presenter"
 )
 
-// registerStatus adds the status page and its JSON to router.
+// registerStatus adds the status page and its JSON form to router.
 func (daemon *Daemon) registerStatus(router *mux.Router) {
 	router.HandleFunc("/v1/status", daemon.showStatus).Methods(http.MethodGet)
 	router.HandleFunc("/status", daemon.showPage).Methods(http.MethodGet)
 }
 
-// overview gathers what operators see; nil when the operator hangs up.
+// overview collects the status for operators; it returns nil when the operator hangs up.
 func (daemon *Daemon) overview(ctx context.Context) *presenter.Overview {
 	output := daemon.operations.await(ctx, func(waiter uint64) coordinator.Input {
 		return &coordinator.StatusWanted{Waiter: waiter}
@@ -26,16 +26,16 @@
 	if !answered {
 		return nil
 	}
-	seen := &presenter.Overview{
+	created := &presenter.Overview{
 		Status:       answer.Status,
 		Waiting:      daemon.receiver.Waiting(),
 		WaitingBytes: daemon.receiver.WaitingBytes(),
 		Responses:    daemon.measurer.Responses(),
 	}
 	if keys := daemon.security.keys; keys != nil {
-		seen.CertificateExpires = keys.Expires()
+		created.CertificateExpires = keys.Expires()
 	}
-	return seen
+	return created
 }
 
 func (daemon *Daemon) showStatus(writer http.ResponseWriter, request *http.Request) {
@@ -44,8 +44,8 @@
 	}
 }
 
-// showPage serves the status as a page. Its headers keep a browser from loading
-// anything, whatever a caller has put into a name.
+// showPage serves the status as an HTML page. Its headers keep a browser from loading anything, even
+// if a caller has put markup into a name.
 func (daemon *Daemon) showPage(writer http.ResponseWriter, request *http.Request) {
 	overview := daemon.overview(request.Context())
 	if overview == nil {
--- a/pkg/assembler/quotas.go
+++ b/pkg/assembler/quotas.go
@@ -7,7 +7,7 @@
 	"github.com/stoathitch/stoathitch/pkg/planner"
 )
 
-// quotasOf returns what the intents of each team may hold.
+// quotasOf returns the quotas that bound the intents of each team.
 func quotasOf(settings *loader.Settings) []planner.TeamQuota {
 	quotas := make([]planner.TeamQuota, 0, len(settings.Teams))
 	for _, team := range settings.Teams {
@@ -22,7 +22,7 @@
 	return quotas
 }
 
-// quotasReader reads the quotas of teams for the coordinator.
+// quotasReader returns a function that reads the quotas of teams for the coordinator.
 func quotasReader(settings *loader.Settings) func(document []byte) ([]planner.TeamQuota, bool) {
 	return func(document []byte) ([]planner.TeamQuota, bool) {
 		effective, err := withConfiguration(settings, "document", document)
--- a/pkg/assembler/securing.go
+++ b/pkg/assembler/securing.go
@@ -12,18 +12,18 @@
 	"github.com/stoathitch/stoathitch/pkg/securer"
 )
 
-// security is what a daemon proves itself by, and others to it.
+// security holds what the daemon authenticates itself and its clients with.
 type security struct {
-	// keys are the host's own; nil leaves all connections in the clear.
+	// keys are the host's own keys; nil leaves all connections in clear text.
 	keys *securer.Keys
-	// clients holds the authorities of callers' certificates; nil asks for none.
+	// clients holds the authorities of callers' certificates; nil requests no certificates.
 	clients *securer.Keys
-	// access is nil where callers and operators need not prove who they are.
+	// access is nil if callers and operators need not authenticate.
 	access *authorizer.Authorizer
 }
 
-// secure reads key files and tokens. A daemon does not start with wrong ones.
-func (daemon *Daemon) secure() error {
+// loadSecurity reads key files and tokens. A daemon with invalid ones does not start.
+func (daemon *Daemon) loadSecurity() error {
 	created, err := newSecurity(daemon.Common)
 	if err != nil {
 		return &Error{Operation: "secure", Kind: ErrorSecurity, Err: eris.Wrap(err, "secure")}
@@ -73,14 +73,14 @@
 	}
 }
 
-// guard has every request to the router prove who sends it.
-func (security *security) guard(router *mux.Router) {
+// authenticate requires authentication of every request to the router, if access is configured.
+func (security *security) authenticate(router *mux.Router) {
 	if security.access != nil {
 		router.Use(security.access.Middleware)
 	}
 }
 
-// callersConfig is nil where callers are served in the clear.
+// callersConfig returns the TLS configuration for callers, nil if they connect in clear text.
 func (security *security) callersConfig() *tls.Config {
 	if security.keys == nil {
 		return nil
@@ -88,9 +88,9 @@
 	return security.keys.CallerServer(security.clients)
 }
 
-// operatorOf returns who makes a change: the one who proved it, or where nobody
-// has to, the one that the request names. The history of changes would else say
-// whatever their senders like.
+// operatorOf returns the author of a change: the authenticated principal, or the name in the request
+// if authentication is not required. Otherwise senders could put any name into the history of
+// changes.
 func operatorOf(ctx context.Context, named string) string {
 	if principal := authorizer.PrincipalOf(ctx); principal != nil {
 		return principal.Name
--- a/pkg/assembler/securing_bench_test.go
+++ b/pkg/assembler/securing_bench_test.go
@@ -10,9 +10,9 @@
 	"github.com/stoathitch/stoathitch/pkg/requester"
 )
 
-// BenchmarkSecuredLatency runs jobs of one task that takes no time, in turn through
-// a host in the clear and through one with TLS everywhere and a token, and reports
-// them side by side.
+// BenchmarkSecuredLatency runs jobs of one task without run time, alternately through a host in clear
+// text and through one with TLS on all connections and a token, and reports the latencies side by
+// side.
 func BenchmarkSecuredLatency(b *testing.B) {
 	open := startDeployment(b, 1, nil)
 	open.startServers(b, 1, 8)
--- a/pkg/assembler/securing_test.go
+++ b/pkg/assembler/securing_test.go
@@ -54,7 +54,7 @@
 
 func inAnHour() time.Time { return time.Now().Add(time.Hour) }
 
-// writeTokens knows the tokens "reader", "operator", "garage-7" and "garage-8".
+// writeTokens writes a file with the tokens "reader", "operator", "garage-7" and "garage-8".
 func writeTokens(tb testing.TB, file string) {
 	entry := func(token, rest string) string {
 		return fmt.Sprintf(`{"name": %q, "sha-256": "%x", %s}`, token, sha256.Sum256([]byte(token)), rest)
@@ -69,12 +69,12 @@
 	}
 }
 
-// as is a requester with a token, or with none.
+// as returns a requester with a token, or without one if it is empty.
 func (deployment *secureDeployment) as(tb testing.TB, host, token string) *requester.Requester {
 	return &requester.Requester{Host: host, Token: token, Client: deployment.client(tb, "")}
 }
 
-// client speaks TLS and shows a certificate with the identity, if there is one.
+// client returns a TLS client, with a certificate for the identity unless that is empty.
 func (deployment *secureDeployment) client(tb testing.TB, identity string) *http.Client {
 	transport := &http.Transport{TLSClientConfig: deployment.keys(tb, identity).NamedClient()}
 	tb.Cleanup(transport.CloseIdleConnections)
@@ -112,9 +112,8 @@
 	})
 }
 
-// TestSecured: two hosts and a backend server with certificates serve a caller with
-// a token, and another caller can neither submit in its name nor read or cancel
-// what it submitted.
+// TestSecured checks that two hosts and a backend server with certificates serve a caller with a
+// token, and that another caller can neither submit in its name nor read or cancel its submissions.
 func TestSecured(t *testing.T) {
 	deployment := startSecureDeployment(t, 2)
 	deployment.attach(t, "server-0", deployment.keys(t, "stoathitch://thu-duc/backend-server/server-0"))
@@ -127,7 +126,7 @@
 		answer, err := garage.Submit(ctx, smallJob(fmt.Sprintf("s-%d", attempt)))
 		return err == nil && answer.Outcome.String() == "complete"
 	})
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), maxWait)
 	defer cancel()
 	done := identifier.SubmissionID(fmt.Sprintf("s-%d", attempt))
 	certified := &requester.Requester{Host: host, Client: deployment.client(t, "stoathitch://estimates/caller/garage-7")}
@@ -155,7 +154,7 @@
 	}
 }
 
-// TestStatusPage: the page and its JSON are served to a reader, with headers that
+// TestStatusPage checks that the page and its JSON form are served to a reader, with headers that
 // keep a browser from loading or framing anything.
 func TestStatusPage(t *testing.T) {
 	deployment := startSecureDeployment(t, 1)
@@ -180,11 +179,10 @@
 	}
 }
 
-// TestSpeakingForAnother: somebody holds the keys of one host or backend server and
-// opens a stream in the name of another one. Were the name taken from the stream
-// alone, it could claim leads, forge answers and read every job of a failure domain
-// whose keys it never had.
-func TestSpeakingForAnother(t *testing.T) {
+// TestImpersonationIsRefused guards against a holder of the keys of one host or backend server who
+// opens a stream in the name of another. If the name were taken from the stream alone, it could claim
+// leads, forge answers and read every job of a failure domain whose keys it never had.
+func TestImpersonationIsRefused(t *testing.T) {
 	deployment := startSecureDeployment(t, 1)
 	eventually(t, "the host answers", func(ctx context.Context) bool {
 		_, err := deployment.hosts[0].Status(ctx)
@@ -232,7 +230,7 @@
 }
 
 func (deployment *secureDeployment) introduce(t *testing.T, certificate, from string) error {
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), maxWait)
 	defer cancel()
 	connection := deployment.dial(t, deployment.settings[0].PeersAddress.String(), certificate)
 	stream, err := peerv1.NewPeerClient(connection).Exchange(ctx)
@@ -246,7 +244,7 @@
 }
 
 func (deployment *secureDeployment) announce(t *testing.T, certificate, name string) error {
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), maxWait)
 	defer cancel()
 	connection := deployment.dial(t, deployment.settings[0].BackendServersAddress.String(), certificate)
 	stream, err := backendv1.NewEntryHostClient(connection).Attach(ctx)
@@ -260,8 +258,8 @@
 	return err
 }
 
-// TestWrongKeysDoNotStart: a daemon with the keys of another host, or with tokens
-// that can't be read, ends at once in place of serving without them.
+// TestWrongKeysDoNotStart guards against a daemon that has the keys of another host, expired keys or
+// unreadable tokens and serves without them: it must end at once.
 func TestWrongKeysDoNotStart(t *testing.T) {
 	authority := fakeauthority.New(t)
 	for name, change := range map[string]func(*loader.Settings){
@@ -278,7 +276,7 @@
 		settings.TLS.AuthorityFile = authority.File
 		change(settings)
 		var logs lockedBuffer
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+		ctx, cancel := context.WithTimeout(t.Context(), maxWait)
 		err := (&assembler.Daemon{Common: provider.New(settings, &logs)}).Run(ctx, ctx)
 		cancel()
 		if err == nil {
@@ -287,10 +285,10 @@
 	}
 }
 
-// TestSilentConnections: a client opens connections and says nothing, on each of
-// the three addresses. Without a bound on the handshake it would hold them for
-// ever; with it they are closed by the host.
-func TestSilentConnections(t *testing.T) {
+// TestIdleConnectionsAreClosed guards against clients that open connections and send nothing, on each
+// of the three addresses. Without a bound on the handshake they would occupy them for ever; with it
+// the host closes them.
+func TestIdleConnectionsAreClosed(t *testing.T) {
 	deployment := startDeployment(t, 1, func(settings *loader.Settings) {
 		settings.Connections.HandshakeTimeout = loader.Duration(100 * time.Millisecond)
 		settings.Timeouts.HeaderTimeout = loader.Duration(100 * time.Millisecond)
@@ -305,21 +303,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = connection.SetReadDeadline(time.Now().Add(patience))
+		_ = connection.SetReadDeadline(time.Now().Add(maxWait))
 		buffer := make([]byte, 1024)
 		for err == nil {
 			_, err = connection.Read(buffer)
 		}
 		if os.IsTimeout(err) {
-			t.Errorf("%s: still open after %s", address, patience)
+			t.Errorf("%s: still open after %s", address, maxWait)
 		}
 		_ = connection.Close()
 	}
 }
 
-// TestSlowReader: a client asks again and again and reads no answer. Once the
-// buffers on the way are full, the host's write blocks; without a bound it would
-// hold answer and connection for ever.
+// TestSlowReader guards against a client that sends requests and never reads an answer. Once the
+// buffers on the way are full, the host's write blocks; without a bound the client would hold the
+// answer and the connection for ever.
 func TestSlowReader(t *testing.T) {
 	deployment := startDeployment(t, 1, func(settings *loader.Settings) {
 		settings.Timeouts.BodyTimeout = loader.Duration(100 * time.Millisecond)
@@ -333,18 +331,18 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = connection.Close() }()
-	_ = connection.SetWriteDeadline(time.Now().Add(patience))
+	_ = connection.SetWriteDeadline(time.Now().Add(maxWait))
 	for err == nil {
 		_, err = connection.Write([]byte("GET /debug/vars HTTP/1.1\r\nHost: x\r\n\r\n"))
 	}
 	if os.IsTimeout(err) {
-		t.Errorf("still open after %s", patience)
+		t.Errorf("still open after %s", maxWait)
 	}
 }
 
-// TestConnectionLimit: one client takes all connections of an address. The next one
-// must learn at once that this host has no room, so that it turns to another; and
-// must be served when one is free again.
+// TestConnectionLimit guards against one client that takes all connections of an address. The next
+// client must learn at once that this host has no capacity, so that it can try another, and must be
+// served when a connection is free again.
 func TestConnectionLimit(t *testing.T) {
 	deployment := startDeployment(t, 1, func(settings *loader.Settings) { settings.Connections.PerListener = 2 })
 	deployment.hosts[0].Client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -367,15 +365,15 @@
 	eventually(t, "the host answers again", served)
 }
 
-// TestCallersInTheClear: a host with TLS serves nobody who speaks plain HTTP, or
+// TestPlaintextCallersAreRefused checks that a host with TLS serves nobody who speaks plain HTTP, or
 // who trusts another authority.
-func TestCallersInTheClear(t *testing.T) {
+func TestPlaintextCallersAreRefused(t *testing.T) {
 	deployment := startSecureDeployment(t, 1)
 	eventually(t, "the host answers", func(ctx context.Context) bool {
 		_, err := deployment.hosts[0].Status(ctx)
 		return err == nil
 	})
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), maxWait)
 	defer cancel()
 	plain := &requester.Requester{Host: strings.Replace(deployment.hosts[0].Host, "https://", "http://", 1), Token: "reader"}
 	if _, err := plain.Status(ctx); err == nil {
--- a/pkg/assembler/securitypage_test.go
+++ b/pkg/assembler/securitypage_test.go
@@ -19,8 +19,8 @@
 
 var shellBlock = regexp.MustCompile("(?s)```sh\n(.*?)```")
 
-// TestSecurityPage runs the commands of docs/SECURITY.md and serves a caller, a
-// backend server and an operator with the keys and the token that they make.
+// TestSecurityPage runs the commands of docs/SECURITY.md and serves a caller, a backend server and an
+// operator with the keys and the token that they create.
 func TestSecurityPage(t *testing.T) {
 	if _, err := exec.LookPath("openssl"); err != nil {
 		t.Skip("the page's commands need openssl, which is not installed here")
@@ -69,7 +69,7 @@
 	if len(blocks) == 0 {
 		t.Fatal("the page has no commands")
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), maxWait)
 	defer cancel()
 	for _, block := range blocks {
 		command := exec.CommandContext(ctx, "sh", "-e", "-c", block[1])
--- a/pkg/assembler/shutdown_test.go
+++ b/pkg/assembler/shutdown_test.go
@@ -9,18 +9,18 @@
 	"github.com/stoathitch/stoathitch/pkg/receiver"
 )
 
-// longJob is a job of one task with a run time.
+// longJob returns a job of one task with a run time.
 func longJob(name, runTime string) []byte {
 	return []byte(strings.Replace(string(smallJob(name)), `"run-time":"0s"`, `"run-time":"`+runTime+`"`, 1))
 }
 
-// submitInBackground sends a job and returns where its answer arrives, nil if none
-// does, once the host has the job.
+// submitInBackground submits a job and returns, once the host has it, a channel that receives its
+// answer, or nil if the host ends without one.
 func (deployment *deployment) submitInBackground(t *testing.T, host int, job []byte) chan *receiver.AnswerBody {
 	t.Helper()
 	answered := make(chan *receiver.AnswerBody, 1)
 	go func() {
-		// The error is that the host ended without an answer, which nil says.
+		// An error means that the host ended without an answer, which nil reports.
 		answer, _ := deployment.hosts[host].Submit(context.Background(), job)
 		answered <- answer
 	}()
@@ -31,8 +31,8 @@
 	return answered
 }
 
-// TestGracefulShutdown: the first signal turns the host unready, refuses new jobs as
-// not known to have run, and answers what was accepted, whether it leads or not.
+// TestGracefulShutdown checks that after the first signal a host reports unready, refuses new jobs as
+// not known to have run, and answers what it accepted, whether it leads or not.
 func TestGracefulShutdown(t *testing.T) {
 	deployment := startDeployment(t, 3, nil)
 	deployment.startServers(t, 2, 8)
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestSecondSignal: the second signal ends the process at once, and the log says
-// what was lost.
+// TestSecondSignal checks that the second signal ends the process at once and that the log says what
+// was lost.
 func TestSecondSignal(t *testing.T) {
 	deployment := startDeployment(t, 1, nil)
 	deployment.startServers(t, 1, 8)
@@ -73,7 +73,7 @@
 	deployment.waitUntilServing(t)
 	answered := deployment.submitInBackground(t, 0, longJob("lost", "6s"))
 	deployment.signals[0].terminate()
-	deployment.signals[0].hurry()
+	deployment.signals[0].abort()
 	<-deployment.signals[0].ended
 	if answer := <-answered; answer != nil {
 		t.Errorf("the answer is %+v, want none", answer)
--- a/pkg/assembler/throughput_bench_test.go
+++ b/pkg/assembler/throughput_bench_test.go
@@ -33,16 +33,15 @@
 	loadWarmUpJobs = 200
 )
 
-// load tells the process that makes the load what to do. It is a process of its
-// own, so that the processor time and the allocations of the benchmark's process
-// are those of the daemon.
+// load describes the work of the load process. The load is generated in a process of its own, so that
+// the processor time and the allocations of the benchmark's process are those of the daemon.
 type load struct {
 	Callers        string `json:"callers"`
 	BackendServers string `json:"backend-servers"`
 	Jobs           int    `json:"jobs"`
 }
 
-// TestLoadProcess is no test: the benchmark runs it in another process.
+// TestLoadProcess is the load process of BenchmarkThroughput, not a test.
 func TestLoadProcess(t *testing.T) {
 	wanted := os.Getenv(loadVariable)
 	if wanted == "" {
@@ -67,14 +66,13 @@
 		return err == nil && answer.Outcome.String() == "complete"
 	})
 	made.submit(t, host, "warm-up", loadWarmUpJobs)
-	made.handShake(t)
+	made.synchronize(t)
 	made.submit(t, host, "load", made.Jobs)
-	made.handShake(t)
+	made.synchronize(t)
 }
 
-// handShake tells the benchmark that a part is over and waits until it has read
-// its clocks.
-func (made *load) handShake(t *testing.T) {
+// synchronize reports the end of a phase to the benchmark and waits until it has read its clocks.
+func (load *load) synchronize(t *testing.T) {
 	fmt.Println("ready")
 	var line string
 	if _, err := fmt.Scanln(&line); err != nil {
@@ -82,8 +80,8 @@
 	}
 }
 
-// submit sends jobs from all callers at once.
-func (made *load) submit(t *testing.T, host *requester.Requester, name string, jobs int) {
+// submit sends jobs from all callers concurrently.
+func (load *load) submit(t *testing.T, host *requester.Requester, name string, jobs int) {
 	var next atomic.Int64
 	var group sync.WaitGroup
 	for range loadCallers {
@@ -113,9 +111,9 @@
 		`"repeatable":true,"tasks":[%s]}`, name, name, strings.Join(tasks, ","))
 }
 
-// BenchmarkThroughput measures one entry host under jobs of 50 tasks. One
-// operation is one task. cpu-µs/task is the daemon's processor time; two cores
-// start 2,000,000 / cpu-µs tasks a second if they do nothing else.
+// BenchmarkThroughput measures one entry host under jobs of 50 tasks. One operation is one task.
+// cpu-µs/task is the daemon's processor time; two cores start 2,000,000 / cpu-µs tasks a second if
+// they do nothing else.
 func BenchmarkThroughput(b *testing.B) {
 	deployment := startDeployment(b, 1, func(settings *loader.Settings) { settings.Log.Level = loader.LogLevelWarn })
 	jobs := max(b.N/loadTasksAJob, 1)
@@ -148,17 +146,17 @@
 	b.ReportMetric(float64(after.TotalAlloc-before.TotalAlloc)/tasks, "B/task")
 }
 
-// loadMaker is the process that makes the load.
-type loadMaker struct {
+// loadGenerator is the load process as the benchmark sees it.
+type loadGenerator struct {
 	command *exec.Cmd
 	input   io.WriteCloser
 	output  io.Reader
 	errors  bytes.Buffer
 }
 
-func startLoad(b *testing.B, wanted string) *loadMaker {
+func startLoad(b *testing.B, wanted string) *loadGenerator {
 	b.Helper()
-	created := &loadMaker{command: exec.Command(os.Args[0], "-test.run=^TestLoadProcess$", "-test.timeout=5m")}
+	created := &loadGenerator{command: exec.Command(os.Args[0], "-test.run=^TestLoadProcess$", "-test.timeout=5m")}
 	created.command.Env = append(os.Environ(), loadVariable+"="+wanted)
 	created.command.Stderr = &created.errors
 	var err error
@@ -174,32 +172,32 @@
 	return created
 }
 
-// await waits until the process says that a part is over.
-func (maker *loadMaker) await(b *testing.B) {
+// await waits until the process reports the end of a phase.
+func (loadGenerator *loadGenerator) await(b *testing.B) {
 	b.Helper()
 	var word string
-	if _, err := fmt.Fscanln(maker.output, &word); err != nil || word != "ready" {
-		rest, _ := io.ReadAll(maker.output)
-		b.Fatalf("the load failed: %v %s%s%s", err, word, rest, &maker.errors)
+	if _, err := fmt.Fscanln(loadGenerator.output, &word); err != nil || word != "ready" {
+		rest, _ := io.ReadAll(loadGenerator.output)
+		b.Fatalf("the load failed: %v %s%s%s", err, word, rest, &loadGenerator.errors)
 	}
 }
 
-func (maker *loadMaker) proceed(b *testing.B) {
+func (loadGenerator *loadGenerator) proceed(b *testing.B) {
 	b.Helper()
-	if _, err := fmt.Fprintln(maker.input, "go"); err != nil {
+	if _, err := fmt.Fprintln(loadGenerator.input, "go"); err != nil {
 		b.Fatal(err)
 	}
 }
 
-func (maker *loadMaker) end(b *testing.B) {
+func (loadGenerator *loadGenerator) end(b *testing.B) {
 	b.Helper()
-	rest, _ := io.ReadAll(maker.output)
-	if err := maker.command.Wait(); err != nil {
-		b.Fatalf("the load failed: %v %s%s", err, rest, &maker.errors)
+	rest, _ := io.ReadAll(loadGenerator.output)
+	if err := loadGenerator.command.Wait(); err != nil {
+		b.Fatalf("the load failed: %v %s%s", err, rest, &loadGenerator.errors)
 	}
 }
 
-// processorTime returns the processor time that this process has used.
+// processorTime returns the user and system time that this process has used.
 func processorTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
