--- a/pkg/assembler/operations.go
+++ b/pkg/assembler/operations.go
@@ -74,7 +74,7 @@
 	case !answered:
 	case !answer.Known:
 		writeJSON(writer, http.StatusServiceUnavailable, ErrorBody{
-			Error: "not-known-yet", Detail: "this host has just started and has not received the configuration in force yet",
+			Error: "not-known-yet", Detail: "this host has just started and has not heard yet what is in force",
 		})
 	default:
 		writeJSON(writer, http.StatusOK, bodyOf(answer.Version))
