--- a/pkg/assembler/extension.go
+++ b/pkg/assembler/extension.go
@@ -27,9 +27,9 @@
 	return daemon.runner.Post(ctx, input)
 }
 
-// Petition sends a request to the keepers and returns their result, or nil if it was not applied
+// RequestKeepers sends a request to the keepers and returns their result, or nil if it was not applied
 // or ctx is done.
-func (daemon *Daemon) Petition(ctx context.Context, operatorRequest *coordinator.OperatorRequest) *keeper.Result {
+func (daemon *Daemon) RequestKeepers(ctx context.Context, operatorRequest *coordinator.OperatorRequest) *keeper.Result {
 	return daemon.operations.requestKeepers(ctx, operatorRequest)
 }
 
