--- a/pkg/measurer/measurer.go
+++ b/pkg/measurer/measurer.go
@@ -98,8 +98,8 @@
 // BadRequest counts a request that was not accepted, by the kind of its error.
 func (measurer *Measurer) BadRequest(kind string) { measurer.badRequests.Add(kind, 1) }
 
-// Believed counts a change of what is believed of a backend server.
-func (measurer *Measurer) Believed(kind messenger.DecisionKind) {
+// ServerDecided counts a change of what is believed of a backend server.
+func (measurer *Measurer) ServerDecided(kind messenger.DecisionKind) {
 	measurer.servers.Add(kind.String(), 1)
 }
 
--- a/pkg/measurer/measurer_test.go
+++ b/pkg/measurer/measurer_test.go
@@ -51,7 +51,7 @@
 	}
 	measured.Answered(job, answer(messenger.OutcomeRefused, messenger.ReasonOverQuota), time.Hour, false)
 	measured.Started(50)
-	measured.Believed(messenger.DecisionServerJoined)
+	measured.ServerDecided(messenger.DecisionServerJoined)
 	seen := read(t, measured)
 	if seen.Jobs["complete"] != 100 || seen.Jobs["refused"] != 1 || seen.Reasons["over-quota"] != 1 {
 		t.Errorf("jobs = %v, reasons = %v", seen.Jobs, seen.Reasons)
