--- a/pkg/assembler/daemon.go
+++ b/pkg/assembler/daemon.go
@@ -154,7 +154,7 @@
 		case *coordinator.ToPeer:
 			daemon.peers.Send(output.Host, &output.Batch)
 		case *coordinator.ToServer:
-			daemon.measurer.Started(len(output.Batch.Starts))
+			daemon.measurer.TasksStarted(len(output.Batch.Starts))
 			daemon.servers.Send(output.Batch)
 		case *coordinator.ToWorker:
 			daemon.servers.SendToWorker(output)
--- a/pkg/measurer/measurer.go
+++ b/pkg/measurer/measurer.go
@@ -106,8 +106,10 @@
 // HungUp counts a caller that did not wait for its answer.
 func (measurer *Measurer) HungUp() { measurer.variables.Add(variableHungUp, 1) }
 
-// Started counts the starts that were sent to backend servers.
-func (measurer *Measurer) Started(count int) { measurer.variables.Add(variableStarts, int64(count)) }
+// TasksStarted counts the starts that were sent to backend servers.
+func (measurer *Measurer) TasksStarted(count int) {
+	measurer.variables.Add(variableStarts, int64(count))
+}
 
 // StartsRefused counts the starts that backend servers refused.
 func (measurer *Measurer) StartsRefused(count int) {
--- a/pkg/measurer/measurer_test.go
+++ b/pkg/measurer/measurer_test.go
@@ -50,7 +50,7 @@
 		measured.Answered(job, answer(messenger.OutcomeComplete, messenger.ReasonNone), response, number == 99)
 	}
 	measured.Answered(job, answer(messenger.OutcomeRefused, messenger.ReasonOverQuota), time.Hour, false)
-	measured.Started(50)
+	measured.TasksStarted(50)
 	measured.ServerDecided(messenger.DecisionServerJoined)
 	seen := read(t, measured)
 	if seen.Jobs["complete"] != 100 || seen.Jobs["refused"] != 1 || seen.Reasons["over-quota"] != 1 {
