--- a/pkg/receiver/authorizing.go
+++ b/pkg/receiver/authorizing.go
@@ -10,13 +10,14 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// forbidden is a request in another's name. It doesn't say "not run": whether the
-// other's submission ran is none of the sender's business.
+// forbidden returns the problem of a request made in another caller's name. NotRun stays false,
+// so that the response doesn't disclose whether the other caller's submission ran.
 func forbidden(detail string) *problem {
 	return &problem{status: http.StatusForbidden, Kind: "forbidden", Detail: detail + "; this request started nothing"}
 }
 
-// checkSender refuses a job in another caller's or team's name.
+// checkSender refuses a job submitted in the name of another caller or team. Without an
+// authenticated principal every job passes.
 func checkSender(ctx context.Context, job *messenger.Job) *problem {
 	principal := authorizer.PrincipalOf(ctx)
 	if principal == nil || principal.Is(job.Caller, job.Team) {
@@ -26,8 +27,8 @@
 		principal.Caller, principal.Team, job.Caller, job.Team))
 }
 
-// callerOf returns who asks for an earlier submission: the one who proved it, or
-// where nobody has to, the one that the header names. The leads compare it with
+// callerOf returns the caller that queries or cancels an earlier submission: the authenticated
+// one or, where authentication is off, the one named in CallerHeader. The leads compare it with
 // the submission's caller.
 func callerOf(request *http.Request) (identifier.CallerID, *problem) {
 	named := identifier.CallerID(request.Header.Get(CallerHeader))
--- a/pkg/receiver/bench_test.go
+++ b/pkg/receiver/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// BenchmarkSubmit measures what reading a job of 50 tasks and writing its answer
-// cost, without connections and without what decides.
+// BenchmarkSubmit measures reading a job of 50 tasks and writing its answer, without network
+// connections and with a fake coordinator.
 func BenchmarkSubmit(b *testing.B) {
 	const tasks = 50
 	var body strings.Builder
@@ -29,7 +29,7 @@
 	}
 	body.WriteString("]}")
 	fixture := newFixture()
-	fixture.next = answer
+	fixture.nextAnswer = answer
 	fixture.receiver.SetLimits(loader.Defaults().Limits)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/pkg/receiver/checks.go
+++ b/pkg/receiver/checks.go
@@ -9,7 +9,7 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// checkJob returns the first thing that is wrong with a job, or nil.
+// checkJob returns the first problem that it finds in a job, or nil.
 func (receiver *Receiver) checkJob(body *jobBody) *problem {
 	if problem := checkNames(body); problem != nil {
 		return problem
--- a/pkg/receiver/fuzz_test.go
+++ b/pkg/receiver/fuzz_test.go
@@ -7,9 +7,8 @@
 	"testing"
 )
 
-// FuzzJob: whatever bytes a caller sends, a job that is accepted is within the
-// limits and names its caller, its team and failure domains that exist; anything
-// else gets a 4xx.
+// FuzzJob checks that, for any request body, an accepted job is within the limits and names its
+// caller, its team and existing failure domains, and that any other body gets a 4xx status.
 func FuzzJob(f *testing.F) {
 	for _, seed := range []string{
 		`{"submission":"s","job":"j","caller":"c","team":"t","class":"k","tasks":[{"task":"a","payload":{"x":1}}]}`,
@@ -22,7 +21,7 @@
 	limits := fixture.receiver.limits.Load()
 	f.Fuzz(func(t *testing.T, body []byte) {
 		request := httptest.NewRequest(http.MethodPost, "/v1/jobs", bytes.NewReader(body))
-		job, _, size, problem := fixture.receiver.readInTime(httptest.NewRecorder(), request)
+		job, _, size, problem := fixture.receiver.readWithDeadline(httptest.NewRecorder(), request)
 		if problem != nil {
 			if problem.status < 400 || problem.status > 499 || problem.Kind == "" {
 				t.Errorf("%q gives %+v", body, problem)
--- a/pkg/receiver/handlers.go
+++ b/pkg/receiver/handlers.go
@@ -14,12 +14,13 @@
 // CallerHeader is the HTTP header that names the caller of a request without a body.
 const CallerHeader = "Stoathitch-Caller"
 
-// fullRetryAfter is when a job that found no memory is worth sending again.
-const fullRetryAfter = time.Second
+// queueFullRetryAfter is the Retry-After of a job that is refused because the memory for waiting
+// jobs is used up.
+const queueFullRetryAfter = time.Second
 
 func (receiver *Receiver) submit(writer http.ResponseWriter, request *http.Request) {
 	begun := time.Now()
-	job, deadline, size, problem := receiver.readInTime(writer, request)
+	job, deadline, size, problem := receiver.readWithDeadline(writer, request)
 	if problem == nil {
 		problem = checkSender(request.Context(), job)
 	}
@@ -30,7 +31,7 @@
 		return
 	}
 	receiver.logReceived(job, deadline)
-	answer := receiver.answerTo(request, job, deadline, size)
+	answer := receiver.submitAndAwait(request, job, deadline, size)
 	if answer == nil {
 		receiver.Measurer.HungUp()
 		receiver.Log.Debug("caller hung up", "submission", job.Submission)
@@ -41,42 +42,44 @@
 	receiver.writeAnswer(writer, answer)
 }
 
-// answerTo hands a job on and waits for its answer, or refuses it at once.
-func (receiver *Receiver) answerTo(request *http.Request, job *messenger.Job, deadline identifier.Moment, size int64) *messenger.JobAnswer {
+// submitAndAwait passes a job to the coordinator and waits for its answer. It refuses the job at
+// once during a shutdown or when the memory for waiting jobs is used up. The answer is nil when
+// the caller hangs up.
+func (receiver *Receiver) submitAndAwait(request *http.Request, job *messenger.Job, deadline identifier.Moment, size int64) *messenger.JobAnswer {
 	if receiver.refusing.Load() {
 		return messenger.RefuseUnknown(job.Submission, messenger.ReasonShuttingDown,
 			"this entry host shuts down; send the submission to another")
 	}
-	if !receiver.reserve(size) {
-		return receiver.refuseFull(job)
+	if !receiver.reserveMemory(size) {
+		return receiver.refuseQueueFull(job)
 	}
-	defer receiver.waitBytes.Add(-size)
+	defer receiver.reservedBytes.Add(-size)
 	return receiver.await(request.Context(), func(waiter forwarder.WaiterID) forwarder.Input {
 		return &forwarder.CallerSubmitted{Waiter: waiter, Job: job, Deadline: deadline}
 	})
 }
 
-// reserve takes memory for a job of size bytes, or returns false when the jobs
-// that wait have it all. A limit of 0, which settings can't have, bounds nothing.
-func (receiver *Receiver) reserve(size int64) bool {
+// reserveMemory reserves size bytes for a waiting job and reports whether they were within the
+// QueuedPayload limit. A limit of 0, which valid settings can't have, means no limit.
+func (receiver *Receiver) reserveMemory(size int64) bool {
 	limit := int64(receiver.limits.Load().QueuedPayload)
-	if receiver.waitBytes.Add(size) <= limit || limit == 0 {
+	if receiver.reservedBytes.Add(size) <= limit || limit == 0 {
 		return true
 	}
-	receiver.waitBytes.Add(-size)
+	receiver.reservedBytes.Add(-size)
 	return false
 }
 
-// refuseFull refuses a job for want of memory. It doesn't say "not run", because
-// it may be the resend of a submission that ran, which nobody was asked about.
-func (receiver *Receiver) refuseFull(job *messenger.Job) *messenger.JobAnswer {
+// refuseQueueFull returns the refusal of a job that exceeds the memory for waiting jobs. NotRun
+// stays false: the job may resend a submission that ran, and no lead has been queried about it.
+func (receiver *Receiver) refuseQueueFull(job *messenger.Job) *messenger.JobAnswer {
 	answer := messenger.RefuseUnknown(job.Submission, messenger.ReasonQueueFull,
-		"the jobs that wait on this entry host have all memory that is meant for them; this sending started nothing")
-	answer.RetryAfter = fullRetryAfter
+		"the jobs waiting on this entry host use all the memory reserved for waiting jobs; this request started nothing")
+	answer.RetryAfter = queueFullRetryAfter
 	return answer
 }
 
-func (receiver *Receiver) show(writer http.ResponseWriter, request *http.Request) {
+func (receiver *Receiver) query(writer http.ResponseWriter, request *http.Request) {
 	submission := identifier.SubmissionID(mux.Vars(request)["submission"])
 	caller, problem := callerOf(request)
 	if problem != nil {
@@ -115,8 +118,8 @@
 	writeJSON(writer, http.StatusOK, statusBody{Status: "ready"})
 }
 
-// writeAnswer writes the one answer of a submission. A nil answer means that the
-// caller has hung up, so there is nobody to write to.
+// writeAnswer writes the answer of a submission as the HTTP response. A nil answer means that the
+// caller has hung up; then it writes nothing.
 func (receiver *Receiver) writeAnswer(writer http.ResponseWriter, answer *messenger.JobAnswer) {
 	if answer == nil {
 		return
--- a/pkg/receiver/handlers_test.go
+++ b/pkg/receiver/handlers_test.go
@@ -22,13 +22,13 @@
 	"github.com/stoathitch/stoathitch/pkg/runner"
 )
 
-// fixture drives the handlers with a fake coordinator that answers as it is told.
+// fixture drives the handlers with a fake coordinator that returns a preset answer.
 type fixture struct {
 	receiver *Receiver
 	router   *mux.Router
-	// next is the answer to what is posted next; nil never answers.
-	next *messenger.JobAnswer
-	// posted describes what was posted last.
+	// nextAnswer answers every posted event; while it is nil, events get no answer.
+	nextAnswer *messenger.JobAnswer
+	// posted describes the last posted event.
 	posted string
 }
 
@@ -46,7 +46,7 @@
 	return created
 }
 
-// post stands in for the coordinator.
+// post is the fake coordinator's Poster: it records the event and sends nextAnswer.
 func (fixture *fixture) post(_ context.Context, input coordinator.Input) bool {
 	var waiter forwarder.WaiterID
 	switch event := input.(*coordinator.CallerEvent).Event.(type) {
@@ -60,13 +60,13 @@
 		waiter = event.Waiter
 		fixture.posted = fmt.Sprintf("cancelled %s by %q", event.Submission, event.Caller)
 	}
-	if fixture.next != nil {
-		go fixture.receiver.Answer(&forwarder.AnswerCaller{Waiter: waiter, Answer: fixture.next})
+	if fixture.nextAnswer != nil {
+		go fixture.receiver.Answer(&forwarder.AnswerCaller{Waiter: waiter, Answer: fixture.nextAnswer})
 	}
 	return true
 }
 
-// request sends a request of the form "METHOD PATH" with the rest as its body.
+// request sends the request that input describes: a line "METHOD PATH", then the body.
 func (fixture *fixture) request(ctx context.Context, input string) *httptest.ResponseRecorder {
 	line, body, _ := strings.Cut(input, "\n")
 	method, path, _ := strings.Cut(line, " ")
@@ -88,7 +88,7 @@
 	return text
 }
 
-// answerOf makes the answer that the next request gets.
+// answerOf builds the answer described by the arguments of an answer-with command.
 func answerOf(t *testing.T, data *datadriven.TestData) *messenger.JobAnswer {
 	t.Helper()
 	answer := &messenger.JobAnswer{Submission: "s-1"}
@@ -116,7 +116,8 @@
 	return answer
 }
 
-// TestRequests shows every bad request and every refusal as golden files.
+// TestRequests compares the responses to bad requests and the responses for refused jobs with
+// the golden files in testdata.
 func TestRequests(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		fixture := newFixture()
@@ -124,7 +125,7 @@
 			fixture.posted = ""
 			switch data.Cmd {
 			case "answer-with":
-				fixture.next = answerOf(t, data)
+				fixture.nextAnswer = answerOf(t, data)
 				return ""
 			case "send":
 				return fixture.show(fixture.request(t.Context(), data.Input))
@@ -155,10 +156,9 @@
 const smallJob = `POST /v1/jobs
 {"submission":"s-1","job":"j","caller":"c","team":"t","class":"k","tasks":[{"task":"a","payload":1}]}`
 
-// Symptom: a host is killed for its memory while callers wait for slow jobs.
-// Sequence: jobs arrive faster than they are answered, each below the limits of a
-// single request.
-// Cause: nothing bounded the sum of the bodies that wait.
+// Guards against an entry host that runs out of memory and is killed while callers wait for slow
+// jobs. Jobs arrive faster than they are answered, each within the limits of a single request;
+// without a bound on the sum of the waiting bodies, memory grows until the host is killed.
 func TestWaitingBodiesAreBounded(t *testing.T) {
 	fixture := newFixture()
 	limits := fixture.receiver.Settings.Limits
@@ -182,7 +182,7 @@
 	if bytes := fixture.receiver.WaitingBytes(); bytes != 0 {
 		t.Errorf("%d bytes wait after the caller has hung up", bytes)
 	}
-	fixture.next = &messenger.JobAnswer{Submission: "s-1", Outcome: messenger.OutcomeComplete}
+	fixture.nextAnswer = &messenger.JobAnswer{Submission: "s-1", Outcome: messenger.OutcomeComplete}
 	if served := fixture.request(t.Context(), smallJob); served.Code != http.StatusOK {
 		t.Errorf("with the memory free again: %d %s", served.Code, served.Body)
 	}
--- a/pkg/receiver/home.go
+++ b/pkg/receiver/home.go
@@ -8,19 +8,19 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// mayRunOf lists where a job may run, its home first. The home keeps the record
-// of the submission, so it must be the same at whatever host a resend arrives.
-// Were it the failure domain of the host that was reached, a resend to another
-// failure domain would find no record there, and every task would start again;
-// the record of starts would show it. So a job that names neither its own failure
-// domain nor where it may run gets its home from its submission id.
+// mayRunOf lists the failure domains that a job may run in, its home first. The home keeps the
+// record of the submission, so every host must compute the same home for a resend. If the home
+// were the failure domain of the receiving host, a resend to another failure domain would find no
+// record there, and every task would start a second time, as the record of starts would show. So
+// a job that names neither its own failure domain nor where it may run gets its home from its
+// submission id.
 func (receiver *Receiver) mayRunOf(body *jobBody) []identifier.FailureDomain {
 	if len(body.MayRun) > 0 {
 		return body.MayRun
 	}
 	home := body.FailureDomain
 	if home == "" {
-		home = receiver.homeByID(body.Submission)
+		home = receiver.homeByHash(body.Submission)
 	}
 	mayRun := []identifier.FailureDomain{home}
 	for _, failureDomain := range receiver.sortedFailureDomains() {
@@ -31,9 +31,9 @@
 	return mayRun
 }
 
-// homeByID returns the failure domain with the highest hash for a submission, so
-// that another failure domain in the settings moves only the homes that it gets.
-func (receiver *Receiver) homeByID(submission identifier.SubmissionID) identifier.FailureDomain {
+// homeByHash picks a submission's home by rendezvous hashing: the failure domain with the highest
+// hash. Adding a failure domain to the settings moves only the homes that the new one gets.
+func (receiver *Receiver) homeByHash(submission identifier.SubmissionID) identifier.FailureDomain {
 	var home identifier.FailureDomain
 	var highest uint64
 	for _, failureDomain := range receiver.sortedFailureDomains() {
@@ -45,8 +45,8 @@
 	return home
 }
 
-// sortedFailureDomains lists the failure domains of the deployment in an order
-// that is the same on every host, whatever order its settings have.
+// sortedFailureDomains lists the deployment's failure domains in the same order on every host,
+// whatever their order in the host's settings.
 func (receiver *Receiver) sortedFailureDomains() []identifier.FailureDomain {
 	all := slices.Clone(receiver.Settings.FailureDomains)
 	if own := receiver.Settings.FailureDomain; !slices.Contains(all, own) {
--- a/pkg/receiver/home_test.go
+++ b/pkg/receiver/home_test.go
@@ -10,9 +10,9 @@
 	"github.com/stoathitch/stoathitch/pkg/provider"
 )
 
-// TestHomeIsTheSameAtEveryHost. Symptom: a resend starts the tasks again (row 4).
-// Sequence: a job without may-run is sent to a host of one failure domain, then to
-// one of another. Cause guarded against: a home that depends on the host.
+// TestHomeIsTheSameAtEveryHost guards against a resend that starts its tasks again (row 4). A job
+// without may-run is sent to a host of one failure domain, then to a host of another; if the home
+// depended on the receiving host, the second one would find no record of the submission.
 func TestHomeIsTheSameAtEveryHost(t *testing.T) {
 	domains := []identifier.FailureDomain{"thu-duc", "tan-binh", "binh-chanh"}
 	homes := make(map[identifier.FailureDomain]int)
@@ -23,7 +23,7 @@
 		}
 		var first []identifier.FailureDomain
 		for index, own := range domains {
-			// Each host has the failure domains in another order.
+			// Each host's settings list the failure domains in a different order.
 			order := append(slices.Clone(domains[index:]), domains[:index]...)
 			settings := &loader.Settings{FailureDomain: own, FailureDomains: order}
 			mayRun := (&Receiver{Common: &provider.Common{Settings: settings}}).mayRunOf(body)
--- a/pkg/receiver/receiver.go
+++ b/pkg/receiver/receiver.go
@@ -1,4 +1,4 @@
-// Package receiver serves callers over HTTP with JSON: it checks requests, hands
+// Package receiver serves the callers' HTTP API with JSON bodies: it validates requests, passes
 // them to the coordinator and waits for their answers.
 package receiver
 
@@ -21,24 +21,24 @@
 	"github.com/stoathitch/stoathitch/pkg/runner"
 )
 
-// Receiver serves the callers' HTTP paths. Set the exported fields before
-// Prepare.
+// Receiver implements the HTTP handlers for callers. Set the exported fields before Prepare.
 type Receiver struct {
 	*provider.Common
 	Post  connector.Poster
 	Clock *runner.Clock
-	// Measurer counts what callers ask and are told; nil lets Prepare make one.
+	// Measurer counts requests and answers; if nil, Prepare creates one.
 	Measurer *measurer.Measurer
 
-	// limits are those in force; a new configuration replaces them.
+	// limits are the current limits; SetLimits replaces them when a new configuration applies.
 	limits    atomic.Pointer[loader.Limits]
 	ready     atomic.Bool
 	refusing  atomic.Bool
-	waitBytes atomic.Int64
+	reservedBytes atomic.Int64
 	waiting   awaiter.Awaiter[forwarder.WaiterID, *messenger.JobAnswer]
 }
 
-// Prepare makes the receiver usable.
+// Prepare applies the limits of the settings and fills in a missing Measurer. Call it before
+// serving requests.
 func (receiver *Receiver) Prepare() {
 	receiver.SetLimits(receiver.Settings.Limits)
 	if receiver.Measurer == nil {
@@ -46,40 +46,40 @@
 	}
 }
 
-// SetLimits puts other limits in force for requests that arrive from now on.
+// SetLimits replaces the limits for requests that arrive from now on.
 func (receiver *Receiver) SetLimits(limits loader.Limits) { receiver.limits.Store(&limits) }
 
-// Register adds the callers' paths to router.
+// Register adds the callers' job paths and the health and readiness paths to router.
 func (receiver *Receiver) Register(router *mux.Router) {
 	router.HandleFunc("/v1/jobs", receiver.submit).Methods(http.MethodPost)
-	router.HandleFunc("/v1/jobs/{submission}", receiver.show).Methods(http.MethodGet)
+	router.HandleFunc("/v1/jobs/{submission}", receiver.query).Methods(http.MethodGet)
 	router.HandleFunc("/v1/jobs/{submission}", receiver.cancel).Methods(http.MethodDelete)
 	router.HandleFunc("/healthz", receiver.health).Methods(http.MethodGet)
 	router.HandleFunc("/readyz", receiver.readiness).Methods(http.MethodGet)
 }
 
-// SetReady turns the readiness path on or off, for the platform's balancer.
+// SetReady sets whether /readyz reports ready, for the platform's load balancer.
 func (receiver *Receiver) SetReady(ready bool) { receiver.ready.Store(ready) }
 
-// RefuseNew makes every further submission a refusal, during a shutdown.
+// RefuseNew refuses every submission from now on; called during a shutdown.
 func (receiver *Receiver) RefuseNew() { receiver.refusing.Store(true) }
 
-// Answer hands an answer to the request that waits for it. An answer for a
-// request whose caller hung up is dropped; a resend finds it.
+// Answer delivers an answer to the request that waits for it. The answer is dropped if the caller
+// has hung up; a resend gets it again.
 func (receiver *Receiver) Answer(answer *forwarder.AnswerCaller) {
 	receiver.waiting.Answer(answer.Waiter, answer.Answer)
 }
 
-// Waiting returns how many requests wait for an answer.
+// Waiting returns the number of requests that wait for an answer.
 func (receiver *Receiver) Waiting() int { return receiver.waiting.Len() }
 
-// WaitingBytes returns the sum of the bodies of the jobs that wait for an answer.
+// WaitingBytes returns the total body size of the jobs that wait for an answer.
 func (receiver *Receiver) WaitingBytes() identifier.Bytes {
-	return identifier.Bytes(receiver.waitBytes.Load())
+	return identifier.Bytes(receiver.reservedBytes.Load())
 }
 
-// await posts an event for a new waiter and waits for the answer, or nil when the
-// caller hangs up. A caller that hangs up has not cancelled.
+// await posts an event for a new waiter and returns its answer, or nil when the caller hangs up.
+// Hanging up does not cancel the submission.
 func (receiver *Receiver) await(ctx context.Context, event func(forwarder.WaiterID) forwarder.Input) *messenger.JobAnswer {
 	answer, _ := receiver.waiting.Await(ctx, func(waiter forwarder.WaiterID) {
 		receiver.Post(ctx, &coordinator.CallerEvent{Event: event(waiter)})
--- a/pkg/receiver/receiver_test.go
+++ b/pkg/receiver/receiver_test.go
@@ -18,11 +18,10 @@
 	"github.com/stoathitch/stoathitch/pkg/runner"
 )
 
-// Symptom: a caller reads "not run" for a submission that ran.
-// Sequence: a job ends in time, its answer is lost on the way, and the caller
-// sends it again after the deadline.
-// Cause: the entry host refused a deadline in the past by itself, without asking
-// whoever has the submission's record.
+// Guards against answering "not run" for a submission that ran. A job ends in time, its answer is
+// lost on the way, and the caller resends the job after the deadline. An entry host that refuses a
+// past deadline by itself, without querying the lead that has the submission's record, gives a
+// wrong answer.
 func TestResendAfterDeadlineReachesTheRecord(t *testing.T) {
 	receiver := &Receiver{Common: provider.New(&loader.Settings{
 		FailureDomain: "geel", Limits: loader.Limits{RequestBody: 1000, Payload: 100, TasksPerJob: 1},
--- a/pkg/receiver/request.go
+++ b/pkg/receiver/request.go
@@ -13,10 +13,10 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// maxIDLength bounds every id that a caller chooses.
+// maxIDLength is the maximum length of an id chosen by a caller, in bytes.
 const maxIDLength = 256
 
-// jobBody is the JSON of a submitted job.
+// jobBody is the JSON body of a job submission.
 type jobBody struct {
 	Submission identifier.SubmissionID `json:"submission"`
 	Job        identifier.JobID        `json:"job"`
@@ -25,7 +25,7 @@
 	Class      identifier.ClassName    `json:"class"`
 	Repeatable bool                    `json:"repeatable"`
 	Deadline   *time.Time              `json:"deadline"`
-	// FailureDomain is the job's own failure domain: its home where MayRun is empty.
+	// FailureDomain is the job's own failure domain; it is the home if MayRun is empty.
 	FailureDomain identifier.FailureDomain   `json:"failure-domain"`
 	MayRun        []identifier.FailureDomain `json:"may-run"`
 	Tasks         []taskBody                 `json:"tasks"`
@@ -37,7 +37,7 @@
 	DeclaredRunTime string            `json:"declared-run-time"`
 }
 
-// problem is a request that can't be accepted; nothing of it started.
+// problem is the error response to a request that is not accepted and that started no task.
 type problem struct {
 	status int
 	Kind   string `json:"error"`
@@ -49,7 +49,7 @@
 	return &problem{status: http.StatusBadRequest, Kind: kind, Detail: detail, NotRun: true}
 }
 
-// readJob reads and checks a submitted job.
+// readJob decodes and validates a submitted job and converts its deadline to this host's clock.
 func (receiver *Receiver) readJob(writer http.ResponseWriter, request *http.Request) (*messenger.Job, identifier.Moment, *problem) {
 	limit := int64(receiver.limits.Load().RequestBody)
 	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, limit))
@@ -67,9 +67,8 @@
 	return receiver.jobOf(&body), receiver.deadlineOf(&body), nil
 }
 
-// overLimit is a problem with a limit that operators can lower while the system
-// runs. It doesn't say "not run": the request may be the resend of a submission
-// that was within the limit when it ran.
+// overLimit returns the problem of a request over a limit that operators can lower at run time.
+// NotRun stays false: the request may resend a submission that was within the limit when it ran.
 func overLimit(status int, kind, detail string) *problem {
 	return &problem{status: status, Kind: kind, Detail: detail + "; this request started nothing"}
 }
@@ -91,12 +90,11 @@
 	}
 }
 
-// deadlineOf turns the caller's instant into a moment of this host's clock. Only
-// the time that remains counts from here on.
+// deadlineOf converts the caller's wall-clock deadline to a moment of this host's clock. From here
+// on only the remaining time is used.
 //
-// A deadline that has passed is no fault of the request: it may be the resend of a
-// submission that ran in time. Refused here as not run, that would be a lie about
-// work that was done; the lead has the record and answers truly.
+// A deadline in the past is accepted, because the request may resend a submission that ran in
+// time. Refusing it here as not run would be wrong; the lead has the record and answers correctly.
 func (receiver *Receiver) deadlineOf(body *jobBody) identifier.Moment {
 	if body.Deadline == nil {
 		return identifier.Never
@@ -104,7 +102,7 @@
 	return receiver.Clock.Now().Add(max(time.Until(*body.Deadline), 0))
 }
 
-// jobOf makes the job with its home first in MayRun.
+// jobOf converts a validated body to a job with its home first in MayRun.
 func (receiver *Receiver) jobOf(body *jobBody) *messenger.Job {
 	job := &messenger.Job{
 		Submission: body.Submission,
@@ -117,7 +115,7 @@
 		Tasks:      make([]messenger.Task, 0, len(body.Tasks)),
 	}
 	for _, task := range body.Tasks {
-		// checkJob has parsed the duration; an empty one means none.
+		// checkTask has validated the duration; an empty one means that none is declared.
 		declared, _ := time.ParseDuration(task.DeclaredRunTime)
 		job.Tasks = append(job.Tasks, messenger.Task{Task: task.Task, Payload: task.Payload, DeclaredRunTime: declared})
 	}
--- a/pkg/receiver/response.go
+++ b/pkg/receiver/response.go
@@ -11,7 +11,7 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// AnswerBody is the JSON of a submission's answer.
+// AnswerBody is the JSON body of the response with a submission's answer.
 type AnswerBody struct {
 	Submission identifier.SubmissionID `json:"submission"`
 	Outcome    messenger.Outcome       `json:"outcome"`
@@ -22,7 +22,7 @@
 	Answers    []TaskAnswerBody        `json:"answers"`
 }
 
-// TaskAnswerBody is the JSON of one task's answer.
+// TaskAnswerBody is the answer of one task within an AnswerBody.
 type TaskAnswerBody struct {
 	Task   identifier.TaskID `json:"task"`
 	Result json.RawMessage   `json:"result"`
@@ -52,21 +52,21 @@
 	return body
 }
 
-// resultOf writes a result as the JSON that it is, or else as a JSON string of
-// its bytes in base64.
+// resultOf returns a result unchanged if it is valid JSON, otherwise its bytes as a base64 JSON
+// string.
 func resultOf(result []byte) json.RawMessage {
 	if json.Valid(result) {
 		return result
 	}
 	encoded, err := json.Marshal(result)
 	if err != nil {
-		panic(err) // A byte slice always has a JSON form.
+		panic(err) // Encoding a byte slice can't fail.
 	}
 	return encoded
 }
 
-// statusOf returns the HTTP status of an answer: 200 for a complete or failed
-// job, because the request itself was served, and an error for a refusal.
+// statusOf returns the HTTP status of an answer: 200 for a complete or failed job, because the
+// request itself was served, and an error status for a refusal.
 func statusOf(answer *messenger.JobAnswer) int {
 	if answer.Outcome != messenger.OutcomeRefused {
 		return http.StatusOK
@@ -89,7 +89,8 @@
 	}
 }
 
-// retryAfterSeconds rounds up, because the header knows whole seconds only.
+// retryAfterSeconds formats a Retry-After value, rounded up because the header allows only whole
+// seconds.
 func retryAfterSeconds(length time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(length.Seconds())))
 }
@@ -98,8 +99,8 @@
 	writeJSON(writer, problem.status, problem)
 }
 
-// writeJSON writes body. An error means that the caller has hung up, so there is
-// nobody to tell.
+// writeJSON writes a JSON response. It ignores write errors, which mean that the caller has hung
+// up.
 func writeJSON(writer http.ResponseWriter, status int, body any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
