--- a/pkg/receiver/receiver.go
+++ b/pkg/receiver/receiver.go
@@ -30,11 +30,11 @@
 	Measurer *measurer.Measurer
 
 	// limits are the current limits; SetLimits replaces them when a new configuration applies.
-	limits    atomic.Pointer[loader.Limits]
-	ready     atomic.Bool
-	refusing  atomic.Bool
+	limits        atomic.Pointer[loader.Limits]
+	ready         atomic.Bool
+	refusing      atomic.Bool
 	reservedBytes atomic.Int64
-	waiting   awaiter.Awaiter[forwarder.WaiterID, *messenger.JobAnswer]
+	waiting       awaiter.Awaiter[forwarder.WaiterID, *messenger.JobAnswer]
 }
 
 // Prepare applies the limits of the settings and fills in a missing Measurer. Call it before
