--- a/pkg/connector/codec.go
+++ b/pkg/connector/codec.go
@@ -6,13 +6,13 @@
 	"github.com/stoathitch/stoathitch/pkg/coordinator"
 )
 
-// maxNesting bounds the depth of a peer's message.
+// maxNesting is the maximum nesting depth of a message from another host.
 const maxNesting = 16
 
-// peerDecoder refuses duplicate keys and unbounded nesting in what peers send.
-var peerDecoder = newPeerDecoder()
+// peerDecMode rejects duplicate keys and deep nesting in messages from other hosts.
+var peerDecMode = newPeerDecMode()
 
-func newPeerDecoder() cbor.DecMode {
+func newPeerDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: maxNesting}.DecMode()
 	if err != nil {
 		panic(err) // The options are constants; they can't be wrong at run time.
@@ -30,7 +30,7 @@
 
 func decodeBatch(payload []byte) (coordinator.PeerBatch, error) {
 	var batch coordinator.PeerBatch
-	if err := peerDecoder.Unmarshal(payload, &batch); err != nil {
+	if err := peerDecMode.Unmarshal(payload, &batch); err != nil {
 		return batch, newError("decode peer batch", ErrorCodec, err)
 	}
 	return batch, nil
--- a/pkg/connector/errors.go
+++ b/pkg/connector/errors.go
@@ -1,6 +1,6 @@
-// Package connector carries messages between processes over gRPC: batches
-// between hosts, and the published protocol with backend servers. It decides
-// nothing; what arrives goes to the coordinator.
+// Package connector carries messages between processes over gRPC: batches between hosts, and the
+// published protocol with backend servers. It makes no decisions; everything received goes to the
+// coordinator.
 package connector
 
 import (
@@ -11,12 +11,12 @@
 
 //go:generate enumer -type=ErrorKind -trimprefix=Error -transform=kebab -text
 
-// ErrorKind tells what kind of thing went wrong.
+// ErrorKind classifies the errors of this package.
 type ErrorKind int
 
 // The kinds of errors of this package.
 const (
-	// ErrorProtocol means that the other side broke the protocol.
+	// ErrorProtocol means that the other side violated the protocol.
 	ErrorProtocol ErrorKind = iota
 	// ErrorStream means that a stream ended or could not be opened.
 	ErrorStream
@@ -24,7 +24,7 @@
 	ErrorCodec
 	// ErrorListen means that an address could not be bound.
 	ErrorListen
-	// ErrorRefused means that the other side's certificate does not name who speaks.
+	// ErrorRefused means that the other side's certificate does not match the identity that it claims.
 	ErrorRefused
 )
 
--- a/pkg/connector/fuzz_test.go
+++ b/pkg/connector/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/stoathitch/stoathitch/pkg/coordinator"
 )
 
-// FuzzDecodeBatch: whatever bytes another host sends, they are refused or make a
-// batch that is encoded and decoded to the same again.
+// FuzzDecodeBatch checks that any bytes from another host are either rejected or decode to a batch
+// that survives encoding and decoding unchanged.
 func FuzzDecodeBatch(f *testing.F) {
 	empty, err := encodeBatch(&coordinator.PeerBatch{})
 	if err != nil {
--- a/pkg/connector/bounding.go
+++ b/pkg/connector/grpcserver.go
@@ -11,15 +11,15 @@
 	"github.com/stoathitch/stoathitch/pkg/loader"
 )
 
-// probeIntervalMin is how often the other side may probe a connection.
-const probeIntervalMin = 5 * time.Second
+// minKeepaliveInterval is the shortest interval at which the other side may send keepalive pings.
+const minKeepaliveInterval = 5 * time.Second
 
-// errSilent means that the other side opened a stream and then said nothing.
-var errSilent = eris.New("no first message within the handshake timeout")
+// errHandshakeTimeout means that the other side opened a stream but sent no first message in time.
+var errHandshakeTimeout = eris.New("no first message within the handshake timeout")
 
 // NewServer returns the gRPC server for the other hosts.
 func (peers *Peers) NewServer() *grpc.Server {
-	return newServer(peers.Settings, serverCredentials(peers.Keys, anyHost))
+	return newServer(peers.Settings, serverCredentials(peers.Keys, anyHostCheck))
 }
 
 // NewServer returns the gRPC server for backend servers.
@@ -27,9 +27,9 @@
 	return newServer(servers.Settings, serverCredentials(servers.Keys, serverCheck(servers.Settings, "")))
 }
 
-// newServer bounds what a connection may hold. A host that vanishes without
-// closing its connections would else keep its streams open for ever; probes that
-// go unanswered close them. A connection without a stream is closed as idle.
+// newServer returns a gRPC server with bounded connections. A host that vanishes without closing
+// its connections would otherwise keep its streams open forever; unanswered keepalive pings close
+// them. A connection without a stream is closed as idle.
 func newServer(settings *loader.Settings, secured credentials.TransportCredentials) *grpc.Server {
 	bounds := &settings.Connections
 	return grpc.NewServer(
@@ -47,22 +47,21 @@
 			Time:              bounds.KeepaliveInterval.Std(),
 			Timeout:           bounds.KeepaliveTimeout.Std(),
 		}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: probeIntervalMin, PermitWithoutStream: true}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minKeepaliveInterval, PermitWithoutStream: true}),
 	)
 }
 
-// probing is the client's side of the probes.
-func probing(settings *loader.Settings) grpc.DialOption {
+// keepaliveParams returns the client-side keepalive settings.
+func keepaliveParams(settings *loader.Settings) grpc.DialOption {
 	bounds := &settings.Connections
 	return grpc.WithKeepaliveParams(keepalive.ClientParameters{
 		Time: bounds.KeepaliveInterval.Std(), Timeout: bounds.KeepaliveTimeout.Std(),
 	})
 }
 
-// first receives the first message of a stream. A stream that says nothing is
-// given up; the caller must then return, which ends the stream and with it the
-// receiving goroutine.
-func first[Message any](settings *loader.Settings, receive func() (Message, error)) (Message, error) {
+// receiveFirst receives the first message of a stream, or fails with errHandshakeTimeout. After an
+// error the caller must return, which ends the stream and with it the receiving goroutine.
+func receiveFirst[Message any](settings *loader.Settings, receive func() (Message, error)) (Message, error) {
 	type outcome struct {
 		message Message
 		err     error
@@ -79,6 +78,6 @@
 		return ended.message, ended.err
 	case <-timer.C:
 		var none Message
-		return none, errSilent
+		return none, errHandshakeTimeout
 	}
 }
--- a/pkg/connector/hostmessages.go
+++ b/pkg/connector/hostmessages.go
@@ -6,17 +6,17 @@
 	backendv1 "github.com/stoathitch/stoathitch/pkg/protocol/backend/v1"
 )
 
-// startBytes is how many bytes of starts one message carries before the next one
-// goes into another. gRPC refuses a received message of over 4 MiB unless
-// the backend server says otherwise, and ends the stream with it: a few starts
-// with large payloads in one message would cut the server off, again and again.
-const startBytes = 1 << 20
+// maxStartBytesPerMessage is the size in bytes up to which starts are packed into one message.
+// gRPC rejects a received message of over 4 MiB, unless the backend server configures another
+// limit, and ends the stream: a few starts with large payloads in one message would disconnect the
+// server again and again.
+const maxStartBytesPerMessage = 1 << 20
 
-// startOverhead is what a start takes beside its payload and names, at most.
+// startOverhead is the maximum encoded size of a start without its payload and names, in bytes.
 const startOverhead = 64
 
-// hostMessages translates the batches that wait for a backend server into as few
-// messages as their order and size allow.
+// hostMessages translates the batches queued for a backend server into as few messages as their
+// order and size allow.
 func hostMessages(now identifier.Moment, batches []*dispatcher.ToServer) []*backendv1.HostMessage {
 	merger := &hostMessageMerger{now: now}
 	for _, batch := range batches {
@@ -25,7 +25,7 @@
 	return merger.messages
 }
 
-// hostMessageMerger puts batches together.
+// hostMessageMerger merges batches into messages.
 type hostMessageMerger struct {
 	now      identifier.Moment
 	messages []*backendv1.HostMessage
@@ -34,8 +34,8 @@
 }
 
 func (merger *hostMessageMerger) add(batch *dispatcher.ToServer) {
-	if !merger.fits(batch) {
-		merger.begin()
+	if !merger.canMerge(batch) {
+		merger.newMessage()
 	}
 	if batch.Lead != nil {
 		merger.last().Lead = &backendv1.Lead{
@@ -52,18 +52,17 @@
 	})
 }
 
-// fits tells whether a batch means the same when it is merged into the last
-// message, whose parts are read in the order lead, starts, cancels, received. A
-// lead must come before and not after what it fences, and a cancel that was there
-// first must be read before a start.
-func (merger *hostMessageMerger) fits(batch *dispatcher.ToServer) bool {
+// canMerge reports whether a batch keeps its meaning when merged into the last message. The fields
+// of a message are read in the order lead, starts, cancels, received. So a lead must come before,
+// not after, what it fences, and an earlier cancel must be read before a later start.
+func (merger *hostMessageMerger) canMerge(batch *dispatcher.ToServer) bool {
 	if len(merger.messages) == 0 || batch.Lead != nil {
 		return false
 	}
 	return len(batch.Starts) == 0 || len(merger.last().GetCancels()) == 0
 }
 
-func (merger *hostMessageMerger) begin() {
+func (merger *hostMessageMerger) newMessage() {
 	merger.messages = append(merger.messages, &backendv1.HostMessage{})
 	merger.bytes = 0
 }
@@ -72,19 +71,19 @@
 	return merger.messages[len(merger.messages)-1]
 }
 
-// addStarts fills the last message and begins others as the payloads fill them.
+// addStarts appends starts to the last message and adds messages as each one fills up.
 func (merger *hostMessageMerger) addStarts(starts []dispatcher.Start) {
-	begun := 0
+	unsent := 0
 	for index := range starts {
 		size := sizeOf(&starts[index])
-		if merger.bytes > 0 && merger.bytes+size > startBytes {
-			merger.appendStarts(starts[begun:index])
-			begun = index
-			merger.begin()
+		if merger.bytes > 0 && merger.bytes+size > maxStartBytesPerMessage {
+			merger.appendStarts(starts[unsent:index])
+			unsent = index
+			merger.newMessage()
 		}
 		merger.bytes += size
 	}
-	merger.appendStarts(starts[begun:])
+	merger.appendStarts(starts[unsent:])
 }
 
 func sizeOf(start *dispatcher.Start) int {
@@ -106,8 +105,8 @@
 	})
 }
 
-// appendBlock appends a translation of each item. The translations stand in one
-// block, so that a batch costs one allocation and not one for each task.
+// appendBlock appends the translation of each item. The translations share one block, so that a
+// batch costs one allocation instead of one for each task.
 func appendBlock[Item, Message any](target []*Message, items []Item, fill func(*Message, *Item)) []*Message {
 	if len(items) == 0 {
 		return target
--- a/pkg/connector/peers.go
+++ b/pkg/connector/peers.go
@@ -19,80 +19,80 @@
 
 // Timing of the connections to other hosts.
 const (
-	// dialBaseDelay is the pause after a first failed attempt. A host that is up while
-	// its process starts refuses at once; processes that start together are there within
-	// some tens of milliseconds.
+	// dialBaseDelay is the pause after the first failed attempt. A host whose process is still
+	// starting refuses connections at once; processes that start together are up within some tens of
+	// milliseconds.
 	dialBaseDelay = 20 * time.Millisecond
 	dialMaxDelay  = time.Second
-	// openWait is how long a batch waits for a connection, which is tried again
-	// meanwhile, and then is dropped. Without it the connection would be tried only when something new is to be
-	// sent: a host that starts asks the hosts of its settings every 250 ms.
-	openWait = time.Second
-	// sendQueue bounds the batches that wait for a slow peer. Beyond it batches
-	// are dropped: every message between hosts is either repeated by its sender or
-	// covered by a timeout.
+	// sendTimeout is how long a queued batch waits for a connection, with further attempts to connect,
+	// before it is dropped. Without the wait, connecting would be tried only once for each batch, and
+	// a host that starts queries the hosts of its settings only every 250 ms.
+	sendTimeout = time.Second
+	// sendQueue is the maximum number of batches queued for a slow peer. Further batches are dropped:
+	// every message between hosts is either repeated by its sender or covered by a timeout.
 	sendQueue = 1024
-	// frameBytes is the size over which a batch is split between its messages.
-	frameBytes = 1 << 20
-	// frameOverhead is what a frame takes beside its payload, at most.
+	// maxFrameBytes is the size above which a batch is split between its messages.
+	maxFrameBytes = 1 << 20
+	// frameOverhead is the maximum encoded size of a frame without its payload.
 	frameOverhead = 1 << 10
 )
 
-// errNotIntroduced means that a stream did not begin with another host's id.
-var errNotIntroduced = eris.New("the first frame must name another host of the system")
+// errBadIntroduction means that a stream did not begin with another host's id.
+var errBadIntroduction = eris.New("the first frame must name another host of the system")
 
-// Poster hands an input to the coordinator; it returns false once the process
-// ends.
+// Poster passes an input to the coordinator; it returns false once the process ends.
 type Poster func(ctx context.Context, input coordinator.Input) bool
 
 // Dialer opens a connection to the address of another host.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// Peers keeps a sending stream to every other host that something is sent to, and
-// receives theirs. Set the exported fields before Run.
+// Peers keeps an outgoing stream to every host that something is sent to and receives the streams
+// of other hosts. Set the exported fields before Run.
 type Peers struct {
 	*provider.Common
 	Post        Poster
 	Incarnation identifier.Incarnation
-	// Dial opens the connections to other hosts; nil dials TCP. Tests cut failure
-	// domains off with it.
+	// Dial opens the connections to other hosts; nil dials TCP. Tests use it to cut off failure
+	// domains.
 	Dial Dialer
 	// Keys secure the connections; nil leaves them in the clear.
 	Keys *securer.Keys
 
 	peerv1.UnimplementedPeerServer
-	refusals refusals
+	refusals refusalLog
 	mutex    sync.Mutex
 	links    map[identifier.HostID]*peerLink
-	// running is the context of Run; links that are learned later live as long.
-	running context.Context
+	// runContext is the context of Run, and the parent context of links added later.
+	runContext context.Context
 }
 
 // peerLink is the sending side towards one host.
 type peerLink struct {
 	host    identifier.HostID
 	address string
-	queue   chan outgoing
+	queue   chan queuedPayload
 	cancel  context.CancelFunc
 }
 
-// outgoing is a batch that waits for its connection.
+// queuedPayload is an encoded batch that waits for its connection.
 //
-// A batch is dropped when it has waited for openWait since it was queued, not since its
-// turn came. To a host that is gone for a minute one would else follow the other by a
-// second each, and when it is back it would be told of leads and jobs of a minute ago.
-type outgoing struct {
+// It is dropped after sendTimeout, counted from when it was queued and not from when it reached
+// the head of the queue. Otherwise the batches for a host that is gone for a minute would each
+// wait a second in turn, and once back it would receive leads and jobs of a minute ago.
+type queuedPayload struct {
 	payload []byte
 	sendBy  time.Time
 }
 
-func (outgoing *outgoing) overdue(now time.Time) bool { return !now.Before(outgoing.sendBy) }
+func (queuedPayload *queuedPayload) expired(now time.Time) bool {
+	return !now.Before(queuedPayload.sendBy)
+}
 
 // Run opens the links to the hosts that the settings name and keeps all links
 // until ctx is done.
 func (peers *Peers) Run(ctx context.Context) {
 	peers.mutex.Lock()
-	peers.running = ctx
+	peers.runContext = ctx
 	peers.links = make(map[identifier.HostID]*peerLink)
 	peers.mutex.Unlock()
 	for _, host := range peers.Settings.Hosts {
@@ -101,14 +101,14 @@
 	<-ctx.Done()
 }
 
-// Learn notes where a host listens. A host that has moved gets a new link.
+// Learn records the address of a host. A host whose address changes gets a new link.
 func (peers *Peers) Learn(host identifier.HostID, address string) {
 	if host == peers.Settings.Host || address == "" {
 		return
 	}
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
-	if peers.running == nil {
+	if peers.runContext == nil {
 		return
 	}
 	known := peers.links[host]
@@ -118,14 +118,13 @@
 	if known != nil {
 		known.cancel()
 	}
-	ctx, cancel := context.WithCancel(peers.running)
-	created := &peerLink{host: host, address: address, queue: make(chan outgoing, sendQueue), cancel: cancel}
+	ctx, cancel := context.WithCancel(peers.runContext)
+	created := &peerLink{host: host, address: address, queue: make(chan queuedPayload, sendQueue), cancel: cancel}
 	peers.links[host] = created
-	go peers.keepLink(ctx, created)
+	go peers.runLink(ctx, created)
 }
 
-// Send queues a batch for another host. A batch for a host that does not keep up
-// is dropped.
+// Send queues a batch for another host. The batch is dropped if the queue is full.
 func (peers *Peers) Send(to identifier.HostID, batch *coordinator.PeerBatch) {
 	peers.mutex.Lock()
 	link, found := peers.links[to]
@@ -133,20 +132,20 @@
 	if !found {
 		return
 	}
-	for _, payload := range peers.framesOf(to, batch) {
+	for _, payload := range peers.encodeFrames(to, batch) {
 		select {
-		case link.queue <- outgoing{payload: payload, sendBy: time.Now().Add(openWait)}:
+		case link.queue <- queuedPayload{payload: payload, sendBy: time.Now().Add(sendTimeout)}:
 		default:
 			peers.Log.Warn("peer batch dropped, queue full", "peer", to)
 		}
 	}
 }
 
-// framesOf encodes a batch. A batch that is large goes in several frames, in its
-// order: the other host need not hold all of it at once, and no frame comes near
-// the bound of what is received. A single message beyond that bound is dropped,
-// because it would end the stream each time it is sent.
-func (peers *Peers) framesOf(to identifier.HostID, batch *coordinator.PeerBatch) [][]byte {
+// encodeFrames encodes a batch. A large batch is split into several frames in order, so that the
+// other host need not hold all of it at once and no frame comes near the limit for received
+// messages. A single message over that limit is dropped, because it would end the stream each time
+// it is sent.
+func (peers *Peers) encodeFrames(to identifier.HostID, batch *coordinator.PeerBatch) [][]byte {
 	payload, err := encodeBatch(batch)
 	if err != nil {
 		peers.Log.Error("peer batch not encoded", "peer", to, "err", err)
@@ -154,9 +153,9 @@
 	}
 	count := len(batch.Messages)
 	switch {
-	case len(payload) > frameBytes && count > 1:
-		first := peers.framesOf(to, &coordinator.PeerBatch{Messages: batch.Messages[:count/2]})
-		second := peers.framesOf(to, &coordinator.PeerBatch{Messages: batch.Messages[count/2:]})
+	case len(payload) > maxFrameBytes && count > 1:
+		first := peers.encodeFrames(to, &coordinator.PeerBatch{Messages: batch.Messages[:count/2]})
+		second := peers.encodeFrames(to, &coordinator.PeerBatch{Messages: batch.Messages[count/2:]})
 		return append(first, second...)
 	case len(payload) > int(peers.Settings.Connections.Message)-frameOverhead:
 		peers.Log.Error("peer message dropped, too large", "peer", to, "bytes", len(payload))
@@ -166,9 +165,8 @@
 	}
 }
 
-// keepLink opens a stream as soon as there is something to send, and again
-// whenever it has ended.
-func (peers *Peers) keepLink(ctx context.Context, link *peerLink) {
+// runLink opens a stream when there is something to send, and again after it has ended.
+func (peers *Peers) runLink(ctx context.Context, link *peerLink) {
 	connection, err := peers.dial(link)
 	if err != nil {
 		peers.Log.Error("peer not dialled", "peer", link.host, "err", err)
@@ -181,7 +179,7 @@
 		case <-ctx.Done():
 			return
 		case batch := <-link.queue:
-			if batch.overdue(time.Now()) {
+			if batch.expired(time.Now()) {
 				continue
 			}
 			opened, err := peers.runStream(ctx, connection, link, &batch)
@@ -194,10 +192,10 @@
 }
 
 func (peers *Peers) dial(link *peerLink) (*grpc.ClientConn, error) {
-	patience := &dialPatience{}
+	adaptiveTimeout := &adaptiveTimeout{}
 	options := []grpc.DialOption{
 		grpc.WithTransportCredentials(clientCredentials(peers.Keys, hostCheck(peers.Settings, link.host))),
-		probing(peers.Settings),
+		keepaliveParams(peers.Settings),
 		grpc.WithStaticStreamWindowSize(streamWindow),
 		grpc.WithStaticConnWindowSize(streamWindow),
 		grpc.WithReadBufferSize(connectionBuffer),
@@ -207,7 +205,7 @@
 			MinConnectTimeout: dialMaxDelay,
 		}),
 		grpc.WithContextDialer(func(ctx context.Context, address string) (net.Conn, error) {
-			return patience.open(ctx, address, peers.open)
+			return adaptiveTimeout.dial(ctx, address, peers.dialContext)
 		}),
 	}
 	connection, err := grpc.NewClient(link.address, options...)
@@ -217,22 +215,22 @@
 	return connection, nil
 }
 
-// open opens one connection to another host.
-func (peers *Peers) open(ctx context.Context, address string) (net.Conn, error) {
+// dialContext opens one connection to another host.
+func (peers *Peers) dialContext(ctx context.Context, address string) (net.Conn, error) {
 	if peers.Dial != nil {
 		return peers.Dial(ctx, address)
 	}
 	return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 }
 
-// runStream sends the payload and what follows it until the stream ends. It tells
-// whether the stream was opened; a payload that found none is dropped.
-func (peers *Peers) runStream(ctx context.Context, connection *grpc.ClientConn, link *peerLink, batch *outgoing) (bool, error) {
+// runStream sends a payload and those queued after it until the stream ends. It reports whether
+// the stream was opened; if not, the payload is dropped.
+func (peers *Peers) runStream(ctx context.Context, connection *grpc.ClientConn, link *peerLink, batch *queuedPayload) (bool, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	overdue := time.AfterFunc(time.Until(batch.sendBy), cancel)
+	expiry := time.AfterFunc(time.Until(batch.sendBy), cancel)
 	stream, err := peers.openStream(ctx, connection)
-	if !overdue.Stop() && err == nil {
+	if !expiry.Stop() && err == nil {
 		err = newError("open peer stream", ErrorStream, context.DeadlineExceeded)
 	}
 	if err != nil {
@@ -245,14 +243,14 @@
 		_, err := stream.Recv()
 		ended <- err
 	}()
-	err = peers.pump(ctx, stream, link, batch.payload, ended)
+	err = peers.sendLoop(ctx, stream, link, batch.payload, ended)
 	peers.Log.Info("peer disconnected", "peer", link.host, "err", err)
 	peers.Post(ctx, &coordinator.PeerDisconnected{Host: link.host})
 	return true, err
 }
 
-// openStream opens a stream and introduces this host. The answer proves that a
-// host of the system serves the other side.
+// openStream opens a stream and introduces this host. The reply proves that a host of the system
+// serves the other side.
 func (peers *Peers) openStream(ctx context.Context, connection *grpc.ClientConn) (peerv1.Peer_ExchangeClient, error) {
 	stream, err := peerv1.NewPeerClient(connection).Exchange(ctx, grpc.WaitForReady(true))
 	if err != nil {
@@ -267,8 +265,8 @@
 	return stream, nil
 }
 
-// pump sends queued batches until the stream ends.
-func (peers *Peers) pump(ctx context.Context, stream peerv1.Peer_ExchangeClient, link *peerLink, payload []byte, ended chan error) error {
+// sendLoop sends queued batches until the stream ends.
+func (peers *Peers) sendLoop(ctx context.Context, stream peerv1.Peer_ExchangeClient, link *peerLink, payload []byte, ended chan error) error {
 	for {
 		if err := stream.Send(peers.frame(payload)); err != nil {
 			return newError("send to peer", ErrorStream, err)
@@ -290,17 +288,17 @@
 
 // Exchange receives the batches of another host.
 func (peers *Peers) Exchange(stream peerv1.Peer_ExchangeServer) error {
-	introduction, err := first(peers.Settings, stream.Recv)
+	introduction, err := receiveFirst(peers.Settings, stream.Recv)
 	if err != nil {
 		return newError("receive introduction", ErrorStream, err)
 	}
 	from := identifier.HostID(introduction.GetFrom())
 	if from == "" || from == peers.Settings.Host {
-		return newError("receive introduction", ErrorProtocol, errNotIntroduced)
+		return newError("receive introduction", ErrorProtocol, errBadIntroduction)
 	}
-	speaker, err := peers.speakerOf(stream.Context(), from)
+	authenticated, err := peers.authenticateSender(stream.Context(), from)
 	if err != nil {
-		peers.refusals.note(peers.Log, "peer", string(from), err)
+		peers.refusals.recordRefusal(peers.Log, "peer", string(from), err)
 		return err
 	}
 	if err := stream.Send(peers.frame(nil)); err != nil {
@@ -311,20 +309,20 @@
 		if err != nil {
 			return newError("receive from peer", ErrorStream, err)
 		}
-		if err := peers.deliver(stream.Context(), &speaker, frame); err != nil {
+		if err := peers.deliver(stream.Context(), &authenticated, frame); err != nil {
 			return err
 		}
 	}
 }
 
-func (peers *Peers) deliver(ctx context.Context, from *speaker, frame *peerv1.Frame) error {
+func (peers *Peers) deliver(ctx context.Context, from *sender, frame *peerv1.Frame) error {
 	batch, err := decodeBatch(frame.GetPayload())
 	if err != nil {
 		peers.Log.Warn("peer batch not decoded", "peer", from.host, "err", err)
 		return err
 	}
-	if err := from.check(peers.Settings, &batch); err != nil {
-		peers.refusals.note(peers.Log, "peer", string(from.host), err)
+	if err := from.checkBatch(peers.Settings, &batch); err != nil {
+		peers.refusals.recordRefusal(peers.Log, "peer", string(from.host), err)
 		return err
 	}
 	peers.Post(ctx, &coordinator.PeerBatchArrived{From: from.host, Batch: batch})
--- a/pkg/connector/peers_test.go
+++ b/pkg/connector/peers_test.go
@@ -14,9 +14,9 @@
 	"github.com/stoathitch/stoathitch/pkg/provider"
 )
 
-// peersOfSilentHost returns the connections of a host whose only other host answers no
-// attempt, and how long each attempt was given.
-func peersOfSilentHost() (*Peers, <-chan time.Duration) {
+// peersWithUnresponsiveHost returns the Peers of a host whose only other host answers no
+// connection attempt, and a channel with the timeout of each attempt.
+func peersWithUnresponsiveHost() (*Peers, <-chan time.Duration) {
 	settings := loader.Defaults()
 	settings.Host = "mol-0"
 	settings.Hosts = []loader.Host{{Host: "mol-0"}, {Host: "geel-0", PeersAddress: netip.MustParseAddrPort("127.0.0.1:1")}}
@@ -33,14 +33,12 @@
 	return peers, attempts
 }
 
-// Symptom: after a loss of all power hosts don't know each other for more than a second
-// after the last one has started, and each leads its failure domain alone.
-// Sequence: a host starts a moment before another one and dials it; a machine without
-// power answers nothing; by the time that the attempt is given up, the other one has
-// been there for long.
-// Cause: an attempt to connect was given a second.
+// Guards against hosts that, after a loss of all power, take more than a second after the last
+// start to discover each other, so that each leads its failure domain alone. A host starts a
+// moment before another and dials it; a machine without power answers nothing, and with a timeout
+// of a second the other host is up long before the attempt fails.
 func TestHostWithoutPowerIsDialledAgainSoon(t *testing.T) {
-	peers, attempts := peersOfSilentHost()
+	peers, attempts := peersWithUnresponsiveHost()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go peers.Run(ctx)
@@ -57,17 +55,16 @@
 	}
 }
 
-// Symptom: after a loss of all power a host knows of no other one for a quarter of a
-// second after the last of them has started.
-// Sequence: a host starts first and sends one batch to each host of its settings; they are
-// without power; they start; the host sends the next batch only 250 ms later.
-// Cause: a connection was tried once for each batch, and the batch dropped when that failed.
+// Guards against a host that, after a loss of all power, knows no other host for a quarter of a
+// second after the last start. The host starts first and sends one batch to each host of its
+// settings, which are without power; they start, and the next batch follows only 250 ms later.
+// Connecting was tried once for each batch, and the batch dropped when that failed.
 func TestWaitingBatchHasItsConnectionTriedAgain(t *testing.T) {
 	const wanted = 4
-	peers, attempts := peersOfSilentHost()
+	peers, attempts := peersWithUnresponsiveHost()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	peers.running = ctx
+	peers.runContext = ctx
 	peers.links = make(map[identifier.HostID]*peerLink)
 	peers.Learn("geel-0", "127.0.0.1:1")
 	peers.Send("geel-0", &coordinator.PeerBatch{})
@@ -76,44 +73,42 @@
 	}
 }
 
-// Symptom and sequence as above: an attempt that was made while the other host had no
-// power went on for 300 ms, although that host was there 20 ms later.
-// Cause: every attempt was given as long as one between regions may take.
+// Guards against the same delay after a loss of all power: an attempt made while the other host
+// had no power lasted 300 ms, although that host was up 20 ms later, because every attempt had the
+// timeout needed between regions.
 func TestFirstAttemptsToConnectAreShort(t *testing.T) {
-	patience := &dialPatience{}
+	adaptiveTimeout := &adaptiveTimeout{}
 	unanswered := func(ctx context.Context, _ string) (net.Conn, error) { return nil, context.DeadlineExceeded }
 	refused := func(ctx context.Context, _ string) (net.Conn, error) { return nil, io.ErrClosedPipe }
-	if given := patience.timeout(); given != firstDialTimeout {
+	if given := adaptiveTimeout.timeout(); given != firstDialTimeout {
 		t.Errorf("the first attempt is given %v, want %v", given, firstDialTimeout)
 	}
 	for range 20 {
-		_, _ = patience.open(context.Background(), "geel-0", unanswered)
+		_, _ = adaptiveTimeout.dial(context.Background(), "geel-0", unanswered)
 	}
-	if given := patience.timeout(); given != dialTimeout {
+	if given := adaptiveTimeout.timeout(); given != dialTimeout {
 		t.Errorf("after 20 attempts without an answer one is given %v, want %v", given, dialTimeout)
 	}
-	_, _ = patience.open(context.Background(), "geel-0", refused)
-	if given := patience.timeout(); given != firstDialTimeout {
+	_, _ = adaptiveTimeout.dial(context.Background(), "geel-0", refused)
+	if given := adaptiveTimeout.timeout(); given != firstDialTimeout {
 		t.Errorf("after a refusal an attempt is given %v, want %v", given, firstDialTimeout)
 	}
 }
 
-// Symptom: a host that was gone for a minute is told of leads and jobs of a minute ago when
-// it is back.
-// Sequence: batches for it are queued while it is gone; each one waits for a second for the
-// connection when its turn comes.
-// Cause guarded against: a wait that is counted from a batch's turn.
+// Guards against sending leads and jobs of a minute ago to a host that was gone for a minute.
+// Batches are queued while it is gone, and each one waits a second for the connection; that wait
+// must not be counted from when the batch reaches the head of the queue.
 func TestBatchWaitsFromWhenItWasQueued(t *testing.T) {
-	peers, _ := peersOfSilentHost()
-	peers.links = map[identifier.HostID]*peerLink{"geel-0": {host: "geel-0", queue: make(chan outgoing, sendQueue)}}
+	peers, _ := peersWithUnresponsiveHost()
+	peers.links = map[identifier.HostID]*peerLink{"geel-0": {host: "geel-0", queue: make(chan queuedPayload, sendQueue)}}
 	before := time.Now()
 	peers.Send("geel-0", &coordinator.PeerBatch{})
 	after := time.Now()
 	queued := <-peers.links["geel-0"].queue
-	if queued.overdue(before) {
+	if queued.expired(before) {
 		t.Error("it is dropped before it has waited")
 	}
-	if !queued.overdue(after.Add(openWait)) {
-		t.Errorf("it is not dropped %v after it was queued", openWait)
+	if !queued.expired(after.Add(sendTimeout)) {
+		t.Errorf("it is not dropped %v after it was queued", sendTimeout)
 	}
 }
--- a/pkg/connector/securing.go
+++ b/pkg/connector/securing.go
@@ -15,10 +15,9 @@
 	"github.com/stoathitch/stoathitch/pkg/securer"
 )
 
-// hostCheck accepts certificates of one host. A host that the settings list must
-// stand in its own failure domain: else one failure domain's keys would let their
-// holder speak for another. A host that is only known by membership must stand in
-// one of the deployment's.
+// hostCheck accepts certificates of one host. A host that the settings list must be in its own
+// failure domain; otherwise one failure domain's keys would let their holder act for another. A
+// host known only by membership must be in one of the deployment's failure domains.
 func hostCheck(settings *loader.Settings, host identifier.HostID) securer.Check {
 	domains := slices.Clone(settings.FailureDomains)
 	for _, listed := range settings.Hosts {
@@ -28,30 +27,30 @@
 		domains = []identifier.FailureDomain{own}
 	}
 	return func(certificate *x509.Certificate) error {
-		return namesOne(certificate, func(identity securer.Identity) bool {
+		return checkIdentity(certificate, func(identity securer.Identity) bool {
 			return identity.Kind == securer.KindHost && identity.Name == string(host) &&
 				slices.Contains(domains, identifier.FailureDomain(identity.Scope))
 		}, "host "+string(host)+" of its failure domain")
 	}
 }
 
-// anyHost accepts certificates of hosts; the stream looks which one it is.
-func anyHost(certificate *x509.Certificate) error {
-	return namesOne(certificate, func(identity securer.Identity) bool { return identity.Kind == securer.KindHost }, "a host")
+// anyHostCheck accepts certificates of any host; the stream checks which one it is.
+func anyHostCheck(certificate *x509.Certificate) error {
+	return checkIdentity(certificate, func(identity securer.Identity) bool { return identity.Kind == securer.KindHost }, "a host")
 }
 
-// serverCheck accepts certificates of one backend server, or with an empty name of
-// any of the failure domain.
+// serverCheck accepts certificates of one backend server of this failure domain or, if the name is
+// empty, of any.
 func serverCheck(settings *loader.Settings, server identifier.BackendServerID) securer.Check {
 	return func(certificate *x509.Certificate) error {
-		return namesOne(certificate, func(identity securer.Identity) bool {
+		return checkIdentity(certificate, func(identity securer.Identity) bool {
 			return identity.Kind == securer.KindBackendServer && identity.Scope == string(settings.FailureDomain) &&
 				(server == "" || identity.Name == string(server))
 		}, "backend server "+string(server)+" of this failure domain")
 	}
 }
 
-func namesOne(certificate *x509.Certificate, wanted func(securer.Identity) bool, what string) error {
+func checkIdentity(certificate *x509.Certificate, wanted func(securer.Identity) bool, what string) error {
 	identities, err := securer.IdentitiesOf(certificate)
 	if err != nil {
 		return newError("check certificate", ErrorRefused, err)
@@ -62,8 +61,8 @@
 	return nil
 }
 
-// checkStream checks the certificate of the connection that a stream came over.
-// Without keys there is none to check.
+// checkStream checks the certificate of a stream's connection. Without keys there is nothing to
+// check.
 func checkStream(ctx context.Context, keys *securer.Keys, check securer.Check) error {
 	if keys == nil {
 		return nil
@@ -75,7 +74,7 @@
 	return check(certificate)
 }
 
-// certificateOf returns the certificate of the connection that a stream came over.
+// certificateOf returns the peer certificate of a stream's connection.
 func certificateOf(ctx context.Context) (*x509.Certificate, error) {
 	other, found := peer.FromContext(ctx)
 	if !found {
@@ -88,8 +87,8 @@
 	return secured.State.PeerCertificates[0], nil
 }
 
-// clientCredentials secure a connection to a host, or leave it in the clear where
-// there are no keys.
+// clientCredentials returns the credentials for connecting to a host; without keys the connection
+// is in the clear.
 func clientCredentials(keys *securer.Keys, check securer.Check) credentials.TransportCredentials {
 	if keys == nil {
 		return insecure.NewCredentials()
@@ -97,7 +96,8 @@
 	return credentials.NewTLS(keys.Client(check))
 }
 
-// serverCredentials are the listener's counterpart of clientCredentials.
+// serverCredentials returns the credentials of a listener; without keys its connections are in the
+// clear.
 func serverCredentials(keys *securer.Keys, check securer.Check) credentials.TransportCredentials {
 	if keys == nil {
 		return insecure.NewCredentials()
--- a/pkg/connector/speaking_test.go
+++ b/pkg/connector/sender_test.go
@@ -10,11 +10,11 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// TestSpeaker. Symptom: jobs of one failure domain go to a host of another one.
-// Sequence: somebody takes the keys of one host of tan-binh; with them it tells
-// thu-duc's hosts that it stands in thu-duc, or that it leads thu-duc's cell. Cause
-// guarded against: believing what stands in a batch about the sender's own place.
-func TestSpeaker(t *testing.T) {
+// TestSenderIsChecked guards against jobs of one failure domain that go to a host of another.
+// Somebody steals the keys of one host of tan-binh and uses them to claim to thu-duc's hosts that
+// it stands in thu-duc, or that it leads thu-duc's cell. A batch's claims about its sender's own
+// place must not be believed.
+func TestSenderIsChecked(t *testing.T) {
 	settings := &loader.Settings{Hosts: []loader.Host{
 		{Host: "thu-duc-entry-0", FailureDomain: "thu-duc"}, {Host: "tan-binh-entry-0", FailureDomain: "tan-binh"},
 	}}
@@ -26,7 +26,7 @@
 		name    string
 		message coordinator.PeerMessage
 		refused bool
-		// states is how many states of the gossip are left.
+		// states is the number of gossip states that remain.
 		states int
 	}{
 		{name: "itself", message: gossip("tan-binh-entry-0", "tan-binh-entry-0", "tan-binh"), states: 1},
@@ -49,9 +49,9 @@
 		{name: "another's load", message: coordinator.PeerMessage{Load: &messenger.LoadNotice{FailureDomain: "thu-duc"}}, refused: true},
 	} {
 		t.Run(scenario.name, func(t *testing.T) {
-			from := &speaker{host: "tan-binh-entry-0", failureDomain: "tan-binh"}
+			from := &sender{host: "tan-binh-entry-0", failureDomain: "tan-binh"}
 			batch := &coordinator.PeerBatch{Messages: []coordinator.PeerMessage{scenario.message}}
-			if err := from.check(settings, batch); (err != nil) != scenario.refused {
+			if err := from.checkBatch(settings, batch); (err != nil) != scenario.refused {
 				t.Errorf("check() = %v, want a refusal: %t", err, scenario.refused)
 			}
 			left := batch.Messages[0].Gossip
@@ -62,5 +62,5 @@
 	}
 }
 
-// jobOf returns a job that may run in some failure domains, its home first.
+// jobOf returns a job that may run in the given failure domains, its home first.
 func jobOf(mayRun ...identifier.FailureDomain) *messenger.Job { return &messenger.Job{MayRun: mayRun} }
--- a/pkg/connector/servers.go
+++ b/pkg/connector/servers.go
@@ -15,8 +15,8 @@
 	"github.com/stoathitch/stoathitch/pkg/securer"
 )
 
-// errNotAnnounced means that a stream did not begin with an Announce.
-var errNotAnnounced = eris.New("the first message must be an announce with an id, this failure domain and at least one slot or processor time")
+// errBadAnnounce means that a stream did not begin with a valid Announce.
+var errBadAnnounce = eris.New("the first message must be an announce with an id, this failure domain and at least one slot or processor time")
 
 // Servers serves the streams of backend servers. Set the exported fields before
 // its first use.
@@ -28,56 +28,56 @@
 	Keys *securer.Keys
 
 	backendv1.UnimplementedEntryHostServer
-	refusals refusals
+	refusals refusalLog
 	mutex    sync.Mutex
 	streams  map[identifier.BackendServerID]*serverStream
 }
 
-// Prepare makes the table of streams.
+// Prepare creates the table of streams. Call it before serving.
 func (servers *Servers) Prepare() {
 	servers.streams = make(map[identifier.BackendServerID]*serverStream)
 }
 
 // Attach serves one stream of a backend server until it ends.
 func (servers *Servers) Attach(stream grpc.BidiStreamingServer[backendv1.ServerMessage, backendv1.HostMessage]) error {
-	message, err := first(servers.Settings, stream.Recv)
+	message, err := receiveFirst(servers.Settings, stream.Recv)
 	if err != nil {
 		return newError("receive announce", ErrorStream, err)
 	}
 	announce := message.GetAnnounce()
-	if !servers.acceptable(announce) {
-		return newError("receive announce", ErrorProtocol, errNotAnnounced)
+	if !servers.isValidAnnounce(announce) {
+		return newError("receive announce", ErrorProtocol, errBadAnnounce)
 	}
 	// The last events of a stream are posted after its context is done.
 	ctx := context.WithoutCancel(stream.Context())
 	id := identifier.BackendServerID(announce.GetBackendServer())
 	if err := checkStream(stream.Context(), servers.Keys, serverCheck(servers.Settings, id)); err != nil {
-		servers.refusals.note(servers.Log, "backend-server", string(id), err)
+		servers.refusals.recordRefusal(servers.Log, "backend-server", string(id), err)
 		return err
 	}
-	current := servers.open(id)
+	current := servers.registerStream(id)
 	servers.Log.Info("backend server attached", "backend-server", id, "slots", announce.GetSlots())
-	go servers.send(stream, current)
+	go servers.sendLoop(stream, current)
 	servers.Post(ctx, announcedEvent(announce))
 	received := make(chan error, 1)
-	go func() { received <- servers.receive(ctx, stream, announce, current) }()
+	go func() { received <- servers.receiveLoop(ctx, stream, announce, current) }()
 	select {
 	case err = <-received:
 	case <-current.overflowed:
 		err = newError("send to backend server", ErrorStream, errOverflow)
 	}
-	servers.end(ctx, announce, current, err)
+	servers.endStream(ctx, announce, current, err)
 	return err
 }
 
-func (servers *Servers) acceptable(announce *backendv1.Announce) bool {
+func (servers *Servers) isValidAnnounce(announce *backendv1.Announce) bool {
 	return announce.GetBackendServer() != "" &&
 		announce.GetFailureDomain() == string(servers.Settings.FailureDomain) &&
 		(announce.GetSlots() > 0 || isWorker(announce))
 }
 
-// open registers the stream of a backend server in place of an older one.
-func (servers *Servers) open(id identifier.BackendServerID) *serverStream {
+// registerStream registers a new stream of a backend server and supersedes an older one.
+func (servers *Servers) registerStream(id identifier.BackendServerID) *serverStream {
 	created := newServerStream()
 	servers.mutex.Lock()
 	older := servers.streams[id]
@@ -89,16 +89,16 @@
 	return created
 }
 
-// end closes the sending side and tells of the server's loss, unless a newer
-// stream has taken the place.
-func (servers *Servers) end(ctx context.Context, announce *backendv1.Announce, ended *serverStream, cause error) {
+// endStream closes the sending side and posts the server's loss, unless a newer stream has
+// replaced this one.
+func (servers *Servers) endStream(ctx context.Context, announce *backendv1.Announce, ended *serverStream, cause error) {
 	id := identifier.BackendServerID(announce.GetBackendServer())
 	close(ended.done)
-	ended.post(func() {
+	ended.postUnlessSuperseded(func() {
 		servers.Log.Info("backend server detached", "backend-server", id, "err", cause)
 		servers.Post(ctx, lostEvent(announce))
 	})
-	// What arrives from now on would look as if the server had come back.
+	// Anything posted from now on would look as if the server had returned.
 	ended.supersede()
 	servers.mutex.Lock()
 	defer servers.mutex.Unlock()
@@ -107,8 +107,8 @@
 	}
 }
 
-// Send queues one tick's batch for a backend server. A batch that finds no
-// stream is dropped: the server's next announce tells that nothing of it started.
+// Send queues one tick's batch for a backend server. Without a stream the batch is dropped; the
+// server's next announce shows that nothing of it started.
 func (servers *Servers) Send(batch *dispatcher.ToServer) {
 	if current := servers.stream(batch.Server); current != nil {
 		enqueue(current, current.queue, batch)
@@ -122,20 +122,20 @@
 	return servers.streams[id]
 }
 
-// send writes the welcome and then what waits, until the stream ends.
-func (servers *Servers) send(stream grpc.BidiStreamingServer[backendv1.ServerMessage, backendv1.HostMessage], current *serverStream) {
+// sendLoop sends the welcome and then the queued batches until the stream ends.
+func (servers *Servers) sendLoop(stream grpc.BidiStreamingServer[backendv1.ServerMessage, backendv1.HostMessage], current *serverStream) {
 	if stream.Send(servers.welcome()) != nil {
 		return
 	}
 	for {
 		select {
 		case batch := <-current.queue:
-			for _, message := range hostMessages(servers.Clock.Now(), current.gather(batch)) {
+			for _, message := range hostMessages(servers.Clock.Now(), current.drainQueue(batch)) {
 				if stream.Send(message) != nil {
 					return
 				}
 			}
-		case batch := <-current.orders:
+		case batch := <-current.workerQueue:
 			if stream.Send(workerMessage(batch)) != nil {
 				return
 			}
@@ -145,14 +145,14 @@
 	}
 }
 
-// receive posts what arrives until the stream ends or a newer one takes its place.
-func (servers *Servers) receive(ctx context.Context, stream grpc.BidiStreamingServer[backendv1.ServerMessage, backendv1.HostMessage], announce *backendv1.Announce, current *serverStream) error {
+// receiveLoop posts what arrives until the stream ends or a newer one replaces it.
+func (servers *Servers) receiveLoop(ctx context.Context, stream grpc.BidiStreamingServer[backendv1.ServerMessage, backendv1.HostMessage], announce *backendv1.Announce, current *serverStream) error {
 	for {
 		message, err := stream.Recv()
 		if err != nil {
 			return newError("receive from backend server", ErrorStream, err)
 		}
-		posted := current.post(func() {
+		posted := current.postUnlessSuperseded(func() {
 			for _, event := range eventsOf(announce, message) {
 				servers.Post(ctx, event)
 			}
@@ -163,7 +163,7 @@
 	}
 }
 
-// welcome tells a backend server the addresses of the failure domain's hosts.
+// welcome returns the message with the addresses of the failure domain's entry hosts.
 func (servers *Servers) welcome() *backendv1.HostMessage {
 	welcome := &backendv1.Welcome{EntryHost: string(servers.Settings.Host)}
 	for _, host := range servers.Settings.Hosts {
--- a/pkg/connector/servers_test.go
+++ b/pkg/connector/servers_test.go
@@ -17,7 +17,7 @@
 	"github.com/stoathitch/stoathitch/pkg/runner"
 )
 
-// fakeStream is the stream of a backend server whose reading side is stuck.
+// fakeStream is a stream of a backend server that has stopped reading: Send blocks.
 type fakeStream struct {
 	grpc.ServerStream
 	ctx      context.Context
@@ -47,7 +47,7 @@
 	return message, nil
 }
 
-// recorder takes what is posted to the coordinator.
+// recorder records the inputs posted to the coordinator.
 type recorder struct {
 	mutex  sync.Mutex
 	events []dispatcher.Input
@@ -63,7 +63,7 @@
 	return servers, recorder
 }
 
-// post chooses as the runner does: an input is dropped once ctx is done.
+// post drops an input once ctx is done, as the runner does.
 func (recorder *recorder) post(ctx context.Context, input coordinator.Input) bool {
 	if ctx.Err() != nil {
 		return false
@@ -81,9 +81,9 @@
 	return recorder.events[len(recorder.events)-1]
 }
 
-// TestServerThatStopsReading. Symptom: all jobs of a host stand still (row 8).
-// Sequence: a backend server is stopped; batches for it fill its connection and
-// its queue. Cause guarded against: a tick that waits for one backend server.
+// TestServerThatStopsReading guards against a tick that blocks on one backend server and stalls
+// all jobs of a host (row 8). A backend server is stopped, and batches for it fill its connection
+// and its queue.
 func TestServerThatStopsReading(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -103,11 +103,10 @@
 	}
 }
 
-// TestLossIsToldAfterTheStream. Symptom: the tasks of a dead backend server are
-// waited for until heartbeats are missed (row 1). Sequence: its connection breaks,
-// which ends the context of its stream. Cause guarded against: a loss that is
-// posted under that context and dropped.
-func TestLossIsToldAfterTheStream(t *testing.T) {
+// TestLossIsPostedAfterTheStream guards against waiting for the tasks of a dead backend server
+// until heartbeats are missed (row 1). Its connection breaks, which ends the context of its
+// stream; a loss posted under that context would be dropped.
+func TestLossIsPostedAfterTheStream(t *testing.T) {
 	for range 20 {
 		ctx, cancel := context.WithCancel(t.Context())
 		servers, recorder := newServers()
@@ -124,10 +123,10 @@
 	}
 }
 
-// TestOldStreamIsNotHeard. Symptom: a task starts twice. Sequence: a backend
-// server opens a second stream; an old report is read from the first only then.
-// Cause guarded against: a report that lacks what was started after it.
-func TestOldStreamIsNotHeard(t *testing.T) {
+// TestOldStreamIsIgnored guards against a task that starts twice. A backend server opens a second
+// stream, and only then an old report is read from the first; that report lacks what was started
+// after it.
+func TestOldStreamIsIgnored(t *testing.T) {
 	servers, recorder := newServers()
 	first, second := newFakeStream(t.Context()), newFakeStream(t.Context())
 	ended := make(chan error, 2)
--- a/pkg/connector/serverstream.go
+++ b/pkg/connector/serverstream.go
@@ -10,18 +10,18 @@
 )
 
 var (
-	// errSuperseded means that the backend server has opened another stream.
+	// errSuperseded means that the backend server has opened a newer stream.
 	errSuperseded = eris.New("a newer stream has taken the place")
-	// errOverflow means that the backend server does not read what it is sent.
+	// errOverflow means that the backend server does not read what is sent to it.
 	errOverflow = eris.New("too many batches wait for the backend server")
 )
 
 // serverStream is one stream of a backend server.
 type serverStream struct {
 	queue chan *dispatcher.ToServer
-	// orders are for a worker, which gets nothing by the queue.
-	orders chan *coordinator.ToWorker
-	done   chan struct{}
+	// workerQueue holds the batches for a worker, which gets nothing from queue.
+	workerQueue chan *coordinator.ToWorker
+	done        chan struct{}
 	// overflowed is closed when the queue is full.
 	overflowed chan struct{}
 	overflow   sync.Once
@@ -32,16 +32,16 @@
 
 func newServerStream() *serverStream {
 	return &serverStream{
-		queue:      make(chan *dispatcher.ToServer, sendQueue),
-		orders:     make(chan *coordinator.ToWorker, sendQueue),
-		done:       make(chan struct{}),
-		overflowed: make(chan struct{}),
+		queue:       make(chan *dispatcher.ToServer, sendQueue),
+		workerQueue: make(chan *coordinator.ToWorker, sendQueue),
+		done:        make(chan struct{}),
+		overflowed:  make(chan struct{}),
 	}
 }
 
-// enqueue queues a batch. It never waits: a backend server that has stopped
-// reading would hold up the tick of the whole host, and with it every other job.
-// Its stream ends instead, and its next announce and report tell what started.
+// enqueue queues a batch without ever blocking: a backend server that has stopped reading would
+// otherwise block the tick of the whole host, and with it every other job. On overflow the stream
+// ends instead, and the server's next announce and report state what started.
 func enqueue[Batch any](stream *serverStream, queue chan<- Batch, batch Batch) {
 	select {
 	case queue <- batch:
@@ -50,8 +50,8 @@
 	}
 }
 
-// gather returns a batch together with those that wait behind it, oldest first.
-func (stream *serverStream) gather(first *dispatcher.ToServer) []*dispatcher.ToServer {
+// drainQueue returns a batch together with those queued behind it, oldest first.
+func (stream *serverStream) drainQueue(first *dispatcher.ToServer) []*dispatcher.ToServer {
 	batches := []*dispatcher.ToServer{first}
 	for {
 		select {
@@ -63,11 +63,10 @@
 	}
 }
 
-// post runs what posts to the coordinator, unless a newer stream has taken the
-// place, and tells whether it did. An old report that came after the new stream's
-// announce would lack the tasks started in between; they would count as not
-// started and start again elsewhere.
-func (stream *serverStream) post(posting func()) bool {
+// postUnlessSuperseded calls posting unless a newer stream has replaced this one, and reports
+// whether it did. An old report posted after the new stream's announce would lack the tasks
+// started in between; they would count as not started and start again elsewhere.
+func (stream *serverStream) postUnlessSuperseded(posting func()) bool {
 	stream.mutex.Lock()
 	defer stream.mutex.Unlock()
 	if stream.superseded {
@@ -77,7 +76,7 @@
 	return true
 }
 
-// supersede returns once nothing more of the stream can be posted.
+// supersede marks the stream as replaced. Once it returns, nothing more of the stream is posted.
 func (stream *serverStream) supersede() {
 	stream.mutex.Lock()
 	defer stream.mutex.Unlock()
--- a/pkg/connector/translation.go
+++ b/pkg/connector/translation.go
@@ -57,8 +57,8 @@
 	return translated
 }
 
-// serverEvents translates one batch into inputs, in the order that the protocol
-// gives to its parts.
+// serverEvents translates one message into inputs, in the order that the protocol defines for the
+// message's fields.
 func serverEvents(id identifier.BackendServerID, message *backendv1.ServerMessage) []dispatcher.Input {
 	events := make([]dispatcher.Input, 0, 1)
 	if report := message.GetReport(); report != nil {
--- a/pkg/connector/workers.go
+++ b/pkg/connector/workers.go
@@ -14,16 +14,16 @@
 	backendv1 "github.com/stoathitch/stoathitch/pkg/protocol/backend/v1"
 )
 
-// leaseBase is the base in which lease numbers are written on the wire.
+// leaseBase is the numeric base of lease numbers on the wire.
 const leaseBase = 10
 
-// isWorker tells whether a backend server runs tasks of intents, and none of jobs.
+// isWorker reports whether a backend server runs tasks of intents and none of jobs.
 func isWorker(announce *backendv1.Announce) bool {
 	return announce.GetResources().GetMilliCpu() > 0
 }
 
-// announcedEvent returns what a stream begins with: a worker goes to the driver of
-// intents, any other backend server to the dispatcher.
+// announcedEvent returns the first event of a stream: that of a worker goes to the driver of
+// intents, that of any other backend server to the dispatcher.
 func announcedEvent(announce *backendv1.Announce) coordinator.Input {
 	if !isWorker(announce) {
 		return &coordinator.ServerEvent{Event: announced(announce)}
@@ -46,7 +46,7 @@
 	return event
 }
 
-// lostEvent tells that the stream of a backend server has ended.
+// lostEvent returns the event that the stream of a backend server has ended.
 func lostEvent(announce *backendv1.Announce) coordinator.Input {
 	if !isWorker(announce) {
 		return &coordinator.ServerEvent{Event: &dispatcher.ServerLost{Server: identifier.BackendServerID(announce.GetBackendServer())}}
@@ -55,7 +55,7 @@
 	return &coordinator.WorkerEvent{Worker: id, Events: []planner.Input{planner.WorkerLost{Worker: id}}}
 }
 
-// eventsOf translates one batch of a backend server.
+// eventsOf translates one message of a backend server.
 func eventsOf(announce *backendv1.Announce, message *backendv1.ServerMessage) []coordinator.Input {
 	id := announce.GetBackendServer()
 	if isWorker(announce) {
@@ -68,7 +68,7 @@
 	return events
 }
 
-// workerEvent translates one batch of a worker.
+// workerEvent translates one message of a worker.
 func workerEvent(id identifier.WorkerID, message *backendv1.ServerMessage) *coordinator.WorkerEvent {
 	event := &coordinator.WorkerEvent{Worker: id, Events: taskEnds(id, message.GetAnswers(), message.GetRefusals())}
 	if heartbeat := message.GetHeartbeat(); heartbeat != nil {
@@ -134,7 +134,7 @@
 	return reports
 }
 
-// leaseNumber reads a lease's number; one that can't be read is 0, which no lease has.
+// leaseNumber parses a lease number; an unreadable one becomes 0, which no lease has.
 func leaseNumber(text string) leaser.Number {
 	number, err := strconv.ParseUint(text, leaseBase, 64)
 	if err != nil {
@@ -153,11 +153,11 @@
 	}
 }
 
-// SendToWorker queues one tick's batch for a worker. A batch that finds no stream is
-// dropped: what it started ends with its lease.
+// SendToWorker queues one tick's batch for a worker. Without a stream the batch is dropped; tasks
+// that it started end with their leases.
 func (servers *Servers) SendToWorker(batch *coordinator.ToWorker) {
 	if current := servers.stream(identifier.BackendServerID(batch.Worker)); current != nil {
-		enqueue(current, current.orders, batch)
+		enqueue(current, current.workerQueue, batch)
 	}
 }
 
