--- a/pkg/requester/intents.go
+++ b/pkg/requester/intents.go
@@ -12,21 +12,21 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// intentsPath is where intents stand.
+// intentsPath is the URL path of the intents API.
 const intentsPath = "/v1/intents"
 
-// CreateIntent states a new intent. A conflict is a result and no error.
+// CreateIntent creates an intent. A conflict is returned as a result, not as an error.
 func (requester *Requester) CreateIntent(ctx context.Context, create *describer.Create) (*describer.Result, error) {
-	return requester.changeIntent(ctx, intentsPath, create)
+	return requester.sendIntentCommand(ctx, intentsPath, create)
 }
 
-// OrderIntent confirms, rejects, cancels or ends an intent. A conflict is a result
-// and no error.
+// OrderIntent confirms, rejects, cancels or ends an intent. A conflict is returned as a
+// result, not as an error.
 func (requester *Requester) OrderIntent(ctx context.Context, name identifier.IntentName, verb string, order *describer.Order) (*describer.Result, error) {
-	return requester.changeIntent(ctx, intentPath(name)+"/"+verb, order)
+	return requester.sendIntentCommand(ctx, intentPath(name)+"/"+verb, order)
 }
 
-// PlanIntent waits until the intent has a plan, or has none for a reason.
+// PlanIntent waits until the intent has a plan or a reason why there is none.
 func (requester *Requester) PlanIntent(ctx context.Context, name identifier.IntentName) (*describer.Intent, error) {
 	var intent describer.Intent
 	err := requester.fetch(ctx, &call{method: http.MethodPost, path: intentPath(name) + "/plan"}, http.StatusOK, &intent)
@@ -36,8 +36,8 @@
 	return &intent, nil
 }
 
-// Intent asks for an intent, with its steps if explain is set. A stale answer is what
-// the host has, should it be a keeper.
+// Intent fetches an intent, with its steps if explain is set. With stale set, a host that is
+// a keeper answers from its own copy.
 func (requester *Requester) Intent(ctx context.Context, name identifier.IntentName, explain, stale bool) (*describer.Intent, error) {
 	query := url.Values{}
 	if explain {
@@ -66,12 +66,12 @@
 	return intents, nil
 }
 
-// changeIntent reads the result of a command, whatever its status.
-func (requester *Requester) changeIntent(ctx context.Context, path string, body any) (*describer.Result, error) {
+// sendIntentCommand reads the result of a command, whatever its status.
+func (requester *Requester) sendIntentCommand(ctx context.Context, path string, body any) (*describer.Result, error) {
 	call := &call{method: http.MethodPost, path: path}
 	content, err := json.Marshal(body)
 	if err != nil {
-		return nil, call.failed(ErrorKindWrongRequest, eris.Wrap(err, "encode the request"))
+		return nil, call.newError(ErrorKindWrongRequest, eris.Wrap(err, "encode the request"))
 	}
 	call.body = content
 	status, response, err := requester.send(ctx, call)
@@ -82,11 +82,11 @@
 		Result string `json:"result"`
 	}
 	if json.Unmarshal(response, &kind) != nil || kind.Result == "" {
-		return nil, call.problem(status, response)
+		return nil, call.responseError(status, response)
 	}
 	var result describer.Result
 	if err := json.Unmarshal(response, &result); err != nil {
-		return nil, call.failed(ErrorKindWrongResponse, eris.Wrap(err, "read the result"))
+		return nil, call.newError(ErrorKindWrongResponse, eris.Wrap(err, "read the result"))
 	}
 	return &result, nil
 }
--- a/pkg/requester/operations.go
+++ b/pkg/requester/operations.go
@@ -15,7 +15,7 @@
 	"github.com/stoathitch/stoathitch/pkg/presenter"
 )
 
-// Status asks the host what operators see of it.
+// Status fetches the status that the host reports to operators.
 func (requester *Requester) Status(ctx context.Context) (*coordinator.Status, error) {
 	var status coordinator.Status
 	err := requester.fetch(ctx, &call{method: http.MethodGet, path: "/v1/status"}, http.StatusOK, &status)
@@ -25,7 +25,7 @@
 	return &status, nil
 }
 
-// Overview asks the host for all that its status page shows.
+// Overview fetches all data of the host's status page.
 func (requester *Requester) Overview(ctx context.Context) (*presenter.Overview, error) {
 	var overview presenter.Overview
 	err := requester.fetch(ctx, &call{method: http.MethodGet, path: "/v1/status"}, http.StatusOK, &overview)
@@ -35,7 +35,7 @@
 	return &overview, nil
 }
 
-// Config asks for the configuration in force on the host.
+// Config fetches the configuration in force on the host.
 func (requester *Requester) Config(ctx context.Context) (*assembler.ConfigBody, error) {
 	var version assembler.ConfigBody
 	err := requester.fetch(ctx, &call{method: http.MethodGet, path: "/v1/config"}, http.StatusOK, &version)
@@ -45,8 +45,8 @@
 	return &version, nil
 }
 
-// ConfigHistory asks for the versions that the host has, the oldest first. Only a
-// keeper has more than the one in force.
+// ConfigHistory fetches the configuration versions that the host has, the oldest first. Only
+// a keeper has more than the one in force.
 func (requester *Requester) ConfigHistory(ctx context.Context) ([]assembler.ConfigBody, error) {
 	var versions []assembler.ConfigBody
 	err := requester.fetch(ctx, &call{method: http.MethodGet, path: "/v1/config/history"}, http.StatusOK, &versions)
@@ -56,22 +56,23 @@
 	return versions, nil
 }
 
-// ChangeConfig proposes a configuration. A conflict is a result and no error.
+// ChangeConfig proposes a configuration. A conflict is returned as a result, not as an error.
 func (requester *Requester) ChangeConfig(ctx context.Context, change *assembler.ChangeBody) (*configurer.Result, error) {
-	return requester.change(ctx, "/v1/config", change)
+	return requester.sendChange(ctx, "/v1/config", change)
 }
 
-// OrderEvacuation orders an evacuation, or takes it back. A conflict is a result and no error.
+// OrderEvacuation orders an evacuation or revokes it. A conflict is returned as a result, not
+// as an error.
 func (requester *Requester) OrderEvacuation(ctx context.Context, order *assembler.EvacuationBody) (*configurer.Result, error) {
-	return requester.change(ctx, "/v1/evacuations", order)
+	return requester.sendChange(ctx, "/v1/evacuations", order)
 }
 
-// change sends what the keepers are to agree on.
-func (requester *Requester) change(ctx context.Context, path string, body any) (*configurer.Result, error) {
+// sendChange sends what the keepers are to agree on.
+func (requester *Requester) sendChange(ctx context.Context, path string, body any) (*configurer.Result, error) {
 	call := &call{method: http.MethodPost, path: path}
 	content, err := json.Marshal(body)
 	if err != nil {
-		return nil, call.failed(ErrorKindWrongRequest, eris.Wrap(err, "encode the change"))
+		return nil, call.newError(ErrorKindWrongRequest, eris.Wrap(err, "encode the change"))
 	}
 	call.body = content
 	var result configurer.Result
@@ -81,7 +82,8 @@
 	return &result, nil
 }
 
-// Explain asks what the host decided about a submission, as far as it still knows.
+// Explain fetches the host's decisions about a submission, as far as the host still has
+// them.
 func (requester *Requester) Explain(ctx context.Context, submission identifier.SubmissionID) ([]assembler.ExplainStep, error) {
 	var steps []assembler.ExplainStep
 	path := "/v1/explain/" + url.PathEscape(string(submission))
--- a/pkg/requester/requester.go
+++ b/pkg/requester/requester.go
@@ -1,5 +1,5 @@
 // Package requester sends the HTTP requests of callers and operators to a host.
-// The command-line tool and the trial share it.
+// The command-line tool and the trial use it.
 package requester
 
 import (
@@ -18,21 +18,21 @@
 	"github.com/stoathitch/stoathitch/pkg/receiver"
 )
 
-// maxResponse bounds a response, so that a wrong address can't fill the memory.
-const maxResponse = 256 << 20
+// maxResponseBytes bounds a response, so that a wrong address can't exhaust the memory.
+const maxResponseBytes = 256 << 20
 
 // Requester sends requests to one host. Set the exported fields before its use.
 type Requester struct {
-	// Host is the host's callers' address with its scheme, such as
+	// Host is the address at which the host serves callers, with its scheme, such as
 	// "http://127.0.0.1:7000".
 	Host string
 	// Client sends the requests; nil means http.DefaultClient.
 	Client *http.Client
-	// Token proves who asks; none is sent when it is empty.
+	// Token authenticates the requests; none is sent when it is empty.
 	Token string
 }
 
-// call is one request.
+// call describes one request before it is sent.
 type call struct {
 	method string
 	path   string
@@ -42,7 +42,7 @@
 
 func (call *call) operation() string { return call.method + " " + call.path }
 
-func (call *call) failed(kind ErrorKind, cause error) error {
+func (call *call) newError(kind ErrorKind, cause error) error {
 	return &Error{Operation: call.operation(), Kind: kind, Err: cause}
 }
 
@@ -51,7 +51,7 @@
 	address := strings.TrimSuffix(requester.Host, "/") + call.path
 	request, err := http.NewRequestWithContext(ctx, call.method, address, bytes.NewReader(call.body))
 	if err != nil {
-		return 0, nil, call.failed(ErrorKindWrongRequest, eris.Wrap(err, "make the request"))
+		return 0, nil, call.newError(ErrorKindWrongRequest, eris.Wrap(err, "make the request"))
 	}
 	if call.body != nil {
 		request.Header.Set("Content-Type", "application/json")
@@ -64,12 +64,12 @@
 	}
 	response, err := requester.client().Do(request)
 	if err != nil {
-		return 0, nil, call.failed(ErrorKindUnreachable, eris.Wrap(err, "send the request"))
+		return 0, nil, call.newError(ErrorKindUnreachable, eris.Wrap(err, "send the request"))
 	}
 	defer func() { _ = response.Body.Close() }()
-	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return 0, nil, call.failed(ErrorKindUnreachable, eris.Wrap(err, "read the response"))
+		return 0, nil, call.newError(ErrorKindUnreachable, eris.Wrap(err, "read the response"))
 	}
 	return response.StatusCode, content, nil
 }
@@ -81,27 +81,27 @@
 	return http.DefaultClient
 }
 
-// fetch decodes the response of a successful request into target. A response with
-// another status than success or the accepted one is an error.
+// fetch sends a request and decodes its response into target. A status other than 200 and
+// the accepted one is an error.
 func (requester *Requester) fetch(ctx context.Context, call *call, accepted int, target any) error {
 	status, content, err := requester.send(ctx, call)
 	if err != nil {
 		return err
 	}
 	if status != http.StatusOK && status != accepted {
-		return call.problem(status, content)
+		return call.responseError(status, content)
 	}
 	if err := json.Unmarshal(content, target); err != nil {
-		return call.failed(ErrorKindWrongResponse, eris.Wrap(err, "read the response"))
+		return call.newError(ErrorKindWrongResponse, eris.Wrap(err, "read the response"))
 	}
 	return nil
 }
 
-// problem turns a response that reports one into an error.
-func (call *call) problem(status int, content []byte) error {
+// responseError turns a response that reports one into an error.
+func (call *call) responseError(status int, content []byte) error {
 	var body assembler.ErrorBody
 	if err := json.Unmarshal(content, &body); err != nil || body.Error == "" {
-		return call.failed(ErrorKindWrongResponse, eris.Errorf("status %d %s", status, http.StatusText(status)))
+		return call.newError(ErrorKindWrongResponse, eris.Errorf("status %d %s", status, http.StatusText(status)))
 	}
 	kind := ErrorKindWrongRequest
 	if status >= http.StatusInternalServerError {
