--- a/pkg/provider/common.go
+++ b/pkg/provider/common.go
@@ -1,5 +1,5 @@
-// Package provider hands down what nearly every part of a process needs: the log
-// and the settings. It stands in for globals.
+// Package provider holds the dependencies that nearly every component of a process needs: the
+// logger and the settings. They are passed explicitly instead of as globals.
 package provider
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/stoathitch/stoathitch/pkg/logwriter"
 )
 
-// Common is what the parts of one process share.
+// Common holds what the components of one process share.
 type Common struct {
 	Log      *log.Logger
 	Settings *loader.Settings
