--- a/pkg/presenter/presenter.go
+++ b/pkg/presenter/presenter.go
@@ -1,5 +1,5 @@
-// Package presenter shows the state of a host to people: one HTML page without
-// scripts or outside assets. The same is served as JSON.
+// Package presenter renders the status page of a host: one HTML page without scripts or
+// external assets. The same data is served as JSON.
 package presenter
 
 import (
@@ -16,17 +16,17 @@
 	"github.com/stoathitch/stoathitch/pkg/measurer"
 )
 
-// Overview is all that the page shows.
+// Overview holds all data of the status page.
 type Overview struct {
 	coordinator.Status
-	// Waiting counts the requests of callers that wait for an answer here.
+	// Waiting counts the requests of callers that wait for an answer on this host.
 	Waiting int `json:"waiting"`
-	// WaitingBytes is the sum of their bodies.
+	// WaitingBytes is the total size of their bodies.
 	WaitingBytes identifier.Bytes `json:"waiting-bytes"`
-	// CertificateExpires is when the host's certificate ends, in RFC 3339; empty where
-	// connections are in the clear.
+	// CertificateExpires is when the host's certificate expires, in RFC 3339; empty where
+	// connections are unencrypted.
 	CertificateExpires string `json:"certificate-expires,omitempty"`
-	// Responses are the response times to callers, by team and class.
+	// Responses holds the response times to callers, by team and class.
 	Responses []measurer.Response `json:"responses"`
 }
 
@@ -35,16 +35,16 @@
 
 var page = template.Must(template.New("page").Funcs(template.FuncMap{
 	"state": ServerState,
-	"upTo":  upTo,
-	"share": share,
+	"upTo":  bucketLabel,
+	"share": bucketPercent,
 }).Parse(pageText))
 
-// WritePage writes the page.
+// WritePage renders the status page of overview as HTML.
 func WritePage(writer io.Writer, overview *Overview) error {
 	return eris.Wrap(page.Execute(writer, overview), "write the status page")
 }
 
-// ServerState says in a word how a backend server is.
+// ServerState returns the state of a backend server in one word.
 func ServerState(server dispatcher.ServerStatus) string {
 	switch {
 	case !server.Connected:
@@ -58,15 +58,15 @@
 	}
 }
 
-// upTo names a bucket.
-func upTo(bucket measurer.Bucket) string {
+// bucketLabel returns the label of a bucket of response times.
+func bucketLabel(bucket measurer.Bucket) string {
 	if bucket.UpTo == 0 {
 		return "longer"
 	}
 	return "up to " + strconv.FormatFloat(bucket.UpTo, 'f', -1, 64) + " ms"
 }
 
-// share is a bucket's part of all answers, in percent.
-func share(bucket measurer.Bucket, response measurer.Response) int64 {
+// bucketPercent returns the percentage of all answers that are in the bucket.
+func bucketPercent(bucket measurer.Bucket, response measurer.Response) int64 {
 	return bucket.Count * 100 / max(response.Count, 1)
 }
--- a/pkg/presenter/presenter_test.go
+++ b/pkg/presenter/presenter_test.go
@@ -11,8 +11,8 @@
 	"github.com/stoathitch/stoathitch/pkg/presenter"
 )
 
-// TestPage shows the page of an overview in JSON, which is the form in which hosts
-// serve it. Names that callers choose must not become markup.
+// TestPage renders the page from an overview in JSON, the form in which hosts serve it, and
+// compares it with the golden file. Names that callers choose must not become markup.
 func TestPage(t *testing.T) {
 	datadriven.RunTest(t, "testdata/page", func(t *testing.T, data *datadriven.TestData) string {
 		var overview presenter.Overview
