--- a/pkg/describer/exchange_test.go
+++ b/pkg/describer/exchange_test.go
@@ -14,7 +14,7 @@
 	"github.com/stoathitch/stoathitch/pkg/planner"
 )
 
-// exchange answers the bodies of the golden file from a log without faults.
+// exchange applies the requests of the golden file to a planner through a log without faults.
 type exchange struct {
 	machine planner.Machine
 	index   identifier.LogIndex
@@ -28,16 +28,16 @@
 	return exchange.machine.Apply(exchange.index, command)
 }
 
-// plan answers an intent as the system does.
+// plan proposes and applies a plan for an intent, as the system does.
 func (exchange *exchange) plan(name identifier.IntentName) {
 	record := exchange.machine.Get(name)
-	picture := planner.DomainStatus{FailureDomain: "thu-duc"}
+	domainStatus := planner.DomainStatus{FailureDomain: "thu-duc"}
 	for _, rack := range []identifier.RackID{"thu-duc-rack-0", "thu-duc-rack-1"} {
 		capacity := identifier.Resources{MilliCPU: 16_000, Memory: 64 << 30}
-		picture.Workers = append(picture.Workers, placer.WorkerCapacity{Rack: rack, Capacity: capacity, Free: capacity})
+		domainStatus.Workers = append(domainStatus.Workers, placer.WorkerCapacity{Rack: rack, Capacity: capacity, Free: capacity})
 	}
 	proposer := &planner.Proposer{
-		ConfirmTimeout: planner.DefaultConfirmTimeout, Domains: []planner.DomainStatus{picture}, Correction: exchange.machine.Correction,
+		ConfirmTimeout: planner.DefaultConfirmTimeout, Domains: []planner.DomainStatus{domainStatus}, Correction: exchange.machine.Correction,
 		Quota: placer.Quota{Limit: identifier.Resources{MilliCPU: 32_000}},
 	}
 	plan := proposer.Propose(exchange.wall, record.Spec)
@@ -53,7 +53,7 @@
 	return string(content) + "\n"
 }
 
-// read decodes a body; a key that is not known is an error.
+// read decodes a body; an unknown key is an error.
 func read(t *testing.T, data *datadriven.TestData, body any) {
 	t.Helper()
 	decoder := json.NewDecoder(strings.NewReader(data.Input))
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestExchange shows the JSON of a whole exchange.
+// TestExchange compares the JSON of a whole exchange with the golden file.
 func TestExchange(t *testing.T) {
 	exchange := &exchange{wall: planner.WallTime(time.Date(2026, 12, 2, 6, 30, 0, 0, time.UTC).UnixMilli())}
 	orders := map[string]planner.CommandKind{
@@ -107,8 +107,8 @@
 	})
 }
 
-// TestPageShowsTheExchange holds that each JSON block of the operators' page is one
-// of the golden exchange.
+// TestPageShowsTheExchange checks that each JSON block of the operators' page stands in the
+// golden exchange.
 func TestPageShowsTheExchange(t *testing.T) {
 	golden, err := os.ReadFile("testdata/exchange")
 	if err != nil {
--- a/pkg/describer/parser.go
+++ b/pkg/describer/parser.go
@@ -7,7 +7,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// ParseSpec reads the JSON of a spec. A key that is not known is an error.
+// ParseSpec parses the JSON of a spec. An unknown key is an error.
 func ParseSpec(content []byte) (*Spec, error) {
 	decoder := json.NewDecoder(bytes.NewReader(content))
 	decoder.DisallowUnknownFields()
--- a/pkg/describer/translation.go
+++ b/pkg/describer/translation.go
@@ -8,7 +8,7 @@
 	"github.com/stoathitch/stoathitch/pkg/planner"
 )
 
-// Planned returns the spec as the planner takes it.
+// Planned converts the spec to the planner's form. A missing urgency becomes normal.
 func (spec *Spec) Planned() planner.Spec {
 	planned := planner.Spec{Team: spec.Team, Urgency: placer.UrgencyNormal, MayRun: spec.MayRun}
 	if spec.Urgency != nil {
@@ -23,7 +23,7 @@
 	return planned
 }
 
-// SpecOf returns the JSON form of a spec.
+// SpecOf returns the JSON form of a spec, nil for nil.
 func SpecOf(planned *planner.Spec) *Spec {
 	if planned == nil {
 		return nil
@@ -39,7 +39,7 @@
 	return spec
 }
 
-// PlanOf returns the JSON form of a plan.
+// PlanOf returns the JSON form of a plan, nil for nil.
 func PlanOf(plan *planner.Plan) *Plan {
 	if plan == nil {
 		return nil
