--- a/pkg/executor/acknowledged.go
+++ b/pkg/executor/acknowledged.go
@@ -8,14 +8,15 @@
 	backendv1 "github.com/stoathitch/stoathitch/pkg/protocol/backend/v1"
 )
 
-// acknowledgedKey names a submission of which an answer was acknowledged.
+// acknowledgedKey identifies a submission of which an answer was acknowledged.
 type acknowledgedKey struct {
 	cell   uint32
 	digest messenger.SubmissionDigest
 }
 
-// acknowledge forgets an answer, but not that it was given: entry hosts that know the job's
-// answer may all be lost, and its tasks would run again when the submission is sent again.
+// acknowledge deletes an answer but records that it was acknowledged: all entry hosts that
+// know the job's answer may be lost, and its tasks would run again when the submission is
+// resent.
 func (executor *Executor) acknowledge(received *backendv1.AnswerReceived) {
 	key := taskKey{submission: received.GetSubmission(), task: received.GetTask()}
 	finished, kept := executor.finished[key]
@@ -27,8 +28,9 @@
 	executor.acknowledged[acknowledgedKey{cell: finished.cell, digest: digest}] = time.Now().Add(answerRetention)
 }
 
-// acknowledgedOf lists the submissions of a cell for a lead that may miss records.
-func (executor *Executor) acknowledgedOf(cell uint32) []uint64 {
+// acknowledgedDigests lists the acknowledged submissions of a cell for a lead that may miss
+// records.
+func (executor *Executor) acknowledgedDigests(cell uint32) []uint64 {
 	var digests []uint64
 	for key := range executor.acknowledged {
 		if key.cell == cell {
--- a/pkg/executor/executor.go
+++ b/pkg/executor/executor.go
@@ -1,8 +1,7 @@
 // Package executor is a stand-in backend server and the reference of the
-// published protocol: it announces itself to entry hosts, runs tasks by sleeping
-// for the run time that their payload names, and answers with an echo. It is for
-// trying the system out and for its tests; nothing of the system runs on real
-// backend servers.
+// published protocol: it announces itself to entry hosts, runs tasks by sleeping for the run
+// time in their payload, and echoes the payload as the result. It is for trying the system out
+// and for its tests; no code of the system runs on real backend servers.
 package executor
 
 import (
@@ -17,14 +16,14 @@
 	"github.com/stoathitch/stoathitch/pkg/securer"
 )
 
-// Timing of a stand-in.
+// Intervals and retention of a stand-in.
 const (
 	heartbeatInterval = 500 * time.Millisecond
 	reconnectPause    = 100 * time.Millisecond
-	// idleHeartbeats is how many times rarer heartbeats go to an entry host that
-	// leads no cell of this server.
-	idleHeartbeats = 10
-	// answerRetention is how long an answer is kept that nobody acknowledges.
+	// idleHeartbeatRatio is how many heartbeat intervals pass between two heartbeats to an entry
+	// host that leads no cell of this server.
+	idleHeartbeatRatio = 10
+	// answerRetention is how long an unacknowledged answer is kept.
 	answerRetention = 10 * time.Minute
 )
 
@@ -35,17 +34,17 @@
 	Rack          string
 	Slots         int
 	Connections   int
-	// Resources make it a worker, which runs tasks of intents under leases and none of
-	// jobs; nil makes it a backend server for jobs.
+	// Resources make the stand-in a worker, which runs tasks of intents under leases and no
+	// tasks of jobs; nil makes it a backend server for jobs.
 	Resources *Resources
-	// UsePermille is what tasks of intents use of their declared processors and memory,
-	// in thousandths; 0 means all of it.
+	// UsePermille is the part of their declared processors and memory that tasks of intents
+	// use, in thousandths; 0 means all of it.
 	UsePermille int64
-	// EntryHosts are the addresses of the entry hosts that it knows at first.
+	// EntryHosts are the addresses of the entry hosts that it connects to at first.
 	EntryHosts []string
-	// Recorder notes each start before the work begins; nil notes nothing.
+	// Recorder records each start before the work begins; nil records nothing.
 	Recorder *Recorder
-	// Keys secure the connections; nil leaves them in the clear.
+	// Keys secure the connections; nil leaves them unencrypted.
 	Keys *securer.Keys
 	Log  *log.Logger
 
@@ -57,8 +56,8 @@
 	tasks       map[taskKey]*runningTask
 	finished    map[taskKey]*finishedTask
 	cancelled   map[taskKey]time.Time
-	// acknowledged holds until when the submissions are remembered of which answers were
-	// acknowledged.
+	// acknowledged holds the submissions of which answers were acknowledged, with the time
+	// at which each is forgotten.
 	acknowledged map[acknowledgedKey]time.Time
 	links        map[string]*link
 	leaving      bool
@@ -67,7 +66,7 @@
 	worker *worker
 }
 
-// taskKey names a task among all submissions.
+// taskKey identifies a task among all submissions.
 type taskKey struct {
 	submission string
 	task       string
@@ -86,7 +85,7 @@
 	cell     uint32
 }
 
-// Run serves until ctx is done.
+// Run connects to the entry hosts and runs tasks until ctx is done and all tasks have ended.
 func (executor *Executor) Run(ctx context.Context) {
 	executor.prepare()
 	for _, address := range executor.EntryHosts {
@@ -95,7 +94,7 @@
 	if executor.worker != nil {
 		go executor.worker.run(ctx)
 	}
-	executor.beat(ctx)
+	executor.runHeartbeats(ctx)
 	executor.running.Wait()
 }
 
@@ -114,8 +113,8 @@
 	executor.worker = newWorker(executor)
 }
 
-// beat sends heartbeats and forgets what is too old.
-func (executor *Executor) beat(ctx context.Context) {
+// runHeartbeats sends heartbeats and removes expired records until ctx is done.
+func (executor *Executor) runHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	sequence := uint64(0)
@@ -138,7 +137,7 @@
 		return
 	}
 	for _, link := range executor.links {
-		if !executor.led(link) && sequence%idleHeartbeats != 0 {
+		if !executor.isLead(link) && sequence%idleHeartbeatRatio != 0 {
 			continue
 		}
 		link.queue(&backendv1.ServerMessage{
@@ -147,8 +146,8 @@
 	}
 }
 
-// led tells whether the entry host leads a cell of this server.
-func (executor *Executor) led(link *link) bool {
+// isLead reports whether the entry host leads a cell of this server.
+func (executor *Executor) isLead(link *link) bool {
 	for _, lead := range executor.leads {
 		if lead == link {
 			return true
@@ -173,7 +172,7 @@
 	executor.forgetAcknowledged(now)
 }
 
-// Leave tells the entry hosts that the server takes no new start.
+// Leave notifies the entry hosts that the server accepts no new starts.
 func (executor *Executor) Leave() {
 	executor.mutex.Lock()
 	defer executor.mutex.Unlock()
--- a/pkg/executor/link.go
+++ b/pkg/executor/link.go
@@ -12,50 +12,49 @@
 	backendv1 "github.com/stoathitch/stoathitch/pkg/protocol/backend/v1"
 )
 
-// streamWindow is the flow-control window towards an entry host. A window that
-// gRPC sizes by itself costs a ping and its answer for nearly every message of a
-// stream that trickles.
+// streamWindow is the flow-control window towards an entry host. With a window that gRPC sizes
+// by itself, nearly every message of a low-rate stream costs a ping and its response.
 const streamWindow = 1 << 20
 
-// messageBytes is how many bytes of results one message carries.
-const messageBytes = 1 << 20
+// maxResultBytes limits the bytes of results in one message.
+const maxResultBytes = 1 << 20
 
-// link is the connection to one entry host. Its outgoing messages are gathered
-// and sent as one batch.
+// link is the connection to one entry host. Its outgoing messages are merged and sent as one
+// batch.
 type link struct {
 	address string
 	mutex   sync.Mutex
-	waiting *backendv1.ServerMessage
+	pending *backendv1.ServerMessage
 	wake    chan struct{}
 	open    bool
 }
 
-// queue adds the parts of message to the next batch. While the stream is down
-// they are dropped: the next Announce tells the same.
+// queue merges message into the next batch. While the stream is down, messages are dropped:
+// the next Announce contains the same.
 func (link *link) queue(message *backendv1.ServerMessage) {
 	link.mutex.Lock()
 	defer link.mutex.Unlock()
 	if !link.open {
 		return
 	}
-	waiting := link.waiting
-	if waiting == nil {
-		waiting = &backendv1.ServerMessage{}
-		link.waiting = waiting
+	batch := link.pending
+	if batch == nil {
+		batch = &backendv1.ServerMessage{}
+		link.pending = batch
 	}
 	if message.GetReport() != nil {
-		waiting.Report = message.GetReport()
-		// The report is complete; what was gathered before it stands in it.
-		waiting.Answers = nil
+		batch.Report = message.GetReport()
+		// The report is complete and contains the answers that were queued before it.
+		batch.Answers = nil
 	}
-	waiting.Refusals = append(waiting.Refusals, message.GetRefusals()...)
-	waiting.Answers = append(waiting.Answers, message.GetAnswers()...)
+	batch.Refusals = append(batch.Refusals, message.GetRefusals()...)
+	batch.Answers = append(batch.Answers, message.GetAnswers()...)
 	if message.GetHeartbeat() != nil {
-		waiting.Heartbeat = message.GetHeartbeat()
-		waiting.Usages = message.GetUsages()
+		batch.Heartbeat = message.GetHeartbeat()
+		batch.Usages = message.GetUsages()
 	}
 	if message.GetLeaving() != nil {
-		waiting.Leaving = message.GetLeaving()
+		batch.Leaving = message.GetLeaving()
 	}
 	select {
 	case link.wake <- struct{}{}:
@@ -63,22 +62,22 @@
 	}
 }
 
-func (link *link) take() *backendv1.ServerMessage {
+func (link *link) takePending() *backendv1.ServerMessage {
 	link.mutex.Lock()
 	defer link.mutex.Unlock()
-	taken := link.waiting
-	link.waiting = nil
-	return taken
+	batch := link.pending
+	link.pending = nil
+	return batch
 }
 
 func (link *link) setOpen(open bool) {
 	link.mutex.Lock()
 	defer link.mutex.Unlock()
 	link.open = open
-	link.waiting = nil
+	link.pending = nil
 }
 
-// attach keeps a stream to an entry host, unless there is one already.
+// attach starts to maintain a stream to an entry host, unless there is one already.
 func (executor *Executor) attach(ctx context.Context, address string) {
 	executor.mutex.Lock()
 	defer executor.mutex.Unlock()
@@ -87,14 +86,14 @@
 	}
 	created := &link{address: address, wake: make(chan struct{}, 1)}
 	executor.links[address] = created
-	go executor.keep(ctx, created)
+	go executor.maintainStream(ctx, created)
 }
 
-func (executor *Executor) keep(ctx context.Context, link *link) {
+func (executor *Executor) maintainStream(ctx context.Context, link *link) {
 	connection, err := grpc.NewClient(link.address,
 		grpc.WithTransportCredentials(executor.credentials()),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(receivedBytes)),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: probeInterval, Timeout: probeTimeout}),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxReceivedBytes)),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
 		grpc.WithStaticStreamWindowSize(streamWindow),
 		grpc.WithStaticConnWindowSize(streamWindow),
 		grpc.WithConnectParams(grpc.ConnectParams{
@@ -116,9 +115,8 @@
 	}
 }
 
-// serve runs one stream from its Announce to its end. Nothing of an ended stream
-// is read once the next one opens, so a start can't arrive after an Announce that
-// does not list it.
+// serve runs one stream from its Announce to its end. Nothing of an ended stream is read once
+// the next one opens, so a start can't arrive after an Announce that does not list it.
 func (executor *Executor) serve(ctx context.Context, connection *grpc.ClientConn, link *link) error {
 	streamContext, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -152,11 +150,11 @@
 			return
 		case <-link.wake:
 		}
-		message := link.take()
+		message := link.takePending()
 		if message == nil {
 			continue
 		}
-		for _, part := range split(message) {
+		for _, part := range splitAnswers(message) {
 			if stream.Send(part) != nil {
 				return
 			}
@@ -164,25 +162,26 @@
 	}
 }
 
-// split keeps the answers of one message under messageBytes, where there is more
-// than one: an entry host refuses a message of over 64 MiB and ends the stream.
-func split(message *backendv1.ServerMessage) []*backendv1.ServerMessage {
+// splitAnswers splits a message so that the answers of each part stay under maxResultBytes,
+// unless a single answer is larger: an entry host refuses a message of over 64 MiB and ends the
+// stream.
+func splitAnswers(message *backendv1.ServerMessage) []*backendv1.ServerMessage {
 	parts := []*backendv1.ServerMessage{message}
 	answers := message.GetAnswers()
-	begun, size := 0, 0
+	firstAnswer, size := 0, 0
 	for index, answer := range answers {
 		size += len(answer.GetResult())
-		if size > messageBytes && index > begun {
-			parts[len(parts)-1].Answers = answers[begun:index]
+		if size > maxResultBytes && index > firstAnswer {
+			parts[len(parts)-1].Answers = answers[firstAnswer:index]
 			parts = append(parts, &backendv1.ServerMessage{})
-			begun, size = index, len(answer.GetResult())
+			firstAnswer, size = index, len(answer.GetResult())
 		}
 	}
-	parts[len(parts)-1].Answers = answers[begun:]
+	parts[len(parts)-1].Answers = answers[firstAnswer:]
 	return parts
 }
 
-// announce opens the link and tells the complete state of the server.
+// announce opens the link and returns the complete state of the server.
 func (executor *Executor) announce(link *link) *backendv1.Announce {
 	executor.mutex.Lock()
 	defer executor.mutex.Unlock()
--- a/pkg/executor/recorder.go
+++ b/pkg/executor/recorder.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Recorder writes one JSON line for each start, so that others can check what
+// Recorder writes one JSON line for each start, so that it can be checked which tasks
 // really started. It is safe for concurrent use.
 type Recorder struct {
 	Writer io.Writer
@@ -24,8 +24,8 @@
 	Task          string    `json:"task"`
 }
 
-// Record writes the line of one start. It panics when the line can't be written:
-// a record with gaps would prove nothing.
+// Record writes the line of one start. It panics when the line can't be written: a record
+// with gaps would prove nothing.
 func (recorder *Recorder) Record(backendServer, submission, job, task string) {
 	line, err := json.Marshal(startRecord{
 		At: time.Now(), BackendServer: backendServer, Submission: submission, Job: job, Task: task,
--- a/pkg/executor/securing.go
+++ b/pkg/executor/securing.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// receivedBytes is the largest message that is received; gRPC's own bound of 4 MiB
-	// is less than a tick's starts may have.
-	receivedBytes = 64 << 20
-	// probeInterval is the silence after which an entry host is probed. Entry hosts
-	// bear probes that are at least 5s apart.
-	probeInterval = 10 * time.Second
-	probeTimeout  = 5 * time.Second
+	// maxReceivedBytes is the size of the largest message that is accepted; the starts of one
+	// tick may exceed gRPC's default limit of 4 MiB.
+	maxReceivedBytes = 64 << 20
+	// keepaliveInterval is how long an entry host may send nothing before it is pinged. Entry
+	// hosts accept pings that are at least 5s apart.
+	keepaliveInterval = 10 * time.Second
+	keepaliveTimeout  = 5 * time.Second
 )
 
-// credentials secure a connection. The other side must be a host of the own
-// failure domain: it tells this server what to run.
+// credentials returns the transport credentials of a connection. The peer must be a host of
+// the server's own failure domain, because it decides what this server runs.
 func (executor *Executor) credentials() credentials.TransportCredentials {
 	if executor.Keys == nil {
 		return insecure.NewCredentials()
--- a/pkg/executor/tasks.go
+++ b/pkg/executor/tasks.go
@@ -8,14 +8,14 @@
 	backendv1 "github.com/stoathitch/stoathitch/pkg/protocol/backend/v1"
 )
 
-// payload is what the stand-in reads of a task's payload.
+// payload holds the fields of a task's payload that the stand-in uses.
 type payload struct {
 	RunTime string `json:"run-time"`
 	// Fail makes the task fail with this reason after its run time.
 	Fail string `json:"fail"`
 }
 
-// handle applies one batch of an entry host in the order of the protocol.
+// handle applies one batch from an entry host in the order that the protocol defines.
 func (executor *Executor) handle(link *link, message *backendv1.HostMessage) {
 	executor.mutex.Lock()
 	defer executor.mutex.Unlock()
@@ -41,8 +41,8 @@
 	}
 }
 
-// acceptLead raises the cell's epoch and reports all tasks of the cell. A lead
-// with a lower epoch learns of the higher one from the report.
+// acceptLead raises the cell's epoch and reports all tasks of the cell. A lead with
+// a lower epoch learns the higher one from the report.
 func (executor *Executor) acceptLead(link *link, lead *backendv1.Lead) {
 	cell := lead.GetCell()
 	if lead.GetEpoch() >= executor.epochs[cell] {
@@ -61,7 +61,7 @@
 		}
 	}
 	if lead.GetMayMissRecords() {
-		report.Acknowledged, report.TellsAcknowledged = executor.acknowledgedOf(cell), true
+		report.Acknowledged, report.TellsAcknowledged = executor.acknowledgedDigests(cell), true
 	}
 	link.queue(&backendv1.ServerMessage{Report: report})
 }
@@ -87,10 +87,10 @@
 		executor.Recorder.Record(executor.Name, start.GetSubmission(), start.GetJob(), start.GetTask())
 	}
 	executor.running.Add(1)
-	go executor.work(ctx, key, start)
+	go executor.runTask(ctx, key, start)
 }
 
-// refusal tells why a start can't be accepted, or unspecified when it can.
+// refusal returns why a start can't be accepted, or unspecified when it can.
 func (executor *Executor) refusal(key taskKey, start *backendv1.Start) backendv1.RefusalKind {
 	switch {
 	case start.GetEpoch() < executor.epochs[start.GetCell()]:
@@ -120,10 +120,10 @@
 	executor.cancelled[key] = time.Now().Add(answerRetention)
 }
 
-// work sleeps for the task's run time and answers with an echo.
-func (executor *Executor) work(ctx context.Context, key taskKey, start *backendv1.Start) {
+// runTask sleeps for the task's run time and echoes the payload as the result.
+func (executor *Executor) runTask(ctx context.Context, key taskKey, start *backendv1.Start) {
 	defer executor.running.Done()
-	begun := time.Now()
+	startedAt := time.Now()
 	wanted := parsePayload(start.GetPayload())
 	answer := &backendv1.Answer{Submission: key.submission, Task: key.task, Cell: start.GetCell()}
 	runTime, err := time.ParseDuration(wanted.RunTime)
@@ -144,20 +144,20 @@
 		answer.Failed = true
 		answer.Reason = wanted.Fail
 	}
-	answer.RunNanos = int64(time.Since(begun))
+	answer.RunNanos = int64(time.Since(startedAt))
 	executor.finish(key, start.GetCell(), answer)
 }
 
 func parsePayload(content []byte) payload {
 	var parsed payload
 	if err := json.Unmarshal(content, &parsed); err != nil {
-		// Any payload is legal; one that names no run time takes none.
+		// Any payload is valid; one without a run time ends at once.
 		return payload{}
 	}
 	return parsed
 }
 
-// finish keeps the answer and sends it to the lead with the highest epoch.
+// finish stores the answer and sends it to the lead with the highest epoch.
 func (executor *Executor) finish(key taskKey, cell uint32, answer *backendv1.Answer) {
 	executor.mutex.Lock()
 	defer executor.mutex.Unlock()
--- a/pkg/executor/worker.go
+++ b/pkg/executor/worker.go
@@ -11,18 +11,18 @@
 	backendv1 "github.com/stoathitch/stoathitch/pkg/protocol/backend/v1"
 )
 
-// Timing of a worker.
+// Intervals and lease parameters of a worker.
 const (
-	workerHeartbeat = 3 * time.Second
-	// leaseCheck is the time between two looks at the leases. It is a small part of
-	// leaseDrift, by which a task stops before anybody else may run it.
-	leaseCheck = 100 * time.Millisecond
-	leaseDrift = time.Second
-	leaseBase  = 10
-	permille   = 1000
+	workerHeartbeatInterval = 3 * time.Second
+	// leaseCheckInterval is the time between two checks of the leases. It is a small fraction of
+	// leaseDrift, the time by which a task stops before any other worker may run it.
+	leaseCheckInterval = 100 * time.Millisecond
+	leaseDrift         = time.Second
+	leaseBase          = 10
+	permille           = 1000
 )
 
-// Resources are what a worker offers.
+// Resources are the resources that a worker offers to tasks.
 type Resources struct {
 	MilliCPU     int64
 	MemoryBytes  int64
@@ -36,11 +36,11 @@
 	holder   *leaser.Holder
 	epoch    uint64
 	tasks    map[string]*leasedTask
-	// ended holds answers and refusals by lease until the driver acknowledges them.
-	ended map[string]*backendv1.ServerMessage
-	// saved is how much of a task its checkpoint holds. A real worker would keep
-	// checkpoints where the others find them.
-	saved map[string]time.Duration
+	// unacknowledged holds answers and refusals by lease until the driver acknowledges them.
+	unacknowledged map[string]*backendv1.ServerMessage
+	// checkpoints holds the completed run time of each task's checkpoint. A real worker would
+	// store checkpoints where other workers can read them.
+	checkpoints map[string]time.Duration
 }
 
 // leasedTask is a task that runs under a lease.
@@ -50,7 +50,7 @@
 	lease     string
 	declared  *backendv1.Resources
 	startedAt time.Time
-	done      time.Duration
+	completed time.Duration
 	throttled bool
 	timer     *time.Timer
 }
@@ -60,40 +60,40 @@
 		return nil
 	}
 	return &worker{
-		executor: executor,
-		holder:   &leaser.Holder{Drift: leaseDrift},
-		tasks:    make(map[string]*leasedTask),
-		ended:    make(map[string]*backendv1.ServerMessage),
-		saved:    make(map[string]time.Duration),
+		executor:       executor,
+		holder:         &leaser.Holder{Drift: leaseDrift},
+		tasks:          make(map[string]*leasedTask),
+		unacknowledged: make(map[string]*backendv1.ServerMessage),
+		checkpoints:    make(map[string]time.Duration),
 	}
 }
 
-// now reads the worker's own clock.
+// now returns the time on the worker's own clock, which starts with the executor.
 func (worker *worker) now() identifier.Moment {
 	return identifier.Moment(time.Since(worker.executor.startedAt)) + 1
 }
 
-// run stops tasks whose lease is over and sends heartbeats.
+// run stops tasks whose lease has expired and sends heartbeats.
 func (worker *worker) run(ctx context.Context) {
-	check := time.NewTicker(leaseCheck)
+	check := time.NewTicker(leaseCheckInterval)
 	defer check.Stop()
-	beat := time.NewTicker(workerHeartbeat)
+	beat := time.NewTicker(workerHeartbeatInterval)
 	defer beat.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			worker.die()
+			worker.stopAll()
 			return
 		case <-check.C:
 			worker.stopOverdue()
 		case <-beat.C:
-			worker.beat()
+			worker.sendHeartbeat()
 		}
 	}
 }
 
-// die ends all tasks with the process.
-func (worker *worker) die() {
+// stopAll ends all tasks without answers when the process stops.
+func (worker *worker) stopAll() {
 	worker.executor.mutex.Lock()
 	defer worker.executor.mutex.Unlock()
 	for _, task := range worker.tasks {
@@ -112,9 +112,9 @@
 	}
 }
 
-// beat tells every entry host what runs and what it uses, and repeats the ends that
-// nobody has acknowledged.
-func (worker *worker) beat() {
+// sendHeartbeat sends every entry host the running tasks and their usage, and resends the
+// unacknowledged answers and refusals.
+func (worker *worker) sendHeartbeat() {
 	worker.executor.mutex.Lock()
 	defer worker.executor.mutex.Unlock()
 	message := &backendv1.ServerMessage{Heartbeat: &backendv1.Heartbeat{
@@ -123,14 +123,14 @@
 	for _, task := range worker.tasks {
 		message.Usages = append(message.Usages, worker.usage(task))
 	}
-	for _, ended := range worker.ended {
+	for _, ended := range worker.unacknowledged {
 		message.Answers = append(message.Answers, ended.GetAnswers()...)
 		message.Refusals = append(message.Refusals, ended.GetRefusals()...)
 	}
-	worker.tell(message)
+	worker.broadcast(message)
 }
 
-func (worker *worker) tell(message *backendv1.ServerMessage) {
+func (worker *worker) broadcast(message *backendv1.ServerMessage) {
 	for _, link := range worker.executor.links {
 		link.queue(message)
 	}
@@ -144,8 +144,8 @@
 	return leases
 }
 
-// usage is what a stand-in claims to use. A throttled task keeps to the processors
-// that it declared; its memory can't be throttled.
+// usage returns the simulated usage of a task. A throttled task uses no more processors than
+// it declared; its memory can't be throttled.
 func (worker *worker) usage(task *leasedTask) *backendv1.Usage {
 	used := cmp.Or(worker.executor.UsePermille, permille)
 	declared := task.declared
@@ -166,12 +166,12 @@
 	}
 	announce.ReadingNanos = int64(worker.now())
 	announce.Leases = worker.leases()
-	for _, ended := range worker.ended {
+	for _, ended := range worker.unacknowledged {
 		announce.Unacknowledged = append(announce.Unacknowledged, ended.GetAnswers()...)
 	}
 }
 
-// handle applies one batch of the driver. What a former driver sends is passed over.
+// handle applies one batch from the driver. Messages of a former driver are ignored.
 func (worker *worker) handle(message *backendv1.HostMessage) {
 	renewal := message.GetRenewal()
 	if renewal == nil || renewal.GetEpoch() < worker.epoch {
@@ -180,22 +180,22 @@
 	worker.epoch = renewal.GetEpoch()
 	worker.holder.RaiseEpoch(identifier.Epoch(worker.epoch))
 	for _, renewed := range renewal.GetRenewals() {
-		// A lease that can't be prolonged ends by itself, as the driver assumes.
+		// A lease that can't be renewed expires by itself, as the driver assumes.
 		_ = worker.holder.Renew(worker.now(), grantOf(renewed.GetTask(), renewed.GetLease(), renewed.GetEchoNanos(), renewed.GetLeaseNanos()))
 	}
 	for _, cancel := range message.GetCancels() {
-		worker.obey(cancel)
+		worker.applyCancel(cancel)
 	}
 	for _, start := range message.GetStarts() {
 		worker.start(start)
 	}
 	for _, received := range message.GetReceived() {
-		delete(worker.ended, received.GetLease())
+		delete(worker.unacknowledged, received.GetLease())
 	}
 }
 
 func grantOf(task, lease string, echo, length int64) leaser.Grant {
-	// A lease that can't be read is 0, which is below all others and so is refused.
+	// A lease that can't be parsed becomes 0, which is below all others and so is refused.
 	number, _ := strconv.ParseUint(lease, leaseBase, 64)
 	return leaser.Grant{
 		Task: identifier.TaskID(task), Number: leaser.Number(number), Echo: leaser.HolderMoment(echo), Length: time.Duration(length),
@@ -213,13 +213,13 @@
 		declared: start.GetDeclared(), startedAt: time.Now(),
 	}
 	if start.GetResume() {
-		task.done = worker.saved[task.task]
+		task.completed = worker.checkpoints[task.task]
 	}
 	worker.tasks[task.task] = task
 	if worker.executor.Recorder != nil {
 		worker.executor.Recorder.Record(worker.executor.Name, task.intent, task.intent, task.task)
 	}
-	left := max(time.Duration(start.GetRunNanos())-task.done, 0)
+	left := max(time.Duration(start.GetRunNanos())-task.completed, 0)
 	task.timer = time.AfterFunc(left, func() { worker.finish(task) })
 }
 
@@ -228,11 +228,12 @@
 		Submission: start.GetSubmission(), Task: start.GetTask(), Lease: start.GetLease(),
 		Kind: backendv1.RefusalKind_REFUSAL_KIND_STALE_EPOCH,
 	}}}
-	worker.ended[start.GetLease()] = refused
-	worker.tell(refused)
+	worker.unacknowledged[start.GetLease()] = refused
+	worker.broadcast(refused)
 }
 
-// finish ends a task whose run time is over, unless it was stopped before.
+// finish ends a task whose run time is over, unless it was stopped before or its lease has
+// expired.
 func (worker *worker) finish(task *leasedTask) {
 	worker.executor.mutex.Lock()
 	defer worker.executor.mutex.Unlock()
@@ -241,8 +242,8 @@
 	}
 }
 
-// obey carries out an order on the run that it names.
-func (worker *worker) obey(order *backendv1.Cancel) {
+// applyCancel carries out a cancel, throttle or checkpoint order on the run that it names.
+func (worker *worker) applyCancel(order *backendv1.Cancel) {
 	task := worker.tasks[order.GetTask()]
 	if task == nil || task.lease != order.GetLease() {
 		return
@@ -251,14 +252,15 @@
 	case backendv1.CancelKind_CANCEL_KIND_THROTTLE:
 		task.throttled = true
 	case backendv1.CancelKind_CANCEL_KIND_CHECKPOINT:
-		worker.saved[task.task] = task.done + time.Since(task.startedAt)
+		worker.checkpoints[task.task] = task.completed + time.Since(task.startedAt)
 		worker.end(task, &backendv1.Answer{Checkpointed: true, Reason: order.GetReason()})
 	default:
 		worker.end(task, &backendv1.Answer{Cancelled: true, Reason: order.GetReason()})
 	}
 }
 
-// end frees the room of a task and tells how it ended until that is acknowledged.
+// end releases the lease of a task and sends its answer, which is repeated until it is
+// acknowledged.
 func (worker *worker) end(task *leasedTask, answer *backendv1.Answer) {
 	task.timer.Stop()
 	worker.holder.Release(identifier.TaskID(task.task))
@@ -268,6 +270,6 @@
 	answer.Lease = task.lease
 	answer.RunNanos = int64(time.Since(task.startedAt))
 	ended := &backendv1.ServerMessage{Answers: []*backendv1.Answer{answer}}
-	worker.ended[task.lease] = ended
-	worker.tell(ended)
+	worker.unacknowledged[task.lease] = ended
+	worker.broadcast(ended)
 }
