--- a/pkg/receiver/handlers.go
+++ b/pkg/receiver/handlers.go
@@ -74,7 +74,7 @@
 // stays false: the job may resend a submission that ran, and no lead has been queried about it.
 func (receiver *Receiver) refuseQueueFull(job *messenger.Job) *messenger.JobAnswer {
 	answer := messenger.RefuseUnknown(job.Submission, messenger.ReasonQueueFull,
-		"the jobs waiting on this entry host use all the memory reserved for waiting jobs; this request started nothing")
+		"the jobs that wait on this entry host have all memory that is meant for them; this sending started nothing")
 	answer.RetryAfter = queueFullRetryAfter
 	return answer
 }
