--- a/pkg/logwriter/line.go
+++ b/pkg/logwriter/line.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// TimeFormat is that of all lines of a process, so that they sort by time.
+// TimeFormat is the time format of all log lines of a process; lines sort by time.
 const TimeFormat = "2006-01-02T15:04:05.000000Z07:00"
 
-// Line builds one line of key=value pairs. Strings are quoted where they must be.
+// Line builds one line of key=value pairs. Strings are quoted only where needed.
 type Line struct{ buffer []byte }
 
-// Begin starts a line with its time, level and message.
+// Begin appends the time, level and message of a new line to buffer.
 func Begin(buffer []byte, now time.Time, level, message string) Line {
 	buffer = append(buffer, "time="...)
 	buffer = now.AppendFormat(buffer, TimeFormat)
@@ -20,7 +20,7 @@
 	return line.Text("level", level).Text("msg", message)
 }
 
-// Text adds a string.
+// Text appends a string, quoted if it contains a blank, a quote, an equals sign or a line break.
 func (line Line) Text(key, value string) Line {
 	line.buffer = line.key(key)
 	if strings.ContainsAny(value, " \"=\n\r\t") {
@@ -31,19 +31,19 @@
 	return line
 }
 
-// Number adds a whole number.
+// Number appends an integer in decimal.
 func (line Line) Number(key string, value int64) Line {
 	line.buffer = strconv.AppendInt(line.key(key), value, 10)
 	return line
 }
 
-// Duration adds a duration.
+// Duration appends a duration in the format of time.Duration.String, such as 1.5s.
 func (line Line) Duration(key string, value time.Duration) Line {
 	line.buffer = append(line.key(key), value.String()...)
 	return line
 }
 
-// End returns the buffer with the whole line.
+// End returns the buffer with the line and its line break.
 func (line Line) End() []byte { return append(line.buffer, '\n') }
 
 func (line Line) key(key string) []byte {
@@ -52,6 +52,6 @@
 	return append(buffer, '=')
 }
 
-func appendLeftOut(buffer []byte, now time.Time, kind Kind, lines int) []byte {
+func appendDroppedCount(buffer []byte, now time.Time, kind Kind, lines int) []byte {
 	return Begin(buffer, now, "warn", "lines-left-out").Text("kind", string(kind)).Number("lines", int64(lines)).End()
 }
--- a/pkg/logwriter/logwriter.go
+++ b/pkg/logwriter/logwriter.go
@@ -1,7 +1,7 @@
-// Package logwriter writes log lines without ever holding up who logs. Lines wait in
-// memory of bounded size; what finds no room, or is over the budget of its kind, is
-// left out, counted and said so later. Lines on requests that failed have a budget and
-// room of their own, since those are the ones that somebody will ask for.
+// Package logwriter writes log lines asynchronously, so that logging never blocks. Lines
+// are buffered in a bounded amount of memory. Lines that exceed the buffer or the budget
+// of their kind are dropped, and a later line reports how many. Lines about failed
+// requests have a larger budget and reserved buffer space, since operators look for them.
 package logwriter
 
 import (
@@ -13,100 +13,101 @@
 	"github.com/stoathitch/stoathitch/pkg/tabulator"
 )
 
-// Limits of what is written and of what waits.
+// Limits on the lines written and buffered.
 const (
-	// linesPerKind is how many lines of one kind are written in a second: a busy lead
-	// decides on about 300 jobs a second, so that an ordinary second is written whole.
+	// linesPerKind is the number of lines of one kind written per second. A busy lead
+	// decides on about 300 jobs a second, so nothing is dropped under ordinary load.
 	linesPerKind = 600
-	// failedLinesPerKind is the same for lines on failed requests. A burst of ten times
-	// the usual load can turn away 3,000 jobs in a second at one host.
+	// failedLinesPerKind is the same for lines about failed requests. A burst of ten
+	// times the usual load can make one host reject 3,000 jobs in a second.
 	failedLinesPerKind = 3000
-	// waitingBytes bounds the lines that wait: about 5,000 lines of 200 bytes.
-	waitingBytes = 1 << 20
-	// reservedBytes of these are for lines on failed requests.
-	reservedBytes = waitingBytes / 2
-	// budgetInterval is how often budgets are filled and left-out lines are told.
+	// pendingBytes bounds the buffered lines: about 5,000 lines of 200 bytes.
+	pendingBytes = 1 << 20
+	// reservedBytes is the part of pendingBytes reserved for lines about failed requests.
+	reservedBytes = pendingBytes / 2
+	// budgetInterval is how often budgets are reset and dropped lines are reported.
 	budgetInterval = time.Second
 )
 
-// Kind names what a line is about, for its budget.
+// Kind is the kind of event that a line is about; each kind has a budget of its own.
 type Kind string
 
-// Writer writes lines to Out. Set the exported fields before Run.
+// Writer buffers lines and writes them to Out. Set the exported fields before Run.
 type Writer struct {
 	Out io.Writer
-	// Now returns the time for lines about what was left out.
+	// Now returns the current time, for budgets and for lines about dropped lines.
 	Now func() time.Time
 
-	mutex    sync.Mutex
-	waiting  []byte
-	spare    []byte
-	budgets  *tabulator.Table[Kind, budget]
-	filledAt time.Time
-	wake     chan struct{}
+	mutex      sync.Mutex
+	pending    []byte
+	spare      []byte
+	budgets    *tabulator.Table[Kind, budget]
+	refilledAt time.Time
+	wake       chan struct{}
 }
 
-// budget is what one kind may still write in the present second.
+// budget counts the lines of one kind written and dropped in the current interval.
 type budget struct {
 	written, leftOut int
 }
 
-// Prepare makes the writer usable before Run.
+// Prepare initialises the writer. Call it before Run and before the first line.
 func (writer *Writer) Prepare() {
 	writer.wake = make(chan struct{}, 1)
 	writer.budgets = tabulator.New[Kind, budget]()
 }
 
-// Write queues a line that has no kind, as from a general logger.
+// Write queues a line without a kind, with the budget of failed requests. It lets the
+// writer serve as the output of a general logger.
 func (writer *Writer) Write(line []byte) (int, error) {
 	writer.Line("", true, func(buffer []byte) []byte { return append(buffer, line...) })
 	return len(line), nil
 }
 
-// Line queues one line, which appending adds to a buffer with its line break. It never
-// waits for the output.
+// Line queues one line, which appending adds to the buffer with its line break. It never
+// waits for the output. It drops the line if the budget is spent or the buffer is full.
 func (writer *Writer) Line(kind Kind, failed bool, appending func(buffer []byte) []byte) {
 	writer.mutex.Lock()
 	defer writer.mutex.Unlock()
-	writer.fill()
+	writer.refillBudgets()
 	spent := writer.budgets.Get(kind)
 	if spent == nil {
 		spent = &budget{}
 		writer.budgets.Put(kind, spent)
 	}
-	lines, room := linesPerKind, waitingBytes-reservedBytes
+	lines, limit := linesPerKind, pendingBytes-reservedBytes
 	if failed {
-		lines, room = failedLinesPerKind, waitingBytes
+		lines, limit = failedLinesPerKind, pendingBytes
 	}
-	if spent.written >= lines || len(writer.waiting) >= room {
+	if spent.written >= lines || len(writer.pending) >= limit {
 		spent.leftOut++
 		return
 	}
 	spent.written++
-	writer.waiting = appending(writer.waiting)
+	writer.pending = appending(writer.pending)
 	select {
 	case writer.wake <- struct{}{}:
 	default:
 	}
 }
 
-// fill starts a new second of the budgets and tells what the last one left out.
-func (writer *Writer) fill() {
+// refillBudgets resets the budgets once per budgetInterval and reports the lines dropped since.
+func (writer *Writer) refillBudgets() {
 	now := writer.Now()
-	if now.Sub(writer.filledAt) < budgetInterval {
+	if now.Sub(writer.refilledAt) < budgetInterval {
 		return
 	}
-	writer.filledAt = now
+	writer.refilledAt = now
 	writer.budgets.Each(func(kind Kind, spent *budget) bool {
 		if spent.leftOut > 0 {
-			writer.waiting = appendLeftOut(writer.waiting, now, kind, spent.leftOut)
+			writer.pending = appendDroppedCount(writer.pending, now, kind, spent.leftOut)
 		}
 		*spent = budget{}
 		return true
 	})
 }
 
-// Run writes what waits until ctx is done, and then what is left.
+// Run writes queued lines until ctx is done, then writes the remaining ones and returns.
 func (writer *Writer) Run(ctx context.Context) {
 	for {
 		select {
@@ -119,15 +120,15 @@
 	}
 }
 
-// flush writes all lines that wait at once.
+// flush writes all queued lines in one call.
 func (writer *Writer) flush() {
 	writer.mutex.Lock()
-	lines := writer.waiting
-	writer.waiting = writer.spare[:0]
+	lines := writer.pending
+	writer.pending = writer.spare[:0]
 	writer.spare = nil
 	writer.mutex.Unlock()
 	if len(lines) > 0 {
-		// Nobody could be told of an output that fails.
+		// There is nowhere to report that the log output itself failed.
 		_, _ = writer.Out.Write(lines)
 	}
 	writer.mutex.Lock()
--- a/pkg/logwriter/logwriter_test.go
+++ b/pkg/logwriter/logwriter_test.go
@@ -13,7 +13,7 @@
 	"github.com/stoathitch/stoathitch/pkg/logwriter"
 )
 
-// clock is a time that the tests move.
+// clock is a manual clock.
 type clock struct{ now time.Time }
 
 func (clock *clock) read() time.Time { return clock.now }
@@ -24,25 +24,25 @@
 	return writer
 }
 
-func note(writer *logwriter.Writer, clock *clock, kind string, failed bool) {
+func writeLine(writer *logwriter.Writer, clock *clock, kind string, failed bool) {
 	writer.Line(logwriter.Kind(kind), failed, func(buffer []byte) []byte {
 		return logwriter.Begin(buffer, clock.now, "info", kind).Text("job", "j 1").Duration("elapsed", time.Second).End()
 	})
 }
 
-func written(writer *logwriter.Writer) {
+func flush(writer *logwriter.Writer) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	writer.Run(ctx)
 }
 
-// TestLinesCanBeParsedBack reads what was written with a common parser.
+// TestLinesCanBeParsedBack reads a written line with a logfmt parser.
 func TestLinesCanBeParsedBack(t *testing.T) {
 	var out bytes.Buffer
 	clock := &clock{now: time.Unix(1, 0).UTC()}
 	writer := newWriter(&out, clock)
-	note(writer, clock, "arrived", false)
-	written(writer)
+	writeLine(writer, clock, "arrived", false)
+	flush(writer)
 	decoder := logfmt.NewDecoder(&out)
 	got := map[string]string{}
 	for decoder.ScanRecord() {
@@ -61,10 +61,9 @@
 	}
 }
 
-// Symptom: a host answers nothing for as long as nobody reads its log.
-// Sequence: the reader of the log stops reading, the pipe fills, and the next line
-// waits for it.
-// Cause: lines were written by who logs.
+// Guards against a host that stops answering while nobody reads its log. The reader of the
+// log stops reading, the pipe fills, and the next write blocks. This happened when each
+// line was written by the goroutine that logged it.
 func TestStalledReaderHoldsNobodyUp(t *testing.T) {
 	reader, out := io.Pipe()
 	defer func() { _ = reader.Close() }()
@@ -79,38 +78,38 @@
 	for second := range 50 {
 		clock.now = clock.now.Add(time.Second)
 		for range 1000 {
-			note(writer, clock, "granted", second%2 == 0)
+			writeLine(writer, clock, "granted", second%2 == 0)
 		}
 	}
-	// All of it was taken although nothing was read. What is left of it is bounded.
+	// No call blocked although nothing was read. The buffered rest is bounded.
 	_ = reader.Close()
 	cancel()
 	<-ended
 }
 
-// TestFailedRequestsGoFirst floods the log with lines on good requests: those on failed
-// ones are still written, and what was left out is said.
+// TestFailedRequestsGoFirst floods the log with lines about successful requests. A line
+// about a failed request is still written, and the number of dropped lines is logged.
 func TestFailedRequestsGoFirst(t *testing.T) {
 	var out bytes.Buffer
 	clock := &clock{now: time.Unix(1, 0)}
 	writer := newWriter(&out, clock)
 	for range 20_000 {
-		note(writer, clock, "granted", false)
+		writeLine(writer, clock, "granted", false)
 	}
-	note(writer, clock, "turned-away", true)
+	writeLine(writer, clock, "turned-away", true)
 	clock.now = clock.now.Add(time.Second)
-	note(writer, clock, "granted", false)
-	written(writer)
+	writeLine(writer, clock, "granted", false)
+	flush(writer)
 	text := out.String()
 	if !strings.Contains(text, "msg=turned-away") {
 		t.Error("the line on the failed request is missing")
 	}
 	if !strings.Contains(text, "msg=lines-left-out kind=granted lines=19400") {
-		t.Error("it is not said how many lines were left out")
+		t.Error("the number of dropped lines is not logged")
 	}
 }
 
-// BenchmarkLine gives the cost of one line to who logs.
+// BenchmarkLine measures the cost of one line to the logging goroutine.
 func BenchmarkLine(b *testing.B) {
 	clock := &clock{now: time.Unix(1, 0)}
 	writer := newWriter(io.Discard, clock)
@@ -120,6 +119,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		clock.now = clock.now.Add(time.Millisecond * 5)
-		note(writer, clock, "granted", false)
+		writeLine(writer, clock, "granted", false)
 	}
 }
--- a/pkg/logwriter/pacer.go
+++ b/pkg/logwriter/pacer.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// pacerInterval is the least time between two lines that a Pacer lets through.
+// pacerInterval is the minimum time between two lines that a Pacer admits.
 const pacerInterval = time.Second
 
-// Pacer keeps lines down that others cause from outside: one who is refused, or sends
-// what can't be read, mostly tries again at once and would fill the log. The zero value
-// is ready to use.
+// Pacer limits the rate of log lines caused by remote peers. A peer that is refused, or
+// that sends unreadable data, usually retries at once and would fill the log. The zero
+// value is ready to use.
 type Pacer struct {
 	mutex   sync.Mutex
 	nextAt  time.Time
 	leftOut int
 }
 
-// Admit tells whether a line may be written now, and how many were left out since the
-// last one.
+// Admit reports whether a line may be written now and, if so, how many were dropped since
+// the last admitted line.
 func (pacer *Pacer) Admit(now time.Time) (leftOut int, admitted bool) {
 	pacer.mutex.Lock()
 	defer pacer.mutex.Unlock()
--- a/pkg/logwriter/pacer_test.go
+++ b/pkg/logwriter/pacer_test.go
@@ -7,8 +7,8 @@
 	"github.com/stoathitch/stoathitch/pkg/logwriter"
 )
 
-// TestPacerLeavesLinesOut sends a flood of lines: one a second passes, and tells how many
-// did not.
+// TestPacerLeavesLinesOut requests 1,000 lines a second: one a second is admitted, with the
+// number of lines dropped before it.
 func TestPacerLeavesLinesOut(t *testing.T) {
 	var pacer logwriter.Pacer
 	start := time.Unix(1000, 0)
