--- a/pkg/explainer/explainer.go
+++ b/pkg/explainer/explainer.go
@@ -1,6 +1,6 @@
-// Package explainer keeps a bounded record of what was decided about submissions,
-// so that an operator can ask why each task went where it went. It is pure, and
-// noting a step allocates nothing.
+// Package explainer keeps a bounded record of the decisions about submissions, so that
+// an operator can query why each task was placed where it was. It does no I/O and reads
+// no clock, and recording a step allocates nothing once the record is full.
 package explainer
 
 import (
@@ -9,37 +9,37 @@
 
 //go:generate enumer -type=Kind -trimprefix=Kind -transform=kebab -text
 
-// Kind tells what happened in a step.
+// Kind is the kind of event that a step records.
 type Kind int
 
 // The kinds of steps.
 const (
-	// KindArrived means that the lead took the job; Detail names the host of its
+	// KindArrived means that the lead accepted the job; Detail names the host of its
 	// caller.
 	KindArrived Kind = iota
-	// KindResent means that the submission came again and waits for the one answer.
+	// KindResent means that the submission was resent and waits for the same answer.
 	KindResent
-	// KindClaimWanted means that the claim of a not-repeatable job was asked for.
+	// KindClaimWanted means that the claim of a not-repeatable job was requested.
 	KindClaimWanted
-	// KindSpilled means that the job was handed to another failure domain's lead,
-	// which Detail names.
+	// KindSpilled means that the job was handed off to the lead of another failure
+	// domain, which Detail names.
 	KindSpilled
-	// KindStarted means that a backend server was told to start the task.
+	// KindStarted means that a start of the task was sent to a backend server.
 	KindStarted
-	// KindRefused means that the backend server refused the start; Detail tells why.
+	// KindRefused means that the backend server refused the start; Detail gives the reason.
 	KindRefused
 	// KindUnknown means that the backend server was lost after the start.
 	KindUnknown
 	// KindAnswered means that the backend server answered the task; Detail is its
 	// failure, if it failed.
 	KindAnswered
-	// KindEnded means that the submission got its one answer; Detail tells which.
+	// KindEnded means that the submission got its only answer, which Detail names.
 	KindEnded
 )
 
-// Step is one thing that happened to a submission.
+// Step is one event in the processing of a submission.
 type Step struct {
-	// At is the moment on the deciding host's clock.
+	// At is the time on the deciding host's clock.
 	At         identifier.Moment
 	Kind       Kind
 	Submission identifier.SubmissionID
@@ -48,17 +48,17 @@
 	Detail     string
 }
 
-// Explainer keeps the newest steps of all submissions. Set the exported field
-// before the first Note.
+// Explainer keeps the newest steps of all submissions in a ring buffer. Set Bound before
+// the first Note.
 type Explainer struct {
-	// Bound is how many steps are kept; zero keeps none.
+	// Bound is the maximum number of steps kept; zero keeps none.
 	Bound int
 
 	ring []Step
 	next int
 }
 
-// Note keeps a step in place of the oldest one.
+// Note records a step. Once Bound steps are kept, it overwrites the oldest one.
 func (explainer *Explainer) Note(step Step) {
 	if explainer.Bound == 0 {
 		return
--- a/pkg/explainer/explainer_test.go
+++ b/pkg/explainer/explainer_test.go
@@ -7,8 +7,8 @@
 	"github.com/stoathitch/stoathitch/pkg/identifier"
 )
 
-// TestNewestStepsAreKept fills the record twice over: the newest steps are left,
-// in order.
+// TestNewestStepsAreKept records more than twice as many steps as fit: the newest
+// remain, in order.
 func TestNewestStepsAreKept(t *testing.T) {
 	explainer := &Explainer{Bound: 10}
 	for number := range 25 {
