--- a/pkg/measurer/histograms.go
+++ b/pkg/measurer/histograms.go
@@ -10,18 +10,18 @@
 
 const (
 	// maxHistograms bounds the pairs of team and class that have a histogram of their
-	// own. A caller chooses both names, so that without a bound it could fill the
-	// memory with them. 256 histograms take 6 MB.
+	// own. Callers choose both names, so without a bound a caller could exhaust the
+	// memory. 256 histograms take 6 MB.
 	maxHistograms = 256
-	// otherName stands for all pairs beyond the bound.
+	// otherName is the team and class of the histogram that all further pairs share.
 	otherName = "other"
-	// longestResponse is the longest time that a histogram tells apart.
+	// longestResponse is the upper end of the range of a histogram.
 	longestResponse = 10 * time.Minute
 	// significantFigures gives percentiles within 1%.
 	significantFigures = 2
 )
 
-// label names the histogram of a team and class.
+// label identifies the histogram of a team and class.
 type label struct {
 	team  identifier.TeamID
 	class identifier.ClassName
@@ -49,12 +49,12 @@
 }
 
 func (histograms *histograms) record(name label, response time.Duration) {
-	histogram := histograms.of(name)
-	// A time beyond the range counts as the longest.
+	histogram := histograms.histogramFor(name)
+	// A time above the range is recorded as longestResponse.
 	_ = histogram.RecordValue(min(max(response, 0), longestResponse).Microseconds())
 }
 
-func (histograms *histograms) of(name label) *hdrhistogram.Histogram {
+func (histograms *histograms) histogramFor(name label) *hdrhistogram.Histogram {
 	if known := histograms.byLabel[name]; known != nil {
 		return known
 	}
@@ -70,7 +70,7 @@
 	return created
 }
 
-// summaries lists the pairs in the order of their first answers.
+// summaries lists the histograms in the order in which they were created.
 func (histograms *histograms) summaries() []Summary {
 	summaries := make([]Summary, 0, len(histograms.order))
 	for _, name := range histograms.order {
--- a/pkg/measurer/measurer.go
+++ b/pkg/measurer/measurer.go
@@ -14,7 +14,7 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// The names of the variables.
+// The names of the expvar variables.
 const (
 	variableJobs          = "jobs"
 	variableReasons       = "reasons"
@@ -29,22 +29,22 @@
 	variableServers       = "backend-servers"
 )
 
-// Gauges are the counts of this moment.
+// Gauges are the current counts.
 type Gauges struct {
 	// Queued and Running count tasks of the cells that this host leads.
 	Queued  int `json:"queued"`
 	Running int `json:"running"`
-	// Waiting counts the requests of callers that wait for an answer.
+	// Waiting counts the requests of callers that are not answered yet.
 	Waiting int `json:"waiting"`
-	// WaitingBytes is the sum of their bodies.
+	// WaitingBytes is the total size of their bodies.
 	WaitingBytes identifier.Bytes `json:"waiting-bytes"`
 }
 
 // Measurer holds the variables of one host. They are not expvar's global ones,
-// because several hosts may run in one process. Make it by New.
+// because several hosts may run in one process. Create it with New.
 type Measurer struct {
-	// Gauges returns the counts of the moment for a request that asks for the
-	// variables. Set it before Serve; nil leaves the gauges out.
+	// Gauges returns the current counts for a request of the variables. Set it before
+	// serving; nil omits the gauges.
 	Gauges func(request *http.Request) Gauges
 
 	variables   *expvar.Map
@@ -56,7 +56,7 @@
 	responses   *histograms
 }
 
-// New returns a measurer that has counted nothing.
+// New returns a measurer with all counters at zero.
 func New() *Measurer {
 	created := &Measurer{
 		variables:   new(expvar.Map).Init(),
@@ -77,8 +77,8 @@
 	return created
 }
 
-// Answered counts the answer of a submission to its caller. late tells that it
-// came after the caller's deadline.
+// Answered counts the answer of a submission to its caller. late reports whether it
+// came after the caller's deadline. Refusals have no response time.
 func (measurer *Measurer) Answered(job *messenger.Job, answer *messenger.JobAnswer, response time.Duration, late bool) {
 	measurer.jobs.Add(answer.Outcome.String(), 1)
 	if answer.Reason != messenger.ReasonNone {
@@ -98,12 +98,12 @@
 // BadRequest counts a request that was not accepted, by the kind of its error.
 func (measurer *Measurer) BadRequest(kind string) { measurer.badRequests.Add(kind, 1) }
 
-// ServerDecided counts a change of what is believed of a backend server.
+// ServerDecided counts a change in the known state of a backend server.
 func (measurer *Measurer) ServerDecided(kind messenger.DecisionKind) {
 	measurer.servers.Add(kind.String(), 1)
 }
 
-// HungUp counts a caller that did not wait for its answer.
+// HungUp counts a caller that disconnected before its answer.
 func (measurer *Measurer) HungUp() { measurer.variables.Add(variableHungUp, 1) }
 
 // TasksStarted counts the starts that were sent to backend servers.
@@ -132,7 +132,7 @@
 	writer.Header().Set("Content-Type", "application/json; charset=utf-8")
 	separator := "{\n"
 	write := func(variable expvar.KeyValue) {
-		// An error means that the reader has hung up, so there is nobody to tell.
+		// An error means that the client has disconnected, so it can't be reported.
 		_, _ = fmt.Fprintf(writer, "%s%q: %s", separator, variable.Key, variable.Value)
 		separator = ",\n"
 	}
--- a/pkg/measurer/measurer_test.go
+++ b/pkg/measurer/measurer_test.go
@@ -13,7 +13,7 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// page is what a reader of the variables sees.
+// page is the part of the served JSON that the tests check.
 type page struct {
 	Jobs      map[string]int     `json:"jobs"`
 	Reasons   map[string]int     `json:"reasons"`
@@ -39,8 +39,8 @@
 	return &messenger.JobAnswer{Outcome: outcome, Reason: reason}
 }
 
-// TestVariables checks that answers land in the counters and histograms that are
-// named for them, and that refusals have no response time.
+// TestVariables checks that answers are counted in the right counters and histograms,
+// and that refusals have no response time.
 func TestVariables(t *testing.T) {
 	measured := measurer.New()
 	measured.Gauges = func(*http.Request) measurer.Gauges { return measurer.Gauges{Queued: 7} }
@@ -71,9 +71,9 @@
 	}
 }
 
-// Symptom: a host's memory grows until it is killed, with few jobs in work.
-// Sequence: a caller sends every job under a team name of its own.
-// Cause: each team and class had a histogram that was never dropped.
+// Guards against a host whose memory grows until it is killed although few jobs run. A
+// caller sends every job under a new team name, and each pair of team and class had a
+// histogram that was never dropped.
 func TestHistogramsAreBounded(t *testing.T) {
 	measured := measurer.New()
 	const teams = 5000
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestBuckets: the buckets of a histogram hold every response once.
+// TestBuckets checks that the buckets of a histogram count every response exactly once.
 func TestBuckets(t *testing.T) {
 	measured := measurer.New()
 	job := &messenger.Job{Team: "estimates", Class: "counter"}
--- a/pkg/measurer/responses.go
+++ b/pkg/measurer/responses.go
@@ -2,13 +2,13 @@
 
 import "github.com/HdrHistogram/hdrhistogram-go"
 
-// bucketBounds are the upper bounds of the buckets, in milliseconds. What is longer
-// falls into a last bucket without a bound.
+// bucketBounds are the upper bounds of the buckets, in milliseconds. Longer times
+// fall into a last bucket without a bound.
 var bucketBounds = []float64{1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10_000}
 
-// Bucket counts the response times up to a bound and over the bound before it.
+// Bucket counts the response times above the previous bound and up to its own.
 type Bucket struct {
-	// UpTo is the bound in milliseconds; 0 stands for no bound.
+	// UpTo is the bound in milliseconds; 0 means no bound.
 	UpTo  float64 `json:"up-to-ms"`
 	Count int64   `json:"count"`
 }
@@ -16,11 +16,11 @@
 // Response is the histogram of the response times of one team and class.
 type Response struct {
 	Summary
-	// Buckets leaves the empty ones out.
+	// Buckets omits empty buckets.
 	Buckets []Bucket `json:"buckets"`
 }
 
-// Responses lists the histograms in the order of the first answers.
+// Responses lists the histograms in the order in which they were created.
 func (measurer *Measurer) Responses() []Response {
 	measurer.mutex.Lock()
 	defer measurer.mutex.Unlock()
