--- a/pkg/listener/listener.go
+++ b/pkg/listener/listener.go
@@ -1,5 +1,5 @@
-// Package listener accepts the connections of callers within a limit, and ends them
-// without cutting off a request that has already arrived.
+// Package listener limits the number of open connections of callers, and drains them
+// without dropping a request that has already arrived.
 package listener
 
 import (
@@ -12,19 +12,19 @@
 )
 
 // Listener closes connections beyond a limit as soon as they arrive, so that their
-// clients turn to another host. Were they left to wait unaccepted, as is the custom, a
-// client that opens connections and keeps them would lock out everybody else without a
-// sign. Set the exported fields before the first Accept.
+// clients try another host. If they were left unaccepted in the backlog, as is usual, a
+// client that opens connections and keeps them would silently lock out all others. Set
+// the exported fields before the first Accept.
 type Listener struct {
 	net.Listener
-	// Limit is the largest number of connections open at once.
+	// Limit is the maximum number of open connections.
 	Limit int64
-	// WriteTimeout is how long the other side may take to read what is written.
+	// WriteTimeout is how long the client may take to read what one call of Write sends.
 	WriteTimeout time.Duration
 	Log          *log.Logger
 
 	open atomic.Int64
-	// refusing tells that the limit has been reached, so that it is logged once.
+	// refusing is set while connections are refused, so that this is logged only once.
 	refusing atomic.Bool
 }
 
@@ -47,29 +47,29 @@
 	}
 }
 
-// connection gives its place back when it is closed.
+// connection is an accepted connection; closing it frees its place within the limit.
 type connection struct {
 	net.Conn
 	listener *Listener
 	once     sync.Once
-	// unanswered tells that bytes were read after the last that was written.
+	// unanswered is set while bytes have been read since the last write.
 	unanswered atomic.Bool
-	// taken counts the bytes of which Read has told; unanswered is set before.
-	taken atomic.Uint64
+	// bytesRead counts the bytes that Read has returned. Read sets unanswered before it adds them.
+	bytesRead atomic.Uint64
 }
 
-// Read notes that the other side waits for something.
+// Read marks the connection as unanswered when it has read anything.
 func (connection *connection) Read(content []byte) (int, error) {
 	length, err := connection.Conn.Read(content)
 	if length > 0 {
 		connection.unanswered.Store(true)
-		connection.taken.Add(uint64(length))
+		connection.bytesRead.Add(uint64(length))
 	}
 	return length, err
 }
 
-// Write writes within the timeout. One who asks and never reads would else hold its
-// answer in memory, and a connection of the limit, for ever.
+// Write writes within WriteTimeout. Otherwise a client that sends requests and never reads
+// would keep its response in memory and one connection of the limit occupied for ever.
 func (connection *connection) Write(content []byte) (int, error) {
 	connection.unanswered.Store(false)
 	if err := connection.SetWriteDeadline(time.Now().Add(connection.listener.WriteTimeout)); err != nil {
@@ -78,7 +78,7 @@
 	return connection.Conn.Write(content)
 }
 
-// Close closes the connection.
+// Close closes the connection and frees its place, once.
 func (connection *connection) Close() error {
 	connection.once.Do(func() { connection.listener.open.Add(-1) })
 	return connection.Conn.Close()
--- a/pkg/listener/server.go
+++ b/pkg/listener/server.go
@@ -14,49 +14,49 @@
 	"golang.org/x/sys/unix"
 )
 
-// drainInterval is how often a draining server looks for connections on which nothing
-// is under way: short beside the second or more that a drain may take.
+// drainInterval is how often a draining server looks for idle connections to close. It is
+// short compared with the second or more that a drain may take.
 const drainInterval = 10 * time.Millisecond
 
 // Server serves HTTP to callers and can be drained. Set the exported fields before
 // Serve.
 type Server struct {
-	// HTTP is the server with its limits and handler; its protocols, its handler's
-	// wrapping and its ConnState are set here.
+	// HTTP is the server with its limits and handler; Prepare sets its
+	// protocols and ConnState and wraps its handler.
 	HTTP *http.Server
 
 	draining atomic.Bool
 	mutex    sync.Mutex
 	listener net.Listener
-	// states are those of the open connections.
+	// states holds the HTTP state of each open connection.
 	states map[net.Conn]http.ConnState
 }
 
-// Prepare makes the server usable before Serve.
+// Prepare initialises the server. Call it before Serve.
 func (server *Server) Prepare() {
 	server.states = make(map[net.Conn]http.ConnState)
-	server.HTTP.Protocols = onlyHTTP1()
-	server.HTTP.ConnState = server.noteState
+	server.HTTP.Protocols = http1Only()
+	server.HTTP.ConnState = server.recordState
 	handler := server.HTTP.Handler
 	server.HTTP.Handler = http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if server.draining.Load() {
-			// The caller turns to another host with its next request.
+			// The caller sends its next request to another host.
 			writer.Header().Set("Connection", "close")
 		}
 		handler.ServeHTTP(writer, request)
 	})
 }
 
-// onlyHTTP1 keeps callers to one request at a time on a connection, so that the
-// limit of connections bounds their requests too.
-func onlyHTTP1() *http.Protocols {
+// http1Only limits callers to one request at a time per connection, so that the
+// connection limit bounds concurrent requests too.
+func http1Only() *http.Protocols {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	return protocols
 }
 
-// Serve serves until the server is drained or closed. It returns an error if it ended
-// for another reason.
+// Serve serves until the server is drained or closed. It returns an error only if it
+// stopped for another reason.
 func (server *Server) Serve(accepting *Listener) error {
 	server.mutex.Lock()
 	server.listener = accepting
@@ -72,27 +72,28 @@
 	return err
 }
 
-// Announce has every further response ask its caller to use another connection.
+// Announce makes every further response carry Connection: close, so that callers move to
+// other connections.
 func (server *Server) Announce() { server.draining.Store(true) }
 
-// Drain accepts no connections any more and closes the open ones as nothing is under
-// way on them, until ctx is done. What is open then is left to Close.
+// Drain stops accepting connections and closes open ones once they are idle, until ctx is
+// done. Connections still open then are left to Close.
 //
-// The HTTP library's own way closes each connection on which it has not yet begun to
-// read a request. In a process that gets the processor late, a request may have waited
-// unread for a long time by then: its caller gets no answer from a host that was shut
-// down as planned. Here a connection on which bytes wait is left open and answered.
+// http.Server.Shutdown closes each connection on which it has not yet begun to read a
+// request. In a process starved of CPU, a request may have been waiting unread for a long
+// time by then, and its caller would get no answer from a host that was shut down as
+// planned. Drain keeps a connection with unread bytes open and answers it.
 func (server *Server) Drain(ctx context.Context) {
 	server.Announce()
 	server.mutex.Lock()
 	if server.listener != nil {
-		// Closing it twice is no harm.
+		// Closing it twice is harmless.
 		_ = server.listener.Close()
 	}
 	server.mutex.Unlock()
 	ticker := time.NewTicker(drainInterval)
 	defer ticker.Stop()
-	for !server.closeQuiet() {
+	for !server.closeIdle() {
 		select {
 		case <-ctx.Done():
 			return
@@ -101,13 +102,13 @@
 	}
 }
 
-// Close ends what is still open.
+// Close closes the listener and all connections that are still open.
 func (server *Server) Close() {
-	// Nothing is left to do about a connection that can't be closed.
+	// Nothing can be done about a connection that fails to close.
 	_ = server.HTTP.Close()
 }
 
-func (server *Server) noteState(changed net.Conn, state http.ConnState) {
+func (server *Server) recordState(changed net.Conn, state http.ConnState) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	if state == http.StateClosed || state == http.StateHijacked {
@@ -117,9 +118,8 @@
 	server.states[changed] = state
 }
 
-// closeQuiet closes the connections on which nothing is under way and tells whether
-// none is open any more.
-func (server *Server) closeQuiet() bool {
+// closeIdle closes the idle connections and reports whether none was open when it began.
+func (server *Server) closeIdle() bool {
 	server.mutex.Lock()
 	var idle []net.Conn
 	for open, state := range server.states {
@@ -127,53 +127,53 @@
 			idle = append(idle, open)
 		}
 	}
-	left := len(server.states)
+	remaining := len(server.states)
 	server.mutex.Unlock()
 	for _, open := range idle {
-		if quiet(open) {
-			// One that can't be closed is gone. Where connections are secured, the last
-			// message may take seconds to a client that doesn't read.
+		if isIdle(open) {
+			// A connection that fails to close is gone already. With TLS, closing may take
+			// seconds if the client doesn't read the final message.
 			go func() { _ = open.Close() }()
 		}
 	}
-	return left == 0
+	return remaining == 0
 }
 
-// quiet tells whether nothing has arrived on a connection that is still to be answered.
+// isIdle reports whether a connection has neither unread bytes nor an unanswered request.
 //
-// What a reader has taken from the operating system and not noted yet counts as arrived, too. A
-// drain that asked for unread bytes alone would close the connection just then; its caller would
-// see it end without an answer.
-func quiet(open net.Conn) bool {
+// Bytes that a reader has received from the operating system but not yet counted are pending,
+// too. A drain that checked for unread bytes only would close the connection at that moment, and
+// its caller would see it end without an answer.
+func isIdle(open net.Conn) bool {
 	if secured, encrypted := open.(*tls.Conn); encrypted {
 		open = secured.NetConn()
 	}
-	bounded, ours := open.(*connection)
-	if !ours {
+	bounded, accepted := open.(*connection)
+	if !accepted {
 		return true
 	}
-	taken := bounded.taken.Load()
-	return received(bounded.Conn) <= taken && !bounded.unanswered.Load()
+	bytesRead := bounded.bytesRead.Load()
+	return bytesReceived(bounded.Conn) <= bytesRead && !bounded.unanswered.Load()
 }
 
-// received tells how many bytes have arrived on a connection, read or not. The end of what the
-// other side sends counts as one.
-func received(open net.Conn) uint64 {
+// bytesReceived returns the number of bytes that have arrived on a connection, read or not. The
+// FIN of the other side counts as one.
+func bytesReceived(open net.Conn) uint64 {
 	source, readable := open.(syscall.Conn)
 	if !readable {
 		return 0
 	}
 	raw, err := source.SyscallConn()
 	if err != nil {
-		return 0 // It is closed already.
+		return 0 // The connection is already closed.
 	}
 	var info *unix.TCPInfo
 	var failed error
-	look := func(descriptor uintptr) {
+	readInfo := func(descriptor uintptr) {
 		info, failed = unix.GetsockoptTCPInfo(int(descriptor), unix.IPPROTO_TCP, unix.TCP_INFO)
 	}
-	if raw.Control(look) != nil || failed != nil {
-		return 0 // It is closed, or no connection of TCP.
+	if raw.Control(readInfo) != nil || failed != nil {
+		return 0 // The connection is closed or not TCP.
 	}
 	return info.Bytes_received
 }
--- a/pkg/listener/server_test.go
+++ b/pkg/listener/server_test.go
@@ -16,33 +16,33 @@
 	"github.com/stoathitch/stoathitch/pkg/listener"
 )
 
-// lateListener accepts connections of a process that gets the processor late: nothing
-// that arrives while late is set is read before it is let go.
-type lateListener struct {
+// delayedListener simulates a process starved of CPU: reads of what arrives while
+// delaying is set don't return before release is closed.
+type delayedListener struct {
 	net.Listener
-	late  atomic.Bool
-	letGo chan struct{}
-	// afterRead holds a reader up after it has taken what had arrived, not before.
+	delaying atomic.Bool
+	release  chan struct{}
+	// afterRead delays a reader after it has read from the socket instead of before.
 	afterRead bool
 }
 
-// lateConnection is one of them.
-type lateConnection struct {
+// delayedConnection is a connection accepted by a delayedListener.
+type delayedConnection struct {
 	*net.TCPConn
-	listener *lateListener
+	listener *delayedListener
 }
 
-func (late *lateListener) Accept() (net.Conn, error) {
-	accepted, err := late.Listener.Accept()
+func (delayedListener *delayedListener) Accept() (net.Conn, error) {
+	accepted, err := delayedListener.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &lateConnection{TCPConn: accepted.(*net.TCPConn), listener: late}, nil
+	return &delayedConnection{TCPConn: accepted.(*net.TCPConn), listener: delayedListener}, nil
 }
 
-// Read waits until something has arrived, without reading it, and then for its turn.
-func (connection *lateConnection) Read(content []byte) (int, error) {
-	raw, err := connection.SyscallConn()
+// Read waits until something has arrived, without reading it, and then for the release.
+func (delayedConnection *delayedConnection) Read(content []byte) (int, error) {
+	raw, err := delayedConnection.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
@@ -54,47 +54,47 @@
 	if err := raw.Read(arrived); err != nil {
 		return 0, err
 	}
-	late := connection.listener
-	if late.late.Load() && !late.afterRead {
-		<-late.letGo
+	listener := delayedConnection.listener
+	if listener.delaying.Load() && !listener.afterRead {
+		<-listener.release
 	}
-	length, err := connection.TCPConn.Read(content)
-	if late.late.Load() && late.afterRead {
-		<-late.letGo
+	length, err := delayedConnection.TCPConn.Read(content)
+	if listener.delaying.Load() && listener.afterRead {
+		<-listener.release
 	}
 	return length, err
 }
 
-// serving is a server under test and its listener.
-type serving struct {
+// testServer is a running server with its delayed listener.
+type testServer struct {
 	server  *listener.Server
-	late    *lateListener
+	delayed *delayedListener
 	address string
 }
 
-func serve(t *testing.T) *serving {
+func startServer(t *testing.T) *testServer {
 	t.Helper()
 	bound, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	late := &lateListener{Listener: bound, letGo: make(chan struct{})}
+	delayed := &delayedListener{Listener: bound, release: make(chan struct{})}
 	answer := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusNoContent) })
 	server := &listener.Server{HTTP: &http.Server{Handler: answer}}
 	server.Prepare()
-	accepting := &listener.Listener{Listener: late, Limit: 8, WriteTimeout: time.Minute, Log: log.New(io.Discard)}
+	accepting := &listener.Listener{Listener: delayed, Limit: 8, WriteTimeout: time.Minute, Log: log.New(io.Discard)}
 	go func() {
 		if err := server.Serve(accepting); err != nil {
 			t.Error(err)
 		}
 	}()
 	t.Cleanup(server.Close)
-	return &serving{server: server, late: late, address: bound.Addr().String()}
+	return &testServer{server: server, delayed: delayed, address: bound.Addr().String()}
 }
 
-func (serving *serving) connect(t *testing.T) (net.Conn, *bufio.Reader) {
+func (testServer *testServer) connect(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
-	client, err := net.Dial("tcp", serving.address)
+	client, err := net.Dial("tcp", testServer.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,14 +102,14 @@
 	return client, bufio.NewReader(client)
 }
 
-func request(t *testing.T, client net.Conn) {
+func sendRequest(t *testing.T, client net.Conn) {
 	t.Helper()
 	if _, err := io.WriteString(client, "GET / HTTP/1.1\r\nHost: here\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func response(t *testing.T, reader *bufio.Reader) *http.Response {
+func readResponse(t *testing.T, reader *bufio.Reader) *http.Response {
 	t.Helper()
 	read, err := http.ReadResponse(reader, nil)
 	if err != nil {
@@ -118,53 +118,51 @@
 	return read
 }
 
-// Symptom: a client of a host that is shut down as planned gets no answer to a request
-// that it sent on an open connection, and its connection is closed long after.
-// Sequence: the host has been told to shut down and gets the processor late; a request
-// arrives on a connection that was idle; before the process gets to read it, the drain
-// closes all idle connections.
-// Cause: a connection counted as idle although a request waited on it unread.
-func TestDrainAnswersWhatHasArrived(t *testing.T) { drainBesideARequest(t, false) }
-
-// The test above failed once beside load: "no response: unexpected EOF". A request was taken from
-// the operating system, and before that was noted the drain looked: no bytes waited any more, and
-// nothing was known to be unanswered.
-func TestDrainAnswersWhatIsBeingRead(t *testing.T) { drainBesideARequest(t, true) }
-
-func drainBesideARequest(t *testing.T, afterRead bool) {
-	serving := serve(t)
-	serving.late.afterRead = afterRead
+// Guards against a planned shutdown that leaves a request on an open connection unanswered
+// and closes the connection long after. The process is starved of CPU during the drain, a
+// request arrives on an idle connection, and the drain closes it before the request is
+// read, because a connection with an unread request counted as idle.
+func TestDrainAnswersWhatHasArrived(t *testing.T) { drainWithPendingRequest(t, false) }
+
+// Guards against a race that made the test above fail once under load with "no response:
+// unexpected EOF". The drain checked the connection after a request was read from the operating
+// system and before it was recorded: no bytes were unread, and nothing was marked unanswered.
+func TestDrainAnswersWhatIsBeingRead(t *testing.T) { drainWithPendingRequest(t, true) }
+
+func drainWithPendingRequest(t *testing.T, afterRead bool) {
+	serving := startServer(t)
+	serving.delayed.afterRead = afterRead
 	client, reader := serving.connect(t)
-	request(t, client)
-	response(t, reader)
-	serving.late.late.Store(true)
-	request(t, client)
+	sendRequest(t, client)
+	readResponse(t, reader)
+	serving.delayed.delaying.Store(true)
+	sendRequest(t, client)
 	drained := make(chan struct{})
 	go func() {
 		serving.server.Drain(context.Background())
 		close(drained)
 	}()
-	// Longer than the drain needs to close a quiet connection.
+	// Longer than the drain needs to close an idle connection.
 	time.Sleep(100 * time.Millisecond)
-	close(serving.late.letGo)
-	if got := response(t, reader); got.StatusCode != http.StatusNoContent || !got.Close {
-		t.Errorf("status %d, close %t; want 204 and the word that the connection ends", got.StatusCode, got.Close)
+	close(serving.delayed.release)
+	if got := readResponse(t, reader); got.StatusCode != http.StatusNoContent || !got.Close {
+		t.Errorf("status %d, close %t; want 204 and Connection: close", got.StatusCode, got.Close)
 	}
 	<-drained
 }
 
-// TestDrainClosesQuietConnections: a drain ends although a client keeps a connection
-// open, whether it has ever sent anything or not, and new clients find nobody.
+// TestDrainClosesQuietConnections checks that a drain ends although clients keep connections
+// open, whether they have ever sent anything or not, and that new connections are refused.
 func TestDrainClosesQuietConnections(t *testing.T) {
-	serving := serve(t)
+	serving := startServer(t)
 	_, silent := serving.connect(t)
 	client, reader := serving.connect(t)
-	request(t, client)
-	response(t, reader)
+	sendRequest(t, client)
+	readResponse(t, reader)
 	serving.server.Drain(context.Background())
 	for _, ended := range []*bufio.Reader{silent, reader} {
 		if _, err := ended.ReadByte(); err != io.EOF {
-			t.Errorf("the connection ended with %v, want its end", err)
+			t.Errorf("the connection ended with %v, want EOF", err)
 		}
 	}
 	if refused, err := net.Dial("tcp", serving.address); err == nil {
