--- a/pkg/narrator/narrator_test.go
+++ b/pkg/narrator/narrator_test.go
@@ -15,8 +15,8 @@
 	"github.com/stoathitch/stoathitch/pkg/narrator"
 )
 
-// TestStories tells stories from logs. "log NAME" begins or replaces a file, without its
-// last line break where "cut" is given; "explain ID" and "summary" read all files.
+// TestStories reconstructs stories from logs. "log NAME" creates or replaces a file, without
+// its last line break if "cut" is given; "explain ID" and "summary" read all files.
 func TestStories(t *testing.T) {
 	datadriven.Walk(t, "testdata/stories", func(t *testing.T, path string) {
 		folder := t.TempDir()
@@ -53,7 +53,7 @@
 	})
 }
 
-// TestMissingLog: a path that is not there is told apart from one that can't be read.
+// TestMissingLog checks that a missing path is distinguished from an unreadable one.
 func TestMissingLog(t *testing.T) {
 	for _, path := range []string{filepath.Join(t.TempDir(), "none.log"), t.TempDir()} {
 		if _, err := narrator.Read([]string{path}); err == nil || !errors.Is(err, fs.ErrNotExist) {
--- a/pkg/narrator/operations_test.go
+++ b/pkg/narrator/operations_test.go
@@ -11,11 +11,11 @@
 	"github.com/stoathitch/stoathitch/pkg/narrator"
 )
 
-// shownRequests is how many requests the page on operations follows.
+// shownRequests is the number of requests explained on the operations page.
 const shownRequests = 3
 
-// TestOperationsPage tells the requests of the page on operations again, from lines of a
-// real run, and compares them with what the page shows.
+// TestOperationsPage explains the requests of the operations page from the logs of a real run
+// and compares the output with the page.
 func TestOperationsPage(t *testing.T) {
 	logs, err := narrator.Read([]string{"testdata/day"})
 	if err != nil {
--- a/pkg/narrator/reader.go
+++ b/pkg/narrator/reader.go
@@ -20,7 +20,7 @@
 
 //go:generate enumer -type=ErrorKind -trimprefix=Error -transform=kebab -text
 
-// ErrorKind tells what kind of thing went wrong.
+// ErrorKind is the kind of an error of this package.
 type ErrorKind int
 
 // The kinds of errors of this package.
@@ -38,17 +38,17 @@
 
 // Logs are the lines of several processes, and what was wrong with their files.
 type Logs struct {
-	// Records stand in the order of their times.
+	// Records are sorted by time.
 	Records []*Record
-	// Warnings tell which files were damaged, and how.
+	// Warnings describe which files are damaged, and how.
 	Warnings []string
 
-	// jobs finds the records about each request.
+	// jobs indexes the records by request.
 	jobs map[identifier.JobID][]*Record
 }
 
-// within returns the records from one moment to another.
-func (logs *Logs) within(from, to time.Time) []*Record {
+// between returns the records from one time to another, both included.
+func (logs *Logs) between(from, to time.Time) []*Record {
 	first, _ := slices.BinarySearchFunc(logs.Records, from, compareAt)
 	last, _ := slices.BinarySearchFunc(logs.Records, to.Add(1), compareAt)
 	return logs.Records[first:max(first, last)]
@@ -66,11 +66,11 @@
 	}
 }
 
-// logPattern names the logs within a folder.
+// logPattern matches the log files in a folder.
 const logPattern = "*.log"
 
 // Read reads the logs at paths; a folder stands for the logs in it. Lines that can't be
-// understood are counted and left out; a file without any line of a log is an error.
+// parsed are counted and skipped; a non-empty file without any log line is an error.
 func Read(paths []string) (*Logs, error) {
 	logs := &Logs{}
 	for _, path := range paths {
@@ -139,7 +139,7 @@
 
 func (logs *Logs) warn(path, text string) { logs.Warnings = append(logs.Warnings, path+": "+text) }
 
-// parse reads one line.
+// parse parses one line in logfmt.
 func parse(line []byte) (*Record, error) {
 	record := &Record{}
 	var shown []string
@@ -150,7 +150,7 @@
 			if err := record.set(key, value); err != nil {
 				return nil, err
 			}
-			if !slices.Contains(keysNotShown, key) {
+			if !slices.Contains(hiddenKeys, key) {
 				shown = append(shown, key+"="+quoted(value))
 			}
 		}
@@ -165,8 +165,9 @@
 	return record, nil
 }
 
-// keysNotShown stand in columns of their own, or are the same in every line.
-var keysNotShown = []string{"time", "host", "msg", "level", "job"}
+// hiddenKeys are omitted from Text: they have columns of their own or are the same in every
+// line.
+var hiddenKeys = []string{"time", "host", "msg", "level", "job"}
 
 func quoted(value string) string {
 	if strings.ContainsAny(value, " \"=") {
@@ -175,7 +176,7 @@
 	return value
 }
 
-// set takes one pair of a line. Pairs with other keys are only shown.
+// set stores the value of one key. Other keys appear in Text only.
 func (record *Record) set(key, value string) error {
 	var err error
 	switch key {
--- a/pkg/narrator/story.go
+++ b/pkg/narrator/story.go
@@ -10,54 +10,54 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// Story is what became of one request.
+// Story is the reconstructed history of one request.
 type Story struct {
 	Job identifier.JobID `json:"job"`
-	// Steps are the lines about the request and about the backend servers and hosts on
-	// which it depended, in the order of events.
+	// Steps are the lines about the request and about the backend servers and hosts that
+	// it depended on, in the order of events.
 	Steps []Step `json:"steps"`
 	// Cause says in one sentence why the request ended as it did.
 	Cause string `json:"cause"`
-	// Named tells that the cause follows from the lines; without it the sentence says
-	// what is missing.
+	// Named reports whether the cause follows from the lines. If not, Cause says what is
+	// missing.
 	Named bool `json:"named"`
-	// Notes tell what the story can't rest on: clocks that differ, lines left out.
+	// Notes list what makes the story less reliable: clock offsets and dropped lines.
 	Notes []string `json:"notes,omitempty"`
 }
 
-// Step is one line of a story.
+// Step is one log line of a story.
 type Step struct {
-	// At is the moment on the clock of the caller's host.
+	// At is the time on the clock of the caller's host.
 	At time.Time `json:"at"`
 	Record
 }
 
-// Tell tells the story of a request. It returns nil if no line is about it.
+// Tell reconstructs the story of a request. It returns nil if no line is about it.
 func (logs *Logs) Tell(job identifier.JobID) *Story {
-	teller := &teller{logs: logs, story: &Story{Job: job}, own: logs.jobs[job], shifts: make(map[identifier.HostID]time.Duration)}
-	if len(teller.own) == 0 {
+	storyBuilder := &storyBuilder{logs: logs, story: &Story{Job: job}, own: logs.jobs[job], clockOffsets: make(map[identifier.HostID]time.Duration)}
+	if len(storyBuilder.own) == 0 {
 		return nil
 	}
-	teller.alignClocks()
-	teller.gather()
-	teller.noteGaps()
-	teller.story.Cause, teller.story.Named = teller.cause()
-	return teller.story
+	storyBuilder.alignClocks()
+	storyBuilder.collectSteps()
+	storyBuilder.recordMissingLines()
+	storyBuilder.story.Cause, storyBuilder.story.Named = storyBuilder.cause()
+	return storyBuilder.story
 }
 
-// teller gathers what one story needs.
-type teller struct {
+// storyBuilder builds one story.
+type storyBuilder struct {
 	logs  *Logs
 	story *Story
-	// own are the lines about the request itself.
+	// own holds the lines about the request itself, by time.
 	own []*Record
-	// shifts are what is added to the clocks of hosts to put events in order.
-	shifts map[identifier.HostID]time.Duration
+	// clockOffsets are added to the times of the lines of each host to order the events.
+	clockOffsets map[identifier.HostID]time.Duration
 }
 
-// first and last return the first and the last own line of a kind, or nil.
-func (teller *teller) first(kind messenger.DecisionKind) *Record {
-	for _, record := range teller.own {
+// first and last return the first and the last line of a kind about the request, or nil.
+func (storyBuilder *storyBuilder) first(kind messenger.DecisionKind) *Record {
+	for _, record := range storyBuilder.own {
 		if record.is(kind) {
 			return record
 		}
@@ -65,9 +65,9 @@
 	return nil
 }
 
-func (teller *teller) last(kind messenger.DecisionKind) *Record {
+func (storyBuilder *storyBuilder) last(kind messenger.DecisionKind) *Record {
 	var found *Record
-	for _, record := range teller.own {
+	for _, record := range storyBuilder.own {
 		if record.is(kind) {
 			found = record
 		}
@@ -75,9 +75,9 @@
 	return found
 }
 
-func (teller *teller) count(kind messenger.DecisionKind) int {
+func (storyBuilder *storyBuilder) count(kind messenger.DecisionKind) int {
 	count := 0
-	for _, record := range teller.own {
+	for _, record := range storyBuilder.own {
 		if record.is(kind) {
 			count++
 		}
@@ -85,25 +85,24 @@
 	return count
 }
 
-// alignClocks moves the lines of each lead after the question that it answers and
-// before the caller's answer that follows from them. Clocks of hosts may be apart by
-// more than a request takes; sorted by them alone, a lead would decide before it was
-// asked.
-func (teller *teller) alignClocks() {
-	answered := teller.last(messenger.DecisionAnswered)
-	for _, asked := range teller.own {
+// alignClocks shifts the lines of each lead after the request that it answers and before
+// the caller's answer that follows from them. Clocks of hosts may differ by more than a
+// request takes; sorted by time alone, a lead would decide before it received the request.
+func (storyBuilder *storyBuilder) alignClocks() {
+	answered := storyBuilder.last(messenger.DecisionAnswered)
+	for _, asked := range storyBuilder.own {
 		if !asked.is(messenger.DecisionAsked) {
 			continue
 		}
-		if _, aligned := teller.shifts[asked.To]; aligned || asked.To == asked.Host {
+		if _, aligned := storyBuilder.clockOffsets[asked.To]; aligned || asked.To == asked.Host {
 			continue
 		}
 		shift := time.Duration(0)
-		for _, record := range teller.own {
+		for _, record := range storyBuilder.own {
 			if record.Host != asked.To || record.is(messenger.DecisionArrived) {
 				continue
 			}
-			if early := asked.At.Sub(record.At) + time.Microsecond; early > shift && !teller.askedBefore(asked) {
+			if early := asked.At.Sub(record.At) + time.Microsecond; early > shift && !storyBuilder.requestedBefore(asked) {
 				shift = early
 			}
 			if record.is(messenger.DecisionTurnedAway) && answered != nil {
@@ -111,20 +110,20 @@
 			}
 			break
 		}
-		teller.shifts[asked.To] = shift
-		if shift.Abs() >= notedShift {
-			teller.note("the clock of %s is moved by %v to put its lines after the question", asked.To, shift)
+		storyBuilder.clockOffsets[asked.To] = shift
+		if shift.Abs() >= minReportedOffset {
+			storyBuilder.addNote("the clock of %s is moved by %v to put its lines after the question", asked.To, shift)
 		}
 	}
 }
 
-// notedShift is the difference between clocks from which it is said. Below it nobody
-// would be misled.
-const notedShift = time.Millisecond
+// minReportedOffset is the smallest clock offset that a story mentions. Smaller ones mislead
+// nobody.
+const minReportedOffset = time.Millisecond
 
-// askedBefore tells whether the same lead was asked before.
-func (teller *teller) askedBefore(asked *Record) bool {
-	for _, record := range teller.own {
+// requestedBefore reports whether an earlier request went to the same lead.
+func (storyBuilder *storyBuilder) requestedBefore(asked *Record) bool {
+	for _, record := range storyBuilder.own {
 		if record == asked {
 			return false
 		}
@@ -135,69 +134,71 @@
 	return false
 }
 
-func (teller *teller) at(record *Record) time.Time { return record.At.Add(teller.shifts[record.Host]) }
+func (storyBuilder *storyBuilder) alignedTime(record *Record) time.Time {
+	return record.At.Add(storyBuilder.clockOffsets[record.Host])
+}
 
-func (teller *teller) note(format string, arguments ...any) {
-	teller.story.Notes = append(teller.story.Notes, fmt.Sprintf(format, arguments...))
+func (storyBuilder *storyBuilder) addNote(format string, arguments ...any) {
+	storyBuilder.story.Notes = append(storyBuilder.story.Notes, fmt.Sprintf(format, arguments...))
 }
 
-// aroundRequest is how long before a request what is believed of servers and hosts may
-// have changed and still matter to it: a lost lead or a lapsed lease takes a second or
-// two to be made good.
-const aroundRequest = 3 * time.Second
+// contextWindow is how long before a request a state change of a server or host may still
+// affect it: recovery from a lost lead or a lapsed lease takes a second or two.
+const contextWindow = 3 * time.Second
 
-// gather puts the steps together: the own lines, and those about backend servers that
-// ran the request and hosts that were asked.
-func (teller *teller) gather() {
+// collectSteps collects the lines about the request itself and those about backend servers
+// that ran it and hosts that received requests for it.
+func (storyBuilder *storyBuilder) collectSteps() {
 	servers := make(map[identifier.ServerIncarnation]bool)
 	hosts := make(map[string]bool)
-	for _, record := range teller.own {
+	for _, record := range storyBuilder.own {
 		if record.Server != "" {
 			servers[record.Server] = true
 		}
 		if record.To != "" {
 			hosts[string(record.To)] = true
 		}
-		teller.add(record)
+		storyBuilder.addStep(record)
 	}
-	for _, record := range teller.around() {
-		if record.Job != "" || !teller.near(record) {
+	for _, record := range storyBuilder.nearbyRecords() {
+		if record.Job != "" || !storyBuilder.inContext(record) {
 			continue
 		}
-		if servers[record.Server] || hosts[record.Peer] && record.Host == teller.own[0].Host {
-			teller.add(record)
+		if servers[record.Server] || hosts[record.Peer] && record.Host == storyBuilder.own[0].Host {
+			storyBuilder.addStep(record)
 		}
 	}
-	slices.SortStableFunc(teller.story.Steps, func(first, second Step) int { return first.At.Compare(second.At) })
+	slices.SortStableFunc(storyBuilder.story.Steps, func(first, second Step) int { return first.At.Compare(second.At) })
 }
 
-func (teller *teller) add(record *Record) {
-	teller.story.Steps = append(teller.story.Steps, Step{At: teller.at(record), Record: *record})
+func (storyBuilder *storyBuilder) addStep(record *Record) {
+	storyBuilder.story.Steps = append(storyBuilder.story.Steps, Step{At: storyBuilder.alignedTime(record), Record: *record})
 }
 
-// around returns all lines from shortly before the request until shortly after it.
-func (teller *teller) around() []*Record {
-	return teller.logs.within(teller.own[0].At.Add(-aroundRequest), teller.own[len(teller.own)-1].At.Add(aroundRequest))
+// nearbyRecords returns all lines from contextWindow before the request until contextWindow
+// after it.
+func (storyBuilder *storyBuilder) nearbyRecords() []*Record {
+	return storyBuilder.logs.between(storyBuilder.own[0].At.Add(-contextWindow), storyBuilder.own[len(storyBuilder.own)-1].At.Add(contextWindow))
 }
 
-// near tells whether a line lies within the request's time or shortly before it.
-func (teller *teller) near(record *Record) bool {
-	first, last := teller.own[0].At, teller.own[len(teller.own)-1].At
-	at := teller.at(record)
-	return at.After(first.Add(-aroundRequest)) && !at.After(last)
+// inContext reports whether a line lies within the request's time or shortly before it.
+func (storyBuilder *storyBuilder) inContext(record *Record) bool {
+	first, last := storyBuilder.own[0].At, storyBuilder.own[len(storyBuilder.own)-1].At
+	at := storyBuilder.alignedTime(record)
+	return at.After(first.Add(-contextWindow)) && !at.After(last)
 }
 
-// noteGaps tells of lines that a process left out near the request, since the story may
-// lack them.
-func (teller *teller) noteGaps() {
-	for _, record := range teller.around() {
+// recordMissingLines adds a note for lines that a process dropped near the request, since the
+// story may lack them.
+func (storyBuilder *storyBuilder) recordMissingLines() {
+	for _, record := range storyBuilder.nearbyRecords() {
 		if record.Message == "lines-left-out" {
-			teller.note("%s left out %s lines of kind %s about then", record.Host, record.LeftOut, record.LeftOutKind)
+			storyBuilder.addNote("%s left out %s lines of kind %s about then", record.Host, record.LeftOut, record.LeftOutKind)
 		}
 	}
 }
 
-// String renders the story for people.
+// String renders the story as text, one line per step, note and cause.
 func (story *Story) String() string {
 	var text strings.Builder
 	for _, step := range story.Steps {
--- a/pkg/narrator/summary.go
+++ b/pkg/narrator/summary.go
@@ -8,20 +8,20 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// Failures counts the requests that ended in one way other than being complete.
+// Failures counts the requests with one outcome other than complete.
 type Failures struct {
-	// Outcome is what the caller was told; "no answer" if nothing was.
+	// Outcome is the outcome sent to the caller, or "no answer".
 	Outcome string `json:"outcome"`
 	Count   int    `json:"count"`
-	// Unnamed are those whose cause does not follow from the lines.
+	// Unnamed lists the requests whose cause does not follow from the lines.
 	Unnamed []identifier.JobID `json:"unnamed,omitempty"`
 }
 
 // noAnswer is the outcome of requests without one.
 const noAnswer = "no answer"
 
-// Summarise tells the story of each request that was not complete and counts how many
-// causes it can name. The most frequent outcome comes first.
+// Summarise reconstructs each request that was not complete, counts them by outcome and
+// lists those whose cause is unknown. The most frequent outcome comes first.
 func (logs *Logs) Summarise() []Failures {
 	found := make(map[string]*Failures)
 	for job, records := range logs.jobs {
@@ -53,8 +53,8 @@
 	return summary
 }
 
-// outcomeOf returns what the caller was told, or nothing for a request that was
-// complete.
+// outcomeOf returns the outcome sent to the caller, or an empty string for a request that
+// was complete.
 func outcomeOf(records []*Record) string {
 	outcome := noAnswer
 	for _, record := range records {
--- a/pkg/narrator/vocabulary_test.go
+++ b/pkg/narrator/vocabulary_test.go
@@ -20,8 +20,8 @@
 // root is the top folder of the project.
 const root = "../.."
 
-// TestEveryLineIsListed compares the names of lines in the source with those of the page
-// on logs: an engineer on call finds every line there, with what it means.
+// TestEveryLineIsListed compares the log messages in the source with those on the logs page,
+// where an engineer on call must find every message and its meaning.
 func TestEveryLineIsListed(t *testing.T) {
 	written := messagesInSource(t)
 	for _, kind := range messenger.DecisionKindValues() {
@@ -48,7 +48,7 @@
 	}
 }
 
-// messagesInSource returns the messages of all calls of a logger in the programs.
+// messagesInSource returns the messages of all logger calls outside tests.
 func messagesInSource(t *testing.T) map[string]bool {
 	t.Helper()
 	found := make(map[string]bool)
@@ -76,7 +76,7 @@
 	return found
 }
 
-// messageOf returns the message of a call of a logger.
+// messageOf returns the message if node is a logger call.
 func messageOf(t *testing.T, path string, node ast.Node) (string, bool) {
 	call, isCall := node.(*ast.CallExpr)
 	if !isCall || len(call.Args) == 0 {
@@ -98,7 +98,7 @@
 	return message, true
 }
 
-// isLogger tells by its name whether an expression is a logger.
+// isLogger reports whether an expression is a logger, judging by its name.
 func isLogger(expression ast.Expr) bool {
 	switch expression := expression.(type) {
 	case *ast.SelectorExpr:
