--- a/pkg/connector/refusallog.go
+++ b/pkg/connector/refusallog.go
@@ -9,7 +9,7 @@
 )
 
 // refusalLog logs refused connections at a limited rate.
-type refusalLog struct{ pacer logwriter.Pacer }
+type refusalLog struct{ pacer logwriter.RateLimiter }
 
 func (refusalLog *refusalLog) recordRefusal(logger *log.Logger, kind, name string, cause error) {
 	if unlogged, admitted := refusalLog.pacer.Admit(time.Now()); admitted {
--- a/pkg/logwriter/pacer.go
+++ b/pkg/logwriter/pacer.go
@@ -8,10 +8,10 @@
 // pacerInterval is the minimum time between two lines that a Pacer admits.
 const pacerInterval = time.Second
 
-// Pacer limits the rate of log lines caused by remote peers. A peer that is refused, or
+// RateLimiter limits the rate of log lines caused by remote peers. A peer that is refused, or
 // that sends unreadable data, usually retries at once and would fill the log. The zero
 // value is ready to use.
-type Pacer struct {
+type RateLimiter struct {
 	mutex   sync.Mutex
 	nextAt  time.Time
 	leftOut int
@@ -19,7 +19,7 @@
 
 // Admit reports whether a line may be written now and, if so, how many were dropped since
 // the last admitted line.
-func (pacer *Pacer) Admit(now time.Time) (leftOut int, admitted bool) {
+func (pacer *RateLimiter) Admit(now time.Time) (leftOut int, admitted bool) {
 	pacer.mutex.Lock()
 	defer pacer.mutex.Unlock()
 	if now.Before(pacer.nextAt) {
--- a/pkg/logwriter/pacer_test.go
+++ b/pkg/logwriter/pacer_test.go
@@ -10,7 +10,7 @@
 // TestPacerLeavesLinesOut requests 1,000 lines a second: one a second is admitted, with the
 // number of lines dropped before it.
 func TestPacerLeavesLinesOut(t *testing.T) {
-	var pacer logwriter.Pacer
+	var pacer logwriter.RateLimiter
 	start := time.Unix(1000, 0)
 	admitted, leftOut := 0, 0
 	for step := range 5000 {
