--- a/pkg/connector/refusallog.go
+++ b/pkg/connector/refusallog.go
@@ -12,7 +12,7 @@
 type refusalLog struct{ pacer logwriter.RateLimiter }
 
 func (refusalLog *refusalLog) recordRefusal(logger *log.Logger, kind, name string, cause error) {
-	if unlogged, admitted := refusalLog.pacer.Admit(time.Now()); admitted {
+	if unlogged, admitted := refusalLog.pacer.Allow(time.Now()); admitted {
 		logger.Warn("connection refused", kind, name, "err", cause, "refusals-not-logged", unlogged)
 	}
 }
--- a/pkg/logwriter/pacer.go
+++ b/pkg/logwriter/pacer.go
@@ -17,9 +17,9 @@
 	leftOut int
 }
 
-// Admit reports whether a line may be written now and, if so, how many were dropped since
+// Allow reports whether a line may be written now and, if so, how many were dropped since
 // the last admitted line.
-func (pacer *RateLimiter) Admit(now time.Time) (leftOut int, admitted bool) {
+func (pacer *RateLimiter) Allow(now time.Time) (leftOut int, admitted bool) {
 	pacer.mutex.Lock()
 	defer pacer.mutex.Unlock()
 	if now.Before(pacer.nextAt) {
--- a/pkg/logwriter/pacer_test.go
+++ b/pkg/logwriter/pacer_test.go
@@ -14,7 +14,7 @@
 	start := time.Unix(1000, 0)
 	admitted, leftOut := 0, 0
 	for step := range 5000 {
-		skipped, passes := pacer.Admit(start.Add(time.Duration(step) * time.Millisecond))
+		skipped, passes := pacer.Allow(start.Add(time.Duration(step) * time.Millisecond))
 		if passes {
 			admitted++
 			leftOut += skipped
