--- a/pkg/dispatcher/explaining.go
+++ b/pkg/dispatcher/explaining.go
@@ -13,12 +13,12 @@
 
 // recordJobStep records a step of a whole submission.
 func (dispatcher *Dispatcher) recordJobStep(kind explainer.Kind, submission identifier.SubmissionID, detail string) {
-	dispatcher.explainer.Note(explainer.Step{At: dispatcher.now, Kind: kind, Submission: submission, Detail: detail})
+	dispatcher.explainer.Record(explainer.Step{At: dispatcher.now, Kind: kind, Submission: submission, Detail: detail})
 }
 
 // recordTaskStep records a step of one task.
 func (dispatcher *Dispatcher) recordTaskStep(kind explainer.Kind, task *task, detail string) {
-	dispatcher.explainer.Note(explainer.Step{
+	dispatcher.explainer.Record(explainer.Step{
 		At:         dispatcher.now,
 		Kind:       kind,
 		Submission: task.job.spec.Submission,
--- a/pkg/explainer/explainer.go
+++ b/pkg/explainer/explainer.go
@@ -58,8 +58,8 @@
 	next int
 }
 
-// Note records a step. Once Bound steps are kept, it overwrites the oldest one.
-func (explainer *Explainer) Note(step Step) {
+// Record records a step. Once Bound steps are kept, it overwrites the oldest one.
+func (explainer *Explainer) Record(step Step) {
 	if explainer.Bound == 0 {
 		return
 	}
--- a/pkg/explainer/explainer_test.go
+++ b/pkg/explainer/explainer_test.go
@@ -13,7 +13,7 @@
 	explainer := &Explainer{Bound: 10}
 	for number := range 25 {
 		submission := identifier.SubmissionID(fmt.Sprint("s-", number%2))
-		explainer.Note(Step{At: identifier.Moment(number), Submission: submission})
+		explainer.Record(Step{At: identifier.Moment(number), Submission: submission})
 	}
 	var moments []identifier.Moment
 	for _, step := range explainer.Steps("s-0") {
@@ -28,10 +28,10 @@
 func BenchmarkNote(b *testing.B) {
 	explainer := &Explainer{Bound: 1000}
 	for range 1000 {
-		explainer.Note(Step{})
+		explainer.Record(Step{})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		explainer.Note(Step{Kind: KindStarted, Submission: "s", Task: "t", Server: "b"})
+		explainer.Record(Step{Kind: KindStarted, Submission: "s", Task: "t", Server: "b"})
 	}
 }
