--- a/pkg/listener/server.go
+++ b/pkg/listener/server.go
@@ -72,9 +72,9 @@
 	return err
 }
 
-// Announce makes every further response carry Connection: close, so that callers move to
+// BeginDrain makes every further response carry Connection: close, so that callers move to
 // other connections.
-func (server *Server) Announce() { server.draining.Store(true) }
+func (server *Server) BeginDrain() { server.draining.Store(true) }
 
 // Drain stops accepting connections and closes open ones once they are idle, until ctx is
 // done. Connections still open then are left to Close.
@@ -84,7 +84,7 @@
 // time by then, and its caller would get no answer from a host that was shut down as
 // planned. Drain keeps a connection with unread bytes open and answers it.
 func (server *Server) Drain(ctx context.Context) {
-	server.Announce()
+	server.BeginDrain()
 	server.mutex.Lock()
 	if server.listener != nil {
 		// Closing it twice is harmless.
