--- a/pkg/measurer/measurer.go
+++ b/pkg/measurer/measurer.go
@@ -103,8 +103,8 @@
 	measurer.servers.Add(kind.String(), 1)
 }
 
-// HungUp counts a caller that disconnected before its answer.
-func (measurer *Measurer) HungUp() { measurer.variables.Add(variableHungUp, 1) }
+// CallerDisconnected counts a caller that disconnected before its answer.
+func (measurer *Measurer) CallerDisconnected() { measurer.variables.Add(variableHungUp, 1) }
 
 // TasksStarted counts the starts that were sent to backend servers.
 func (measurer *Measurer) TasksStarted(count int) {
--- a/pkg/receiver/handlers.go
+++ b/pkg/receiver/handlers.go
@@ -33,7 +33,7 @@
 	receiver.logReceived(job, deadline)
 	answer := receiver.submitAndAwait(request, job, deadline, size)
 	if answer == nil {
-		receiver.Measurer.HungUp()
+		receiver.Measurer.CallerDisconnected()
 		receiver.Log.Debug("caller hung up", "submission", job.Submission)
 		return
 	}
