--- a/pkg/commander/explainlogs.go
+++ b/pkg/commander/explainlogs.go
@@ -21,7 +21,7 @@
 	if command.Failed {
 		return command.printFailures(logs.Summarise())
 	}
-	story := logs.Tell(identifier.JobID(command.Positional.Submission))
+	story := logs.Explain(identifier.JobID(command.Positional.Submission))
 	if story == nil {
 		return failed("no line of these logs is about %s; the log of its caller's host may be missing", command.Positional.Submission)
 	}
--- a/pkg/narrator/narrator_test.go
+++ b/pkg/narrator/narrator_test.go
@@ -45,7 +45,7 @@
 				}
 				return text.String()
 			}
-			if story := logs.Tell(identifier.JobID(data.CmdArgs[0].Key)); story != nil {
+			if story := logs.Explain(identifier.JobID(data.CmdArgs[0].Key)); story != nil {
 				return text.String() + story.String()
 			}
 			return text.String() + "nothing is known\n"
--- a/pkg/narrator/operations_test.go
+++ b/pkg/narrator/operations_test.go
@@ -31,7 +31,7 @@
 		t.Errorf("the page shows %d requests, want %d", len(shown), shownRequests)
 	}
 	for _, request := range shown {
-		story := logs.Tell(identifier.JobID(request[1]))
+		story := logs.Explain(identifier.JobID(request[1]))
 		if story == nil {
 			t.Errorf("nothing is known of %s", request[1])
 			continue
--- a/pkg/narrator/story.go
+++ b/pkg/narrator/story.go
@@ -32,8 +32,8 @@
 	Record
 }
 
-// Tell reconstructs the story of a request. It returns nil if no line is about it.
-func (logs *Logs) Tell(job identifier.JobID) *Story {
+// Explain reconstructs the story of a request. It returns nil if no line is about it.
+func (logs *Logs) Explain(job identifier.JobID) *Story {
 	storyBuilder := &storyBuilder{logs: logs, story: &Story{Job: job}, own: logs.jobs[job], clockOffsets: make(map[identifier.HostID]time.Duration)}
 	if len(storyBuilder.own) == 0 {
 		return nil
--- a/pkg/narrator/summary.go
+++ b/pkg/narrator/summary.go
@@ -35,7 +35,7 @@
 			found[outcome] = counted
 		}
 		counted.Count++
-		if story := logs.Tell(job); !story.Named {
+		if story := logs.Explain(job); !story.Named {
 			counted.Unnamed = append(counted.Unnamed, job)
 		}
 	}
