--- a/pkg/commander/explainlogs.go
+++ b/pkg/commander/explainlogs.go
@@ -19,7 +19,7 @@
 		_, _ = fmt.Fprintln(command.terminal.errors, "stoathitch: "+warning)
 	}
 	if command.Failed {
-		return command.printFailures(logs.Summarise())
+		return command.printFailures(logs.SummariseFailures())
 	}
 	story := logs.Explain(identifier.JobID(command.Positional.Submission))
 	if story == nil {
--- a/pkg/narrator/narrator_test.go
+++ b/pkg/narrator/narrator_test.go
@@ -40,7 +40,7 @@
 				fmt.Fprintln(&text, strings.ReplaceAll(warning, folder, "FOLDER"))
 			}
 			if data.Cmd == "summary" {
-				for _, failures := range logs.Summarise() {
+				for _, failures := range logs.SummariseFailures() {
 					fmt.Fprintf(&text, "%s: %d, unnamed %v\n", failures.Outcome, failures.Count, failures.Unnamed)
 				}
 				return text.String()
--- a/pkg/narrator/summary.go
+++ b/pkg/narrator/summary.go
@@ -20,9 +20,9 @@
 // noAnswer is the outcome of requests without one.
 const noAnswer = "no answer"
 
-// Summarise reconstructs each request that was not complete, counts them by outcome and
+// SummariseFailures reconstructs each request that was not complete, counts them by outcome and
 // lists those whose cause is unknown. The most frequent outcome comes first.
-func (logs *Logs) Summarise() []Failures {
+func (logs *Logs) SummariseFailures() []Failures {
 	found := make(map[string]*Failures)
 	for job, records := range logs.jobs {
 		outcome := outcomeOf(records)
