--- a/pkg/assembler/daemon.go
+++ b/pkg/assembler/daemon.go
@@ -176,7 +176,7 @@
 	case *coordinator.MemberChanged:
 		member := output.State.Member
 		daemon.Log.Info("member changed", "peer", member.Host, "status", output.State.Status, "failure-domain", member.FailureDomain)
-		daemon.peers.Learn(member.Host, member.Addresses.Peers)
+		daemon.peers.UpdateAddress(member.Host, member.Addresses.Peers)
 	case *coordinator.KeeperLeaderChanged:
 		daemon.Log.Info("keeper leader changed", "leader", output.Leader, "term", output.Term)
 	case *coordinator.KeeperJoined:
--- a/pkg/connector/peers.go
+++ b/pkg/connector/peers.go
@@ -96,13 +96,13 @@
 	peers.links = make(map[identifier.HostID]*peerLink)
 	peers.mutex.Unlock()
 	for _, host := range peers.Settings.Hosts {
-		peers.Learn(host.Host, host.PeersAddress.String())
+		peers.UpdateAddress(host.Host, host.PeersAddress.String())
 	}
 	<-ctx.Done()
 }
 
-// Learn records the address of a host. A host whose address changes gets a new link.
-func (peers *Peers) Learn(host identifier.HostID, address string) {
+// UpdateAddress records the address of a host. A host whose address changes gets a new link.
+func (peers *Peers) UpdateAddress(host identifier.HostID, address string) {
 	if host == peers.Settings.Host || address == "" {
 		return
 	}
--- a/pkg/connector/peers_test.go
+++ b/pkg/connector/peers_test.go
@@ -66,7 +66,7 @@
 	defer cancel()
 	peers.runContext = ctx
 	peers.links = make(map[identifier.HostID]*peerLink)
-	peers.Learn("geel-0", "127.0.0.1:1")
+	peers.UpdateAddress("geel-0", "127.0.0.1:1")
 	peers.Send("geel-0", &coordinator.PeerBatch{})
 	for range wanted {
 		<-attempts
