--- a/pkg/assembler/daemon.go
+++ b/pkg/assembler/daemon.go
@@ -224,7 +224,7 @@
 	} else {
 		sleep(deadline, balancerGrace)
 	}
-	daemon.receiver.RefuseNew()
+	daemon.receiver.RefuseSubmissions()
 	daemon.runner.Post(ctx, &coordinator.ShutdownRequested{})
 	select {
 	case <-daemon.drained:
--- a/pkg/receiver/handlers_test.go
+++ b/pkg/receiver/handlers_test.go
@@ -140,7 +140,7 @@
 				return ""
 			case "shut-down":
 				fixture.receiver.SetReady(false)
-				fixture.receiver.RefuseNew()
+				fixture.receiver.RefuseSubmissions()
 				return ""
 			case "ready":
 				fixture.receiver.SetReady(true)
--- a/pkg/receiver/receiver.go
+++ b/pkg/receiver/receiver.go
@@ -61,8 +61,8 @@
 // SetReady sets whether /readyz reports ready, for the platform's load balancer.
 func (receiver *Receiver) SetReady(ready bool) { receiver.ready.Store(ready) }
 
-// RefuseNew refuses every submission from now on; called during a shutdown.
-func (receiver *Receiver) RefuseNew() { receiver.refusing.Store(true) }
+// RefuseSubmissions refuses every submission from now on; called during a shutdown.
+func (receiver *Receiver) RefuseSubmissions() { receiver.refusing.Store(true) }
 
 // Answer delivers an answer to the request that waits for it. The answer is dropped if the caller
 // has hung up; a resend gets it again.
