--- a/pkg/assembler/daemon.go
+++ b/pkg/assembler/daemon.go
@@ -216,7 +216,7 @@
 // drain answers the accepted jobs, within the shutdown deadline of the settings.
 func (daemon *Daemon) drain(ctx, abort context.Context) {
 	daemon.receiver.SetReady(false)
-	daemon.Log.Info("shutting down", "waiting", daemon.receiver.Waiting())
+	daemon.Log.Info("shutting down", "waiting", daemon.receiver.WaitingRequests())
 	deadline, cancel := context.WithTimeout(abort, daemon.Settings.Timeouts.ShutdownDeadline.Std())
 	defer cancel()
 	if daemon.Extension != nil {
@@ -246,7 +246,7 @@
 // notifyWaiting answers the callers whose jobs outlast the drain with where to request them from
 // now on. An aborted shutdown notifies nobody.
 func (daemon *Daemon) notifyWaiting(ctx, abort context.Context) {
-	waiting := daemon.receiver.Waiting()
+	waiting := daemon.receiver.WaitingRequests()
 	if abort.Err() != nil || waiting == 0 {
 		return
 	}
@@ -254,7 +254,7 @@
 	daemon.runner.Post(ctx, &coordinator.CallerEvent{Event: &forwarder.ShutdownStarted{}})
 	reserve, cancel := context.WithTimeout(abort, shutdownNoticeTimeout)
 	defer cancel()
-	for daemon.receiver.Waiting() > 0 && reserve.Err() == nil {
+	for daemon.receiver.WaitingRequests() > 0 && reserve.Err() == nil {
 		sleep(reserve, shutdownNoticeInterval)
 	}
 }
@@ -262,7 +262,7 @@
 // logEarlyShutdown logs how many requests are lost. If nobody waits, nothing is lost and it logs
 // no error, so that a process which is told to end at once raises no alarm.
 func (daemon *Daemon) logEarlyShutdown() {
-	if waiting := daemon.receiver.Waiting(); waiting > 0 {
+	if waiting := daemon.receiver.WaitingRequests(); waiting > 0 {
 		daemon.Log.Error("shut down early, requests lost", "waiting", waiting)
 		return
 	}
--- a/pkg/assembler/measuring.go
+++ b/pkg/assembler/measuring.go
@@ -25,7 +25,7 @@
 // gauges requests the current counts of jobs and tasks from the coordinator. The coordinator's counts
 // are 0 if the request ends first.
 func (daemon *Daemon) gauges(request *http.Request) measurer.Gauges {
-	gauges := measurer.Gauges{Waiting: daemon.receiver.Waiting(), WaitingBytes: daemon.receiver.WaitingBytes()}
+	gauges := measurer.Gauges{Waiting: daemon.receiver.WaitingRequests(), WaitingBytes: daemon.receiver.WaitingBytes()}
 	output := daemon.operations.await(request.Context(), func(waiter uint64) coordinator.Input {
 		return &coordinator.StatusWanted{Waiter: waiter}
 	})
--- a/pkg/assembler/overview.go
+++ b/pkg/assembler/overview.go
@@ -28,7 +28,7 @@
 	}
 	created := &presenter.Overview{
 		Status:       answer.Status,
-		Waiting:      daemon.receiver.Waiting(),
+		Waiting:      daemon.receiver.WaitingRequests(),
 		WaitingBytes: daemon.receiver.WaitingBytes(),
 		Responses:    daemon.measurer.Responses(),
 	}
--- a/pkg/receiver/handlers_test.go
+++ b/pkg/receiver/handlers_test.go
@@ -170,7 +170,7 @@
 		defer close(waiting)
 		fixture.request(ctx, smallJob)
 	}()
-	for fixture.receiver.Waiting() == 0 {
+	for fixture.receiver.WaitingRequests() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	refused := fixture.request(t.Context(), smallJob)
--- a/pkg/receiver/receiver.go
+++ b/pkg/receiver/receiver.go
@@ -70,8 +70,8 @@
 	receiver.waiting.Answer(answer.Waiter, answer.Answer)
 }
 
-// Waiting returns the number of requests that wait for an answer.
-func (receiver *Receiver) Waiting() int { return receiver.waiting.Len() }
+// WaitingRequests returns the number of requests that wait for an answer.
+func (receiver *Receiver) WaitingRequests() int { return receiver.waiting.Len() }
 
 // WaitingBytes returns the total body size of the jobs that wait for an answer.
 func (receiver *Receiver) WaitingBytes() identifier.Bytes {
