--- a/pkg/assembler/intents.go
+++ b/pkg/assembler/intents.go
@@ -53,7 +53,7 @@
 		})
 		return
 	}
-	spec := body.Spec.Planned()
+	spec := body.Spec.PlannerSpec()
 	command := &planner.Command{Kind: planner.CommandCreate, Request: body.Request, Operator: body.Operator, Name: body.Name, Spec: &spec}
 	operations.submitIntentCommand(writer, request, command)
 }
--- a/pkg/describer/exchange_test.go
+++ b/pkg/describer/exchange_test.go
@@ -80,7 +80,7 @@
 		case "create":
 			var create Create
 			read(t, data, &create)
-			spec := create.Spec.Planned()
+			spec := create.Spec.PlannerSpec()
 			result := exchange.apply(planner.Command{
 				Kind: planner.CommandCreate, Request: create.Request, Operator: create.Operator, Name: create.Name, Spec: &spec,
 			})
--- a/pkg/describer/translation.go
+++ b/pkg/describer/translation.go
@@ -8,8 +8,8 @@
 	"github.com/stoathitch/stoathitch/pkg/planner"
 )
 
-// Planned converts the spec to the planner's form. A missing urgency becomes normal.
-func (spec *Spec) Planned() planner.Spec {
+// PlannerSpec converts the spec to the planner's form. A missing urgency becomes normal.
+func (spec *Spec) PlannerSpec() planner.Spec {
 	planned := planner.Spec{Team: spec.Team, Urgency: placer.UrgencyNormal, MayRun: spec.MayRun}
 	if spec.Urgency != nil {
 		planned.Urgency = *spec.Urgency
