--- a/pkg/estimator/estimator_test.go
+++ b/pkg/estimator/estimator_test.go
@@ -18,7 +18,7 @@
 }
 
 // TestWrongDeclarations guards against jobs that are refused or ordered by declared run
-// times that are far off. Observed answers differ from the declared times, and the
+// times that are far off (row 15). Observed answers differ from the declared times, and the
 // estimates must follow the observed ones.
 func TestWrongDeclarations(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
