--- a/pkg/messenger/capacity.go
+++ b/pkg/messenger/capacity.go
@@ -33,10 +33,11 @@
 	Attempts int `cbor:"6,keyasint"`
 	// RequiredLabel is a label that the backend server must have; empty for none.
 	RequiredLabel string `cbor:"7,keyasint,omitempty"`
-	// PreferredLabel is a preferred label of the backend server: the rack of the job's data. Tasks take
-	// longer on servers without it.
+	// PreferredLabel is a preferred label of the backend server: the rack of the job's data. Tasks
+	// take longer on servers without it.
 	PreferredLabel string `cbor:"17,keyasint,omitempty"`
-	// MaxTasksPerServer is the maximum number of the job's tasks on one backend server; 0 is no limit.
+	// MaxTasksPerServer is the maximum number of the job's tasks on one backend server; 0 is no
+	// limit.
 	MaxTasksPerServer int `cbor:"8,keyasint,omitempty"`
 	// Elapsed is the time since the caller sent the job.
 	Elapsed time.Duration `cbor:"9,keyasint,omitempty"`
@@ -121,7 +122,7 @@
 	// OtherCell is the cell to send the request to instead of this one.
 	OtherCell     CellRef       `cbor:"6,keyasint,omitzero"`
 	RequestNumber RequestNumber `cbor:"9,keyasint,omitempty"`
-	// Tasks are the tasks to request from Other; the rest stays here. None means all.
+	// Tasks are the tasks to request from OtherCell; the rest stays here. None means all.
 	Tasks []TaskIndex `cbor:"8,keyasint,omitempty"`
 	// Accounts are the accounts of those Tasks that were started before.
 	Accounts []TaskAccount `cbor:"10,keyasint,omitempty"`
@@ -180,7 +181,7 @@
 	Cell CellNumber       `cbor:"2,keyasint,omitempty"`
 }
 
-//go:generate enumer -type=CapacityAnswerKind,StartOutcome -trimprefix=CapacityAnswer,Start -transform=kebab -text -output=room_enumer.go
+//go:generate enumer -type=CapacityAnswerKind,StartOutcome -trimprefix=CapacityAnswer,Start -transform=kebab -text -output=capacity_enumer.go
 
 // CapacityAnswerKind is the kind of an answer to a request for capacity.
 type CapacityAnswerKind int
@@ -274,10 +275,12 @@
 // CapacityNotice reports the free capacity of a cell to other leads.
 type CapacityNotice struct {
 	From CellRef `cbor:"1,keyasint"`
-	// FreeSlots is how many tasks of the usual size could start at once in addition to the waiting ones.
+	// FreeSlots is how many tasks of the usual size could start at once in addition to the waiting
+	// ones.
 	FreeSlots int `cbor:"2,keyasint,omitempty"`
-	// ExpectedReleases are the expected times until capacity for one more task each becomes free, the
-	// earliest first: in addition to the waiting tasks, and counted from the sending of the notice.
+	// ExpectedReleases are the expected times until capacity for one more task each becomes free,
+	// the earliest first: in addition to the waiting tasks, and counted from the sending of the
+	// notice.
 	ExpectedReleases []Delay `cbor:"4,keyasint,omitempty"`
 }
 
--- a/pkg/messenger/decision.go
+++ b/pkg/messenger/decision.go
@@ -60,13 +60,13 @@
 	// DecisionServerJudged means that the outcomes of its runs changed how many tasks a backend
 	// server may have.
 	DecisionServerJudged
-	// DecisionCrashedUnder means that a backend server crashed, or stopped responding for good, during
-	// a run.
+	// DecisionCrashedUnder means that a backend server crashed, or stopped responding for good,
+	// during a run.
 	DecisionCrashedUnder
 	// DecisionHeartbeatPassedOver means that a backend server's report about itself was ignored.
 	DecisionHeartbeatPassedOver
-	// DecisionEndPassedOver means that an end in a backend server's list was ignored, since its number
-	// counts as already handled.
+	// DecisionEndPassedOver means that an end in a backend server's list was ignored, since its
+	// number counts as already handled.
 	DecisionEndPassedOver
 )
 
--- a/pkg/planner/domainstatus.go
+++ b/pkg/planner/domainstatus.go
@@ -18,37 +18,37 @@
 }
 
 // capacity returns the total capacity of all workers.
-func (picture *DomainStatus) capacity() identifier.Resources {
+func (status *DomainStatus) capacity() identifier.Resources {
 	var sum identifier.Resources
-	for _, room := range picture.Workers {
-		sum = sum.Add(room.Capacity)
+	for _, worker := range status.Workers {
+		sum = sum.Add(worker.Capacity)
 	}
 	return sum
 }
 
 // fitNow returns how many tasks of a need fit into the free capacity.
-func (picture *DomainStatus) fitNow(need identifier.Resources) int {
+func (status *DomainStatus) fitNow(need identifier.Resources) int {
 	count := 0
-	for _, room := range picture.Workers {
-		count += need.CountIn(room.Free)
+	for _, worker := range status.Workers {
+		count += need.CountIn(worker.Free)
 	}
 	return count
 }
 
 // fitEmpty returns how many tasks of a need would fit if nothing ran.
-func (picture *DomainStatus) fitEmpty(need identifier.Resources) int {
+func (status *DomainStatus) fitEmpty(need identifier.Resources) int {
 	count := 0
-	for _, room := range picture.Workers {
-		count += need.CountIn(room.Capacity)
+	for _, worker := range status.Workers {
+		count += need.CountIn(worker.Capacity)
 	}
 	return count
 }
 
 // workAhead returns the work, in milli-cpu times seconds, that runs before a batch of an
 // urgency.
-func (picture *DomainStatus) workAhead(urgency placer.Urgency) int64 {
+func (status *DomainStatus) workAhead(urgency placer.Urgency) int64 {
 	work := int64(0)
-	for level, load := range picture.Loads {
+	for level, load := range status.Loads {
 		switch {
 		case level >= int(urgency):
 			work += load.Work
@@ -61,24 +61,24 @@
 }
 
 // preemptible returns the load that a batch of an urgency may preempt.
-func (picture *DomainStatus) preemptible(urgency placer.Urgency) placer.Load {
+func (status *DomainStatus) preemptible(urgency placer.Urgency) placer.Load {
 	var sum placer.Load
 	if urgency < placer.UrgencyUrgent {
 		return sum
 	}
-	for level := 0; level < min(int(urgency), len(picture.Loads)); level++ {
-		sum.Running += picture.Loads[level].Running
-		sum.Used = sum.Used.Add(picture.Loads[level].Used)
+	for level := 0; level < min(int(urgency), len(status.Loads)); level++ {
+		sum.Running += status.Loads[level].Running
+		sum.Used = sum.Used.Add(status.Loads[level].Used)
 	}
 	return sum
 }
 
 // reserve subtracts the need of count tasks from the free capacity.
-func (picture *DomainStatus) reserve(need identifier.Resources, count int) {
-	for position := range picture.Workers {
-		room := &picture.Workers[position]
-		taken := min(need.CountIn(room.Free), count)
-		room.Free = room.Free.Sub(need.Times(taken))
+func (status *DomainStatus) reserve(need identifier.Resources, count int) {
+	for position := range status.Workers {
+		worker := &status.Workers[position]
+		taken := min(need.CountIn(worker.Free), count)
+		worker.Free = worker.Free.Sub(need.Times(taken))
 		count -= taken
 		if count == 0 {
 			return
@@ -87,23 +87,23 @@
 }
 
 // byRack splits count tasks over the racks by how many fit in each.
-func (picture *DomainStatus) byRack(need identifier.Resources, count int) []RackCount {
-	now := picture.fitNow(need) >= count
+func (status *DomainStatus) byRack(need identifier.Resources, count int) []RackCount {
+	now := status.fitNow(need) >= count
 	var racks []identifier.RackID
 	var weights []int
 	numbers := make(map[identifier.RackID]int)
-	for _, room := range picture.Workers {
-		number, known := numbers[room.Rack]
+	for _, worker := range status.Workers {
+		number, known := numbers[worker.Rack]
 		if !known {
 			number = len(racks)
-			numbers[room.Rack] = number
-			racks = append(racks, room.Rack)
+			numbers[worker.Rack] = number
+			racks = append(racks, worker.Rack)
 			weights = append(weights, 0)
 		}
 		if now {
-			weights[number] += need.CountIn(room.Free)
+			weights[number] += need.CountIn(worker.Free)
 		} else {
-			weights[number] += need.CountIn(room.Capacity)
+			weights[number] += need.CountIn(worker.Capacity)
 		}
 	}
 	var counts []RackCount
--- a/pkg/planner/driver.go
+++ b/pkg/planner/driver.go
@@ -31,7 +31,8 @@
 	QuarantinedPermille int
 	// CheckpointTimeout is the time after which a task that is still not checkpointed is stopped.
 	CheckpointTimeout time.Duration
-	// LostWorkerRetention is how long a lost worker counts as one that will return; then it is removed.
+	// LostWorkerRetention is how long a lost worker counts as one that will return; then it is
+	// removed.
 	LostWorkerRetention time.Duration
 }
 
@@ -181,11 +182,11 @@
 	if driver.intents == nil {
 		return DomainStatus{FailureDomain: driver.FailureDomain, WorkersUnknown: true}
 	}
-	picture := DomainStatus{FailureDomain: driver.FailureDomain, Workers: driver.Placer.WorkerCapacities()}
-	picture.WorkersUnknown = now.Before(driver.workersKnownAt) || driver.workers.Len() == 0
+	status := DomainStatus{FailureDomain: driver.FailureDomain, Workers: driver.Placer.WorkerCapacities()}
+	status.WorkersUnknown = now.Before(driver.workersKnownAt) || driver.workers.Len() == 0
 	loads := driver.Placer.Loads(now)
-	picture.Loads = loads[:]
-	return picture
+	status.Loads = loads[:]
+	return status
 }
 
 func (driver *Driver[P]) handleInput(now identifier.Moment, input Input) {
--- a/pkg/planner/driverupdate.go
+++ b/pkg/planner/driverupdate.go
@@ -11,10 +11,10 @@
 	FailureDomain identifier.FailureDomain `cbor:"1,keyasint,omitempty"`
 	// Epoch is the highest one of the failure domain. A driver with a lower one is replaced.
 	Epoch identifier.Epoch `cbor:"2,keyasint,omitempty"`
-	// Version is the index of the last change. News with a lower one is older.
+	// Version is the index of the last change. An update with a lower one is older.
 	Version identifier.LogIndex `cbor:"3,keyasint,omitempty"`
 	// Since is the version after which changes are included. A driver that has not seen it has
-	// lost earlier news and must not apply this one: it would miss the changes in between.
+	// lost an earlier update and must not apply this one: it would miss the changes in between.
 	Since identifier.LogIndex `cbor:"7,keyasint,omitempty"`
 	// Active names all intents that the failure domain has a part in. Any other intent of the
 	// driver has ended.
@@ -28,22 +28,22 @@
 // LastChange returns the index of the last change of any intent's revision.
 func (machine *Machine) LastChange() identifier.LogIndex { return machine.lastChange }
 
-// DriverUpdate returns the news for a failure domain's driver that has seen the version since.
+// DriverUpdate returns the update for a failure domain's driver that has seen the version since.
 func (machine *Machine) DriverUpdate(domain identifier.FailureDomain, since identifier.LogIndex) DriverUpdate {
 	machine.prepare()
-	news := DriverUpdate{FailureDomain: domain, Epoch: machine.Epoch(domain), Since: since, Version: machine.lastChange}
+	update := DriverUpdate{FailureDomain: domain, Epoch: machine.Epoch(domain), Since: since, Version: machine.lastChange}
 	machine.records.Each(func(name identifier.IntentName, record *Record) bool {
 		if !record.activeIn(domain) {
 			return true
 		}
-		news.Active = append(news.Active, name)
+		update.Active = append(update.Active, name)
 		if record.changedAt() > since {
 			assigned, _ := machine.Assignment(name, domain)
-			news.Changed = append(news.Changed, assigned)
+			update.Changed = append(update.Changed, assigned)
 		}
 		return true
 	})
-	return news
+	return update
 }
 
 // activeIn reports whether a failure domain's driver has a part in the intent.
@@ -94,7 +94,7 @@
 	Capacity      identifier.Resources     `cbor:"2,keyasint,omitempty"`
 }
 
-// Capacity returns the total capacity of the picture's workers.
-func (picture *DomainStatus) Capacity() DomainCapacity {
-	return DomainCapacity{FailureDomain: picture.FailureDomain, Capacity: picture.capacity()}
+// Capacity returns the total capacity of the failure domain's workers.
+func (status *DomainStatus) Capacity() DomainCapacity {
+	return DomainCapacity{FailureDomain: status.FailureDomain, Capacity: status.capacity()}
 }
--- a/pkg/planner/golden_test.go
+++ b/pkg/planner/golden_test.go
@@ -14,7 +14,7 @@
 	"github.com/stoathitch/stoathitch/pkg/placer"
 )
 
-// exchange is a keeper's machine with a proposer and the pictures that it plans from.
+// exchange is a keeper's machine with a proposer and the domain statuses that it plans from.
 type exchange struct {
 	machine  *Machine
 	index    identifier.LogIndex
@@ -121,25 +121,25 @@
 	capacity := scanNeed(t, data)
 	free = int64(capacity.MilliCPU)
 	data.MaybeScanArgs(t, "free", &free)
-	picture := DomainStatus{FailureDomain: identifier.FailureDomain(domain), Loads: make([]placer.Load, 3)}
+	status := DomainStatus{FailureDomain: identifier.FailureDomain(domain), Loads: make([]placer.Load, 3)}
 	for number := range count {
-		room := placer.WorkerCapacity{Rack: identifier.RackID(fmt.Sprint(domain, "-r", number/8)), Capacity: capacity, Free: capacity}
-		room.Free.MilliCPU = identifier.MilliCPU(free)
-		picture.Workers = append(picture.Workers, room)
+		workerCapacity := placer.WorkerCapacity{Rack: identifier.RackID(fmt.Sprint(domain, "-r", number/8)), Capacity: capacity, Free: capacity}
+		workerCapacity.Free.MilliCPU = identifier.MilliCPU(free)
+		status.Workers = append(status.Workers, workerCapacity)
 	}
 	var running int
 	data.MaybeScanArgs(t, "background", &running)
 	if running > 0 {
 		used := identifier.Resources{MilliCPU: (capacity.MilliCPU - identifier.MilliCPU(free)) * identifier.MilliCPU(count)}
-		picture.Loads[0] = placer.Load{Running: running, Used: used, Work: int64(used.MilliCPU) * 60}
+		status.Loads[0] = placer.Load{Running: running, Used: used, Work: int64(used.MilliCPU) * 60}
 	}
 	for position := range exchange.proposer.Domains {
-		if exchange.proposer.Domains[position].FailureDomain == picture.FailureDomain {
-			exchange.proposer.Domains[position] = picture
+		if exchange.proposer.Domains[position].FailureDomain == status.FailureDomain {
+			exchange.proposer.Domains[position] = status
 			return "ok\n"
 		}
 	}
-	exchange.proposer.Domains = append(exchange.proposer.Domains, picture)
+	exchange.proposer.Domains = append(exchange.proposer.Domains, status)
 	return "ok\n"
 }
 
--- a/pkg/planner/machine.go
+++ b/pkg/planner/machine.go
@@ -2,7 +2,7 @@
 // tasks.
 //
 // Machine is the replicated state of intents: it applies commands from the keepers' log,
-// the same on every keeper. Proposer makes plans from Pictures of the failure domains.
+// the same on every keeper. Proposer makes plans from the DomainStatus of each failure domain.
 // Driver runs confirmed plans on the workers of one failure domain.
 package planner
 
--- a/pkg/planner/proposer.go
+++ b/pkg/planner/proposer.go
@@ -36,7 +36,7 @@
 type draft struct {
 	plan       Plan
 	spec       Spec
-	pictures   []DomainStatus
+	domains    []DomainStatus
 	startDelay time.Duration
 	endDelay   time.Duration
 	queued     bool
@@ -47,7 +47,7 @@
 // and the nearest spec that would run. A plan without allotments and refusals means that
 // there is none yet: call it again soon.
 func (proposer *Proposer) Propose(wall WallTime, spec Spec) Plan {
-	draft := &draft{spec: spec, pictures: proposer.allowedPictures(spec), learned: true}
+	draft := &draft{spec: spec, domains: proposer.allowedDomains(spec), learned: true}
 	draft.plan.Quota = proposer.Quota
 	declared := proposer.correctedDeclarations(draft)
 	if proposer.collectRefusals(draft, declared) {
@@ -65,9 +65,9 @@
 // result returns the refusals. While some workers may still be unknown, it returns a plan
 // without allotments and with that reason instead, since the spec may fit later.
 func (draft *draft) result() Plan {
-	for _, picture := range draft.pictures {
-		if picture.WorkersUnknown {
-			return Plan{Quota: draft.plan.Quota, Queued: "not all workers of " + string(picture.FailureDomain) + " are known yet"}
+	for _, status := range draft.domains {
+		if status.WorkersUnknown {
+			return Plan{Quota: draft.plan.Quota, Queued: "not all workers of " + string(status.FailureDomain) + " are known yet"}
 		}
 	}
 	return draft.plan
@@ -99,16 +99,16 @@
 	return "", plan
 }
 
-// allowedPictures returns copies of the pictures in which the spec may run.
-func (proposer *Proposer) allowedPictures(spec Spec) []DomainStatus {
-	var pictures []DomainStatus
-	for _, picture := range proposer.Domains {
-		if len(spec.MayRun) == 0 || slices.Contains(spec.MayRun, picture.FailureDomain) {
-			picture.Workers = slices.Clone(picture.Workers)
-			pictures = append(pictures, picture)
+// allowedDomains returns copies of the statuses of the failure domains in which the spec may run.
+func (proposer *Proposer) allowedDomains(spec Spec) []DomainStatus {
+	var domains []DomainStatus
+	for _, status := range proposer.Domains {
+		if len(spec.MayRun) == 0 || slices.Contains(spec.MayRun, status.FailureDomain) {
+			status.Workers = slices.Clone(status.Workers)
+			domains = append(domains, status)
 		}
 	}
-	return pictures
+	return domains
 }
 
 // correctedDeclarations returns the declarations with the learned corrections applied, and
@@ -133,15 +133,15 @@
 // allot splits a batch over the failure domains, in proportion to how many tasks fit now
 // or, if not all fit now, to how many would fit if nothing ran.
 func (proposer *Proposer) allot(draft *draft, number int, batch Batch) {
-	weights := make([]int, len(draft.pictures))
+	weights := make([]int, len(draft.domains))
 	sum := 0
-	for position := range draft.pictures {
-		weights[position] = draft.pictures[position].fitNow(batch.Need)
+	for position := range draft.domains {
+		weights[position] = draft.domains[position].fitNow(batch.Need)
 		sum += weights[position]
 	}
 	if sum < batch.Count {
-		for position := range draft.pictures {
-			weights[position] = draft.pictures[position].fitEmpty(batch.Need)
+		for position := range draft.domains {
+			weights[position] = draft.domains[position].fitEmpty(batch.Need)
 		}
 	}
 	from := 0
@@ -149,13 +149,13 @@
 		if count == 0 {
 			continue
 		}
-		picture := &draft.pictures[position]
+		status := &draft.domains[position]
 		draft.plan.Allotments = append(draft.plan.Allotments, Allotment{
-			Batch: number, FailureDomain: picture.FailureDomain,
-			From: from, To: from + count, Racks: picture.byRack(batch.Need, count),
+			Batch: number, FailureDomain: status.FailureDomain,
+			From: from, To: from + count, Racks: status.byRack(batch.Need, count),
 		})
 		from += count
-		draft.estimateBatch(picture, batch, count, proposer.allowedAtOnce(draft, batch, count))
+		draft.estimateBatch(status, batch, count, proposer.allowedAtOnce(draft, batch, count))
 	}
 }
 
@@ -184,20 +184,20 @@
 
 // estimateBatch estimates when a failure domain's part of a batch starts and ends, and what
 // it preempts.
-func (draft *draft) estimateBatch(picture *DomainStatus, batch Batch, count, allowed int) {
-	now := picture.fitNow(batch.Need)
-	total := max(picture.fitEmpty(batch.Need), 1)
+func (draft *draft) estimateBatch(status *DomainStatus, batch Batch, count, allowed int) {
+	now := status.fitNow(batch.Need)
+	total := max(status.fitEmpty(batch.Need), 1)
 	if allowed < count {
 		now, total = min(now, allowed), min(total, allowed)
 	}
 	wait := time.Duration(0)
 	if now == 0 {
-		wait = max(time.Duration(picture.workAhead(draft.spec.Urgency))*time.Second/time.Duration(max(int64(picture.capacity().MilliCPU), 1)), time.Second)
+		wait = max(time.Duration(status.workAhead(draft.spec.Urgency))*time.Second/time.Duration(max(int64(status.capacity().MilliCPU), 1)), time.Second)
 	}
 	if short := min(count, allowed) - now; short > 0 {
-		draft.estimatePreemptions(picture, batch.Need, short)
+		draft.estimatePreemptions(status, batch.Need, short)
 	}
-	if now == 0 && picture.preemptible(draft.spec.Urgency).Running == 0 {
+	if now == 0 && status.preemptible(draft.spec.Urgency).Running == 0 {
 		draft.queued = true
 	}
 	waves := (count + total - 1) / total
@@ -208,19 +208,19 @@
 	draft.endDelay = max(draft.endDelay, wait+time.Duration(waves)*batch.RunTime)
 	draft.plan.Charged.Limit = draft.plan.Charged.Limit.Add(batch.Need.Times(min(count, total)))
 	draft.plan.Charged.TasksInFlight += min(count, total)
-	picture.reserve(batch.Need, count)
+	status.reserve(batch.Need, count)
 }
 
 // estimatePreemptions estimates how many less urgent tasks are preempted to start short more
 // tasks.
-func (draft *draft) estimatePreemptions(picture *DomainStatus, need identifier.Resources, short int) {
-	below := picture.preemptible(draft.spec.Urgency)
+func (draft *draft) estimatePreemptions(status *DomainStatus, need identifier.Resources, short int) {
+	below := status.preemptible(draft.spec.Urgency)
 	if below.Running == 0 || below.Used.MilliCPU == 0 {
 		return
 	}
 	wanted := int64(need.MilliCPU) * int64(short) * int64(below.Running)
 	tasks := min((wanted+int64(below.Used.MilliCPU)-1)/int64(below.Used.MilliCPU), int64(below.Running))
-	draft.plan.Preemptions = append(draft.plan.Preemptions, Preemption{FailureDomain: picture.FailureDomain, Tasks: int(tasks)})
+	draft.plan.Preemptions = append(draft.plan.Preemptions, Preemption{FailureDomain: status.FailureDomain, Tasks: int(tasks)})
 }
 
 // estimate sets the start, the end and the confidence of the plan.
--- a/pkg/planner/refuse.go
+++ b/pkg/planner/refuse.go
@@ -15,17 +15,17 @@
 	nearest := draft.spec
 	nearest.Batches = slices.Clone(draft.spec.Batches)
 	nearest.MayRun = proposer.knownDomains(draft)
-	pictures := draft.pictures
-	if len(pictures) == 0 {
-		pictures = proposer.Domains
+	domains := draft.domains
+	if len(domains) == 0 {
+		domains = proposer.Domains
 		nearest.MayRun = nil
 	}
 	for number := range nearest.Batches {
 		batch := &nearest.Batches[number]
-		proposer.clipCorrection(pictures, batch.Need, &declared[number].Need)
+		proposer.clipCorrection(domains, batch.Need, &declared[number].Need)
 		need := declared[number].Need
 		reduced := proposer.withinQuota(draft, number, need)
-		fitting, fits := nearestWorker(pictures, need)
+		fitting, fits := nearestWorker(domains, need)
 		if !fits {
 			draft.addRefusal(fmt.Sprintf("batch %d: a task needs %s, no worker has more than %s", number, formatResources(need), formatResources(fitting)))
 		}
@@ -45,8 +45,8 @@
 
 // clipCorrection reverts a correction that no worker or quota could hold, since the declared
 // need may still run.
-func (proposer *Proposer) clipCorrection(pictures []DomainStatus, declared identifier.Resources, corrected *identifier.Resources) {
-	_, fits := nearestWorker(pictures, *corrected)
+func (proposer *Proposer) clipCorrection(domains []DomainStatus, declared identifier.Resources, corrected *identifier.Resources) {
+	_, fits := nearestWorker(domains, *corrected)
 	if !fits || !proposer.Quota.Allows(identifier.Resources{}, 0, *corrected) {
 		*corrected = declared
 	}
@@ -99,15 +99,15 @@
 
 // nearestWorker returns the largest part of a need that a single worker's capacity covers,
 // and whether that is all of it.
-func nearestWorker(pictures []DomainStatus, need identifier.Resources) (identifier.Resources, bool) {
+func nearestWorker(domains []DomainStatus, need identifier.Resources) (identifier.Resources, bool) {
 	var nearest identifier.Resources
 	best := int64(-1)
-	for _, picture := range pictures {
-		for _, room := range picture.Workers {
-			if need.Fits(room.Capacity) {
+	for _, status := range domains {
+		for _, worker := range status.Workers {
+			if need.Fits(worker.Capacity) {
 				return need, true
 			}
-			part := need.Min(room.Capacity)
+			part := need.Min(worker.Capacity)
 			if near := coverage(part, need); near > best {
 				nearest, best = part, near
 			}
