--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -196,7 +196,7 @@
 	case message.CapacityNotice != nil:
 		coordinator.notifyAllocators(&allocator.NoticeArrived{Notice: *message.CapacityNotice})
 	case message.CellMemory != nil:
-		coordinator.cellPersister.handleMemory(message.CellMemory)
+		coordinator.cellPersister.handleStoredCell(message.CellMemory)
 	case message.StartOrder != nil:
 		coordinator.notifyStarter(&starter.OrderArrived{From: from, Order: *message.StartOrder})
 	case message.StartResult != nil:
--- a/pkg/coordinator/cellpersister.go
+++ b/pkg/coordinator/cellpersister.go
@@ -21,11 +21,11 @@
 //
 // When all hosts of a failure domain restart, none of them knows a backend server until it
 // announces itself, and each server has seen a higher epoch than the first one of the new lead. The
-// symptom is refusals for one to two heartbeats while servers are idle. With the stored memory, a
+// symptom is refusals for one to two heartbeats while servers are idle. With the stored state, a
 // lead calls all servers at once, under an epoch that they accept.
 type cellPersister struct {
 	coordinator *Coordinator
-	// cells are the cell memories that a keeper stores.
+	// cells are the states of cells that a keeper stores.
 	cells map[messenger.CellRef]messenger.StoredCell
 	// changed marks the own cells that have to be sent to the keepers at dueAt.
 	changed []bool
@@ -59,13 +59,13 @@
 			continue
 		}
 		cellPersister.changed[cell] = false
-		if memory, leads := cellPersister.ownCell(messenger.CellNumber(cell)); leads {
-			cellPersister.sendToKeepers(&memory)
+		if storedCell, leads := cellPersister.ownCell(messenger.CellNumber(cell)); leads {
+			cellPersister.sendToKeepers(&storedCell)
 		}
 	}
 }
 
-// ownCell returns the memory of a cell, and false if this host doesn't lead it.
+// ownCell returns the state to store of a cell, and false if this host doesn't lead it.
 func (cellPersister *cellPersister) ownCell(cell messenger.CellNumber) (messenger.StoredCell, bool) {
 	coordinator := cellPersister.coordinator
 	cellAllocator := coordinator.allocators[cell]
@@ -79,21 +79,21 @@
 	}, true
 }
 
-func (cellPersister *cellPersister) sendToKeepers(memory *messenger.StoredCell) {
+func (cellPersister *cellPersister) sendToKeepers(storedCell *messenger.StoredCell) {
 	coordinator := cellPersister.coordinator
-	if len(memory.Reports) == 0 {
+	if len(storedCell.Reports) == 0 {
 		return
 	}
 	for _, state := range coordinator.gossiper.Members() {
 		member := state.Member
 		if state.Living() && member.Host != coordinator.Self.Host && slices.Contains(member.Roles, gossiper.RoleKeeper) {
-			coordinator.outputs.toPeer(member.Host, PeerMessage{CellMemory: memory})
+			coordinator.outputs.toPeer(member.Host, PeerMessage{CellMemory: storedCell})
 		}
 	}
 }
 
-// exchangeWith sends memories to a host that lives now: leads send theirs to a keeper, and a keeper
-// sends those of a failure domain to its entry hosts.
+// exchangeWith sends stored cells to a host that has become live: leads send theirs to a keeper,
+// and a keeper sends those of a failure domain to its entry hosts.
 func (cellPersister *cellPersister) exchangeWith(host identifier.HostID) {
 	coordinator := cellPersister.coordinator
 	state, known := coordinator.gossiper.State(host)
@@ -102,44 +102,45 @@
 	}
 	if slices.Contains(state.Member.Roles, gossiper.RoleKeeper) {
 		for cell := range cellPersister.changed {
-			if memory, leads := cellPersister.ownCell(messenger.CellNumber(cell)); leads && len(memory.Reports) > 0 {
-				coordinator.outputs.toPeer(host, PeerMessage{CellMemory: &memory})
+			if storedCell, leads := cellPersister.ownCell(messenger.CellNumber(cell)); leads && len(storedCell.Reports) > 0 {
+				coordinator.outputs.toPeer(host, PeerMessage{CellMemory: &storedCell})
 			}
 		}
 	}
 	if !slices.Contains(state.Member.Roles, gossiper.RoleEntry) {
 		return
 	}
-	for ref, memory := range cellPersister.cells {
+	for ref, storedCell := range cellPersister.cells {
 		if ref.FailureDomain == state.Member.FailureDomain {
-			coordinator.outputs.toPeer(host, PeerMessage{CellMemory: &memory})
+			coordinator.outputs.toPeer(host, PeerMessage{CellMemory: &storedCell})
 		}
 	}
 }
 
-// handleMemory processes the memory of a cell from another host: a keeper stores it, an entry host
-// of the cell's failure domain uses it.
-func (cellPersister *cellPersister) handleMemory(memory *messenger.StoredCell) {
+// handleStoredCell processes the state of a cell from another host: a keeper stores it, an entry
+// host of the cell's failure domain uses it.
+func (cellPersister *cellPersister) handleStoredCell(storedCell *messenger.StoredCell) {
 	coordinator := cellPersister.coordinator
 	if coordinator.keeper != nil {
-		cellPersister.store(memory)
+		cellPersister.store(storedCell)
 	}
-	if memory.Cell.FailureDomain != coordinator.Self.FailureDomain || !slices.Contains(coordinator.Self.Roles, gossiper.RoleEntry) {
+	if storedCell.Cell.FailureDomain != coordinator.Self.FailureDomain || !slices.Contains(coordinator.Self.Roles, gossiper.RoleEntry) {
 		return
 	}
-	coordinator.notifyElector(elector.EpochSeen{Cell: memory.Cell.Cell, Epoch: memory.Epoch})
-	for index := range memory.Reports {
-		report := &memory.Reports[index]
+	coordinator.notifyElector(elector.EpochSeen{Cell: storedCell.Cell.Cell, Epoch: storedCell.Epoch})
+	for index := range storedCell.Reports {
+		report := &storedCell.Reports[index]
 		coordinator.notifyAllocator(coordinator.cellOfServer(report.Server), &allocator.ReportRecalled{Report: *report})
 	}
 }
 
-// store stores a memory, unless a lead with a higher epoch has already sent one for the cell.
-func (cellPersister *cellPersister) store(memory *messenger.StoredCell) {
-	if cellPersister.cells[memory.Cell].Epoch > memory.Epoch {
+// store stores the state of a cell, unless a lead with a higher epoch has already sent one for the
+// cell.
+func (cellPersister *cellPersister) store(storedCell *messenger.StoredCell) {
+	if cellPersister.cells[storedCell.Cell].Epoch > storedCell.Epoch {
 		return
 	}
-	cellPersister.cells[memory.Cell] = *memory
+	cellPersister.cells[storedCell.Cell] = *storedCell
 	all := make([]messenger.StoredCell, 0, len(cellPersister.cells))
 	for _, known := range cellPersister.cells {
 		all = append(all, known)
@@ -147,11 +148,11 @@
 	cellPersister.coordinator.outputs.add(&StoreCells{Cells: all})
 }
 
-// restore loads the memories that this keeper had on its disk at startup.
+// restore loads the cells that this keeper had on its disk at startup.
 func (cellPersister *cellPersister) restore(cells []messenger.StoredCell) {
-	for _, memory := range cells {
-		if cellPersister.cells[memory.Cell].Epoch <= memory.Epoch {
-			cellPersister.cells[memory.Cell] = memory
+	for _, storedCell := range cells {
+		if cellPersister.cells[storedCell.Cell].Epoch <= storedCell.Epoch {
+			cellPersister.cells[storedCell.Cell] = storedCell
 		}
 	}
 }
--- a/pkg/coordinator/intentdriver.go
+++ b/pkg/coordinator/intentdriver.go
@@ -36,7 +36,7 @@
 	// epochRequested reports whether an epoch has been requested, or will be at epochRequestAt.
 	epochRequested bool
 	syncAt         identifier.Moment
-	// unanswered counts the syncs since the last news.
+	// unanswered counts the syncs since the last update.
 	unanswered int
 	// driver is nil until the first assignments have arrived.
 	driver      *planner.Driver[placer.ScoredSample]
@@ -180,14 +180,14 @@
 	return true
 }
 
-// sync reports the state of the workers to the leading keeper and requests news from it.
+// sync reports the state of the workers to the leading keeper and requests an update from it.
 func (intentDriver *intentDriver) sync() {
 	coordinator := intentDriver.coordinator
 	intentDriver.syncAt = coordinator.now.Add(coordinator.Settings.Intents.SyncInterval)
 	message := &IntentSync{FailureDomain: coordinator.Self.FailureDomain, Epoch: intentDriver.epoch, Since: intentDriver.seenVersion}
 	if intentDriver.driver != nil {
-		picture := intentDriver.driver.Status(coordinator.now)
-		message.Picture = &picture
+		status := intentDriver.driver.Status(coordinator.now)
+		message.Picture = &status
 	}
 	keepers := coordinator.keepersInOrder()
 	if len(keepers) == 0 {
@@ -203,18 +203,18 @@
 	coordinator.outputs.toPeer(to, PeerMessage{IntentSync: message})
 }
 
-// handleNews applies decisions of the log. News with an epoch or version below those of this driver
-// come from a keeper that lags behind, and are ignored.
-func (intentDriver *intentDriver) handleNews(news *planner.DriverUpdate) {
+// handleUpdate applies decisions of the log. Updates with an epoch or version below those of this
+// driver come from a keeper that lags behind, and are ignored.
+func (intentDriver *intentDriver) handleUpdate(update *planner.DriverUpdate) {
 	switch {
-	case intentDriver.epoch == 0 || news.FailureDomain != intentDriver.coordinator.Self.FailureDomain:
+	case intentDriver.epoch == 0 || update.FailureDomain != intentDriver.coordinator.Self.FailureDomain:
 		return
-	case news.Epoch > intentDriver.epoch:
+	case update.Epoch > intentDriver.epoch:
 		intentDriver.handleFenced()
 		return
-	case news.Epoch < intentDriver.epoch || news.Version < intentDriver.seenVersion:
+	case update.Epoch < intentDriver.epoch || update.Version < intentDriver.seenVersion:
 		return
-	case news.Since > intentDriver.seenVersion:
+	case update.Since > intentDriver.seenVersion:
 		intentDriver.syncAt = intentDriver.coordinator.now
 		return
 	}
@@ -222,14 +222,14 @@
 	if intentDriver.driver == nil {
 		intentDriver.startDriver()
 	}
-	intentDriver.seenVersion = news.Version
-	intentDriver.coordinator.quotas.updateCapacities(news.Capacities)
-	for _, assigned := range news.Changed {
+	intentDriver.seenVersion = update.Version
+	intentDriver.coordinator.quotas.updateCapacities(update.Capacities)
+	for _, assigned := range update.Changed {
 		intentDriver.assigned.Put(assigned.Name, &struct{}{})
 		intentDriver.inputs = append(intentDriver.inputs, assigned)
 	}
-	active := make(map[identifier.IntentName]bool, len(news.Active))
-	for _, name := range news.Active {
+	active := make(map[identifier.IntentName]bool, len(update.Active))
+	for _, name := range update.Active {
 		active[name] = true
 	}
 	for _, name := range intentDriver.assigned.Keys() {
--- a/pkg/coordinator/intentplanner.go
+++ b/pkg/coordinator/intentplanner.go
@@ -28,11 +28,11 @@
 
 // drivingHost is the last sync of a failure domain's driving host.
 type drivingHost struct {
-	host    identifier.HostID
-	epoch   identifier.Epoch
-	since   identifier.LogIndex
-	at      identifier.Moment
-	picture *planner.DomainStatus
+	host   identifier.HostID
+	epoch  identifier.Epoch
+	since  identifier.LogIndex
+	at     identifier.Moment
+	status *planner.DomainStatus
 }
 
 // watchedPlan is what this keeper records of an unconfirmed intent.
@@ -81,7 +81,7 @@
 	if machine.LastChange() > intentPlanner.notifiedVersion {
 		intentPlanner.notifiedVersion = machine.LastChange()
 		intentPlanner.reviewAt = intentPlanner.coordinator.now
-		intentPlanner.sendNewsToDrivers(machine)
+		intentPlanner.sendUpdatesToDrivers(machine)
 	}
 	if intentPlanner.reviewAt.Due(intentPlanner.coordinator.now) {
 		intentPlanner.reviewAll(machine)
@@ -113,11 +113,11 @@
 		}
 		return
 	}
-	driver := &drivingHost{host: from, epoch: sync.Epoch, since: sync.Since, at: intentPlanner.coordinator.now, picture: sync.Picture}
-	first := intentPlanner.drivers.Get(sync.FailureDomain) == nil || intentPlanner.drivers.Get(sync.FailureDomain).picture == nil
-	if !first && driver.picture == nil {
+	driver := &drivingHost{host: from, epoch: sync.Epoch, since: sync.Since, at: intentPlanner.coordinator.now, status: sync.Picture}
+	first := intentPlanner.drivers.Get(sync.FailureDomain) == nil || intentPlanner.drivers.Get(sync.FailureDomain).status == nil
+	if !first && driver.status == nil {
 		// A new driver knows no workers yet, but their capacity is the same as before.
-		driver.picture = &planner.DomainStatus{FailureDomain: sync.FailureDomain, Workers: intentPlanner.drivers.Get(sync.FailureDomain).picture.Workers, WorkersUnknown: true}
+		driver.status = &planner.DomainStatus{FailureDomain: sync.FailureDomain, Workers: intentPlanner.drivers.Get(sync.FailureDomain).status.Workers, WorkersUnknown: true}
 	}
 	intentPlanner.drivers.Put(sync.FailureDomain, driver)
 	intentPlanner.sendNews(machine, from, sync.FailureDomain, sync.Since)
@@ -126,8 +126,9 @@
 	}
 }
 
-// sendNewsToDrivers pushes news to all driving hosts. The next sync makes up for a lost message.
-func (intentPlanner *intentPlanner) sendNewsToDrivers(machine *planner.Machine) {
+// sendUpdatesToDrivers pushes updates to all driving hosts. The next sync makes up for a lost
+// message.
+func (intentPlanner *intentPlanner) sendUpdatesToDrivers(machine *planner.Machine) {
 	intentPlanner.drivers.Each(func(domain identifier.FailureDomain, driver *drivingHost) bool {
 		intentPlanner.sendNews(machine, driver.host, domain, driver.since)
 		driver.since = machine.LastChange()
@@ -136,13 +137,13 @@
 }
 
 func (intentPlanner *intentPlanner) sendNews(machine *planner.Machine, host identifier.HostID, domain identifier.FailureDomain, since identifier.LogIndex) {
-	news := machine.DriverUpdate(domain, since)
-	news.Capacities = intentPlanner.capacities()
+	update := machine.DriverUpdate(domain, since)
+	update.Capacities = intentPlanner.capacities()
 	if host == intentPlanner.coordinator.Self.Host {
-		intentPlanner.coordinator.intentDriver.handleNews(&news)
+		intentPlanner.coordinator.intentDriver.handleUpdate(&update)
 		return
 	}
-	intentPlanner.coordinator.outputs.toPeer(host, PeerMessage{IntentNews: &news})
+	intentPlanner.coordinator.outputs.toPeer(host, PeerMessage{IntentNews: &update})
 }
 
 // reviewAll proposes plans for intents that wait for one, replaces plans that are out of date and
@@ -237,9 +238,9 @@
 	return true
 }
 
-// proposer returns a proposer that plans from the pictures that are fresh. A failure domain that
-// can't be reached offers no capacity, but is marked as settling, so that an intent isn't refused
-// for good while the workers there are unknown.
+// proposer returns a proposer that plans from the statuses that are fresh. A failure domain that
+// can't be reached offers no capacity, but its workers are marked as unknown, so that an intent
+// isn't refused for good while the workers there are unknown.
 func (intentPlanner *intentPlanner) proposer(machine *planner.Machine, record *planner.Record) *planner.Proposer {
 	proposer := &planner.Proposer{
 		ConfirmTimeout: intentPlanner.coordinator.Settings.Intents.ConfirmWithin,
@@ -248,10 +249,10 @@
 	}
 	for _, domain := range intentPlanner.failureDomains() {
 		driver := intentPlanner.drivers.Get(domain)
-		fresh := driver != nil && driver.picture != nil &&
+		fresh := driver != nil && driver.status != nil &&
 			intentPlanner.coordinator.now.Sub(driver.at) <= intentPlanner.coordinator.Settings.Intents.MaxPictureAge
 		if fresh {
-			proposer.Domains = append(proposer.Domains, *driver.picture)
+			proposer.Domains = append(proposer.Domains, *driver.status)
 			continue
 		}
 		proposer.Domains = append(proposer.Domains, planner.DomainStatus{FailureDomain: domain, WorkersUnknown: true})
@@ -264,8 +265,8 @@
 func (intentPlanner *intentPlanner) capacities() []planner.DomainCapacity {
 	var capacities []planner.DomainCapacity
 	for _, domain := range intentPlanner.failureDomains() {
-		if driver := intentPlanner.drivers.Get(domain); driver != nil && driver.picture != nil {
-			capacities = append(capacities, driver.picture.Capacity())
+		if driver := intentPlanner.drivers.Get(domain); driver != nil && driver.status != nil {
+			capacities = append(capacities, driver.status.Capacity())
 		}
 	}
 	return capacities
--- a/pkg/coordinator/intents.go
+++ b/pkg/coordinator/intents.go
@@ -14,9 +14,9 @@
 	// Lease is how long a worker may run a task without contact.
 	Lease time.Duration
 	// SyncInterval is the time between two syncs of a driving host with the leading keeper. A sync
-	// carries the picture of its workers.
+	// carries the status of its workers.
 	SyncInterval time.Duration
-	// MaxPictureAge is the age beyond which a picture is ignored, because its failure domain can't be
+	// MaxPictureAge is the age beyond which a status is ignored, because its failure domain can't be
 	// reached.
 	MaxPictureAge time.Duration
 	// ReviewInterval is the time between two reviews of the intents that wait for a plan.
@@ -51,7 +51,7 @@
 }
 
 // IntentSync is sent to the leading keeper by the host that drives a failure domain's workers. The
-// reply is the news after version Since.
+// reply is the update with the changes after version Since.
 type IntentSync struct {
 	FailureDomain identifier.FailureDomain `cbor:"1,keyasint,omitempty"`
 	Epoch         identifier.Epoch         `cbor:"2,keyasint,omitempty"`
--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -55,7 +55,7 @@
 // ConfigRestored carries the configuration that was in force on this host before it restarted.
 type ConfigRestored struct{ Version configurer.Version }
 
-// CellsRestored carries the cell memories that this keeper had stored before it restarted.
+// CellsRestored carries the states of cells that this keeper had stored before it restarted.
 type CellsRestored struct{ Cells []messenger.StoredCell }
 
 // OperatorRequest carries an operator's command for the keepers.
--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -178,7 +178,7 @@
 	case message.IntentSync != nil:
 		coordinator.intentPlanner.handleSync(from, message.IntentSync)
 	case message.IntentNews != nil:
-		coordinator.intentDriver.handleNews(message.IntentNews)
+		coordinator.intentDriver.handleUpdate(message.IntentNews)
 	case message.ConfigWanted:
 		coordinator.notifyFollower(&configurer.VersionRequested{From: from})
 	case message.Config != nil:
--- a/pkg/coordinator/settings.go
+++ b/pkg/coordinator/settings.go
@@ -29,14 +29,14 @@
 	Starter       starter.Settings
 	Inquirer      inquirer.Settings
 	Allocator     allocator.Settings
-	// LeadSettleTime is how long a starting host waits for an announcement of a living lead before it
-	// takes a cell, so that it doesn't compete with that lead.
+	// LeadSettleTime is how long a starting host waits for an announcement of a living lead before
+	// it takes a cell, so that it doesn't compete with that lead.
 	LeadSettleTime time.Duration
-	// LeadOvertakenTime is how long a lead whose epoch was rejected waits for the lead with the higher
-	// one. Zero means LeadSettle.
+	// LeadOvertakenTime is how long a lead whose epoch was rejected waits for the lead with the
+	// higher one. Zero means LeadSettleTime.
 	LeadOvertakenTime time.Duration
-	// LeadJoinedTime is how long a starting host still waits once another host has sent it all that it
-	// knows. Zero keeps LeadSettle.
+	// LeadJoinedTime is how long a starting host still waits once another host has sent it all that
+	// it knows. Zero keeps LeadSettleTime.
 	LeadJoinedTime time.Duration
 	// JoinKeepers makes a keeper without a log wait until the others add it, instead of founding a
 	// log with the keepers that the settings name. Otherwise a keeper that lost its disk would vote
--- a/pkg/dispatcher/admission.go
+++ b/pkg/dispatcher/admission.go
@@ -14,8 +14,8 @@
 	number := messenger.CellOf(input.Job.Submission, dispatcher.Settings.Cells)
 	cell := dispatcher.cells.Get(number)
 	if cell == nil {
-		// The sender's view of the lead is outdated. It forwards the job again once it learns who leads
-		// the cell now.
+		// The sender's view of the lead is outdated. It forwards the job again once it learns who
+		// leads the cell now.
 		return
 	}
 	if known := dispatcher.jobs.Get(input.Job.Submission); known != nil {
--- a/pkg/dispatcher/answers.go
+++ b/pkg/dispatcher/answers.go
@@ -153,8 +153,8 @@
 		return
 	}
 	if cell := dispatcher.cells.Get(job.cell); cell != nil && cell.mayMissRecords() && !job.hasStarted() {
-		// An earlier lead may have answered it: a caller that has received "complete" must not receive
-		// "failed".
+		// An earlier lead may have answered it: a caller that has received "complete" must not
+		// receive "failed".
 		dispatcher.finish(job, messenger.RefuseUnknown(job.spec.Submission, reason, detail))
 		return
 	}
--- a/pkg/dispatcher/claims.go
+++ b/pkg/dispatcher/claims.go
@@ -7,7 +7,8 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// ClaimHolderAnswerWanted requests the answer of the submission that holds the claim of a not-repeatable job.
+// ClaimHolderAnswerWanted requests the answer of the submission that holds the claim of a
+// not-repeatable job.
 type ClaimHolderAnswerWanted struct {
 	Claimant identifier.SubmissionID
 	Caller   identifier.CallerID
@@ -22,7 +23,7 @@
 	Job        identifier.JobID
 }
 
-// ClaimHolderAnswered delivers the answer to a HolderWanted.
+// ClaimHolderAnswered delivers the answer to a ClaimHolderAnswerWanted.
 type ClaimHolderAnswered struct {
 	Claimant identifier.SubmissionID
 	Answer   *messenger.JobAnswer
--- a/pkg/dispatcher/confirming.go
+++ b/pkg/dispatcher/confirming.go
@@ -15,7 +15,7 @@
 
 func (*RecordsReplicated) isDispatcherInput() {}
 
-// SecondHolderWanted asks that another host of the failure domain holds the answer of a
+// SecondHolderWanted requests that another host of the failure domain hold the answer of a
 // submission.
 type SecondHolderWanted struct {
 	Submission identifier.SubmissionID
@@ -31,7 +31,7 @@
 }
 
 // resendUnconfirmedAnswer resends an answer whose replication is not confirmed and asks for another
-// host to hold it. After LoneAnswerWait it goes on without a second holder.
+// host to hold it. After UnreplicatedAnswerWait it goes on without a second holder.
 func (dispatcher *Dispatcher) resendUnconfirmedAnswer(submission identifier.SubmissionID) {
 	job := dispatcher.jobs.Get(submission)
 	if job == nil || job.state != jobFinished || job.answerReplicated {
--- a/pkg/dispatcher/dispatcher.go
+++ b/pkg/dispatcher/dispatcher.go
@@ -49,8 +49,8 @@
 	// AnswerResend is how long a lead waits for another host to hold an answer before it sends the
 	// answer again.
 	AnswerResend time.Duration
-	// UnreplicatedAnswerWait is how long backend servers must keep the task answers of a job for which no
-	// second host can be found.
+	// UnreplicatedAnswerWait is how long backend servers must keep the task answers of a job for
+	// which no second host can be found.
 	UnreplicatedAnswerWait time.Duration
 	// ServerDiscovery is how long after its start a host may still lack streams from some backend
 	// servers.
--- a/pkg/dispatcher/entities.go
+++ b/pkg/dispatcher/entities.go
@@ -23,9 +23,10 @@
 	awaitedServers map[identifier.BackendServerID]bool
 	// takenAt is when the takeover began.
 	takenAt identifier.Moment
-	// seenServers holds the replies of the hosts that have listed the backend servers they have seen.
+	// seenServers holds the replies of the hosts that have listed the backend servers they have
+	// seen.
 	seenServers map[identifier.HostID]seenServersReply
-	// takeoverAttempts counts how often the takeover's queries were sent again.
+	// takeoverAttempts counts how often the takeover's queries were resent.
 	takeoverAttempts int
 	// missingHosts could not be queried at the takeover.
 	missingHosts map[identifier.HostID]bool
@@ -57,11 +58,12 @@
 	free    freeSlots
 	// unlocated are jobs with tasks that may be on a backend server which has not reported yet.
 	unlocated []*job
-	// announcedFree is the number of free slots last announced to the leads of other failure domains,
-	// announcedAt the time of that announcement.
+	// announcedFree is the number of free slots last announced to the leads of other failure
+	// domains, announcedAt the time of that announcement.
 	announcedFree identifier.Slots
 	announcedAt   identifier.Moment
-	// slots is the number of slots of the usable servers; it is recomputed when capacityStale is set.
+	// slots is the number of slots of the usable servers; it is recomputed when capacityStale is
+	// set.
 	slots         identifier.Slots
 	capacityStale bool
 	// noServerSince is when the last usable server was lost, or Never.
@@ -87,8 +89,8 @@
 type recoveredRecord struct {
 	holder identifier.HostID
 	record messenger.CopyRecord
-	// knownSince is the record's time on this host's clock; knownAfter is a time that is provably not
-	// later than it.
+	// knownSince is the record's time on this host's clock; knownAfter is a time that is provably
+	// not later than it.
 	knownSince identifier.Moment
 	knownAfter identifier.Moment
 	keptUntil  identifier.Moment
@@ -167,14 +169,15 @@
 	deadline identifier.Moment
 	// firstForwarded is when the job was first forwarded to any lead, on this host's clock.
 	firstForwarded identifier.Moment
-	// forwardedAfter is a time that is provably not later than firstForwarded, which is computed from
-	// ages in messages and so includes their transit time.
+	// forwardedAfter is a time that is provably not later than firstForwarded, which is computed
+	// from ages in messages and so includes their transit time.
 	forwardedAfter identifier.Moment
 	// mayHaveEarlierStarts is set when an earlier lead may have started tasks of the job.
 	mayHaveEarlierStarts bool
 	// claimed is set once the claim of a not-repeatable job is granted.
 	claimed bool
-	// releasable is set when the job was refused and none of its tasks has started or will start here.
+	// releasable is set when the job was refused and none of its tasks has started or will start
+	// here.
 	releasable bool
 	// claimHolder is the other submission that holds the claim of this job.
 	claimHolder identifier.SubmissionID
--- a/pkg/dispatcher/guestqueries.go
+++ b/pkg/dispatcher/guestqueries.go
@@ -23,15 +23,15 @@
 	// TakeoverTimeout for each attempt, as long as it waits for hosts.
 	maxGuestQueryAttempts = maxTakeoverAttempts
 	// maxGuestsPerReply bounds a reply to about 5 MB at 100 bytes a record. It exceeds what a cell
-	// accepts from other failure domains within the answer retention at 70 jobs a second. A reply with
-	// this many records does not count as complete.
+	// accepts from other failure domains within the answer retention at 70 jobs a second. A reply
+	// with this many records does not count as complete.
 	maxGuestsPerReply = 50_000
 	// maxAcknowledgedPerReply bounds a reply to 4.5 MB at 9 bytes each: what 12 backend servers
 	// acknowledge within the answer retention at 70 starts a second each.
 	maxAcknowledgedPerReply = 500_000
 	// rereplicationTime is how long after a host restarted without state the other holders of its
-	// records may not have copied them elsewhere, because they are gone or cut off themselves. A loss
-	// takes 1.4 s to be noticed, and the batches of copies some seconds more.
+	// records may not have copied them elsewhere, because they are gone or cut off themselves. A
+	// loss takes 1.4 s to be noticed, and the batches of copies some seconds more.
 	rereplicationTime = 10 * time.Second
 )
 
@@ -184,8 +184,8 @@
 	dispatcher.queryGuests(cell)
 }
 
-// HostsWithoutState lists the other hosts of the failure domain that this host has recently seen restart
-// without state. A new lead that has just started itself does not know this of a host that
+// HostsWithoutState lists the other hosts of the failure domain that this host has recently seen
+// restart without state. A new lead that has just started itself does not know this of a host that
 // started earlier.
 func (dispatcher *Dispatcher) HostsWithoutState(now identifier.Moment) []identifier.HostID {
 	recent := make(map[identifier.HostID]bool)
--- a/pkg/dispatcher/guests.go
+++ b/pkg/dispatcher/guests.go
@@ -28,9 +28,9 @@
 	}
 	if input.SenderNotLive {
 		// The job may have waited on the connection since before the sender was lost, and another
-		// lead of the home, not yet known here, may have run it. Its tasks would start in two failure
-		// domains, the second time right after a network cut ends. The job is not answered either: a
-		// sender that still leads retries, and an answer could cross with the retry.
+		// lead of the home, not yet known here, may have run it. Its tasks would start in two
+		// failure domains, the second time right after a network cut ends. The job is not answered
+		// either: a sender that still leads retries, and an answer could cross with the retry.
 		return
 	}
 	job := dispatcher.newJob(cell, &JobForwarded{
--- a/pkg/dispatcher/input.go
+++ b/pkg/dispatcher/input.go
@@ -88,8 +88,8 @@
 // HostReturned reports that a host of the failure domain can be reached, possibly again.
 type HostReturned struct {
 	Host identifier.HostID
-	// WithoutState reports that the host runs a new process and that the previous one has not handed over
-	// its records.
+	// WithoutState reports that the host runs a new process and that the previous one has not
+	// handed over its records.
 	WithoutState bool
 }
 
@@ -138,8 +138,8 @@
 type ClaimDecided struct {
 	Submission identifier.SubmissionID
 	Verdict    ClaimVerdict
-	// Holder is the submission that holds the claim. It may be Submission itself, which then held the
-	// claim already.
+	// Holder is the submission that holds the claim. It may be Submission itself, which then held
+	// the claim already.
 	Holder identifier.SubmissionID
 	// HolderHome is the failure domain whose lead has the holder's answer.
 	HolderHome identifier.FailureDomain
--- a/pkg/dispatcher/limits.go
+++ b/pkg/dispatcher/limits.go
@@ -17,8 +17,8 @@
 	Queue     queuer.Settings
 	// Order ranks the jobs of one team.
 	Order queuer.Order
-	// QueueWaitRatio bounds the expected wait of a job for its first slot, as a share of the time that
-	// the job takes by itself. A job that would wait longer is refused at admission.
+	// QueueWaitRatio bounds the expected wait of a job for its first slot, as a share of the time
+	// that the job takes by itself. A job that would wait longer is refused at admission.
 	QueueWaitRatio float64
 	// QueuePatience is the share of the time until waiting jobs are due by which a new job may delay
 	// them. It lets due times rank jobs further apart than the jobs may wait.
--- a/pkg/dispatcher/overload.go
+++ b/pkg/dispatcher/overload.go
@@ -115,7 +115,7 @@
 	}
 	limits := cell.limiter.Limits(dispatcher.now, job.spec.Team)
 	settings := dispatcher.Settings.Limits
-	verdict := cell.queue.Evaluate(dispatcher.now, queuer.Candidate{
+	decision := cell.queue.Evaluate(dispatcher.now, queuer.Candidate{
 		Team:            job.spec.Team,
 		Weight:          max(limits.Weight, 1),
 		Urgent:          job.entry.Urgent,
@@ -128,13 +128,13 @@
 		MaxTeamSlots:    limits.TasksInFlight,
 	})
 	if dispatcher.startsAtOnce(cell, job, limits.TasksInFlight) {
-		verdict = queuer.AdmissionDecision{Admitted: true}
+		decision = queuer.AdmissionDecision{Admitted: true}
 	}
-	if !verdict.Admitted {
-		return refuseWait(job, verdict)
+	if !decision.Admitted {
+		return refuseWait(job, decision)
 	}
-	if job.estimate.learned && dispatcher.now.Add(verdict.Wait+job.estimate.ideal) > job.deadline {
-		return dispatcher.refuseDeadline(job, verdict.Wait)
+	if job.estimate.learned && dispatcher.now.Add(decision.Wait+job.estimate.ideal) > job.deadline {
+		return dispatcher.refuseDeadline(job, decision.Wait)
 	}
 	return nil
 }
@@ -151,11 +151,11 @@
 	return ceiling <= 0 || inFlight <= ceiling
 }
 
-func refuseWait(job *job, verdict queuer.AdmissionDecision) *messenger.JobAnswer {
+func refuseWait(job *job, decision queuer.AdmissionDecision) *messenger.JobAnswer {
 	refusal := messenger.Refuse(job.spec.Submission, messenger.ReasonQueueFull, fmt.Sprintf(
 		"the job would wait about %v for a slot and takes about %v itself; the team's share of the slots is taken",
-		verdict.Wait.Round(time.Millisecond), job.estimate.ideal.Round(time.Millisecond)))
-	refusal.RetryAfter = clampRetryAfter(verdict.RetryAfter)
+		decision.Wait.Round(time.Millisecond), job.estimate.ideal.Round(time.Millisecond)))
+	refusal.RetryAfter = clampRetryAfter(decision.RetryAfter)
 	return refusal
 }
 
--- a/pkg/dispatcher/remotes.go
+++ b/pkg/dispatcher/remotes.go
@@ -12,13 +12,13 @@
 	// RoundTrip and Margin together are the wait at home above which a job is handed over.
 	RoundTrip time.Duration
 	Margin    time.Duration
-	// SpareShare is how many slots the other lead must have free beyond the job's tasks, as a share of
-	// the home's slots.
+	// SpareShare is how many slots the other lead must have free beyond the job's tasks, as a share
+	// of the home's slots.
 	SpareShare float64
 	// NoticeInterval is the minimum time between two load notices of a cell.
 	NoticeInterval time.Duration
-	// RecordWait is how long a second host may take to record that a job is handed over before the job
-	// stays at home.
+	// RecordWait is how long a second host may take to record that a job is handed over before the
+	// job stays at home.
 	RecordWait time.Duration
 	// QueryInterval is the interval at which the home asks for a job that was handed over.
 	QueryInterval time.Duration
--- a/pkg/dispatcher/seenservers.go
+++ b/pkg/dispatcher/seenservers.go
@@ -14,8 +14,8 @@
 	servers       []identifier.BackendServerID
 }
 
-// AddSeenServers adds to a reply the backend servers that this host may have sent tasks to as a lead, and
-// how long its process has run.
+// AddSeenServers adds to a reply the backend servers that this host may have sent tasks to as a
+// lead, and how long its process has run.
 func (dispatcher *Dispatcher) AddSeenServers(reply *messenger.TakeoverReply) {
 	if dispatcher.servers == nil {
 		return
@@ -44,7 +44,7 @@
 // must have started before that time, since an earlier process of the host could have led and can
 // no longer be asked.
 //
-// In a recently started cluster, a lead that stood still and was replaced would otherwise leave
+// In a recently started cluster, a lead that was paused and replaced would otherwise leave
 // jobs that no host has started and of which no host knows whether they started. They would end as
 // unknown although no host and no backend server was lost.
 func (dispatcher *Dispatcher) allSeenServersKnown(cell *cell, since identifier.Moment) bool {
--- a/pkg/dispatcher/spilling.go
+++ b/pkg/dispatcher/spilling.go
@@ -112,8 +112,8 @@
 	}})
 }
 
-// expireSpill keeps a job at home if its record was not confirmed, and asks again for a job that
-// was handed over.
+// expireSpill keeps a job at home if its record was not confirmed, and resends the query for a job
+// that was handed over.
 func (dispatcher *Dispatcher) expireSpill(submission identifier.SubmissionID) {
 	job := dispatcher.jobs.Get(submission)
 	switch {
--- a/pkg/dispatcher/takeover.go
+++ b/pkg/dispatcher/takeover.go
@@ -13,8 +13,8 @@
 // leads, and report its tasks.
 func (dispatcher *Dispatcher) handleLeadTaken(input *LeadTaken) {
 	// A lead that backend servers refused takes its cell again under a higher epoch. Its jobs are
-	// forwarded to it again, as to any other lead. If they were kept, they would refer to a queue that
-	// no longer exists.
+	// forwarded to it again, as to any other lead. If they were kept, they would refer to a queue
+	// that no longer exists.
 	dispatcher.handleLeadLost(&LeadLost{Cell: input.Cell})
 	cell := &cell{
 		number:            input.Cell,
@@ -161,8 +161,8 @@
 		return
 	}
 	// A server that was notified twice of the lead reports twice. Only the first report precedes
-	// everything that was started since. The second may have been in transit when a start was sent, so
-	// a task that is missing from it may still run.
+	// everything that was started since. The second may have been in transit when a start was sent,
+	// so a task that is missing from it may still run.
 	if dispatcher.requestReportAgain(cell, server, input) {
 		return
 	}
--- a/pkg/placer/load.go
+++ b/pkg/placer/load.go
@@ -23,22 +23,22 @@
 	Work int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// WorkerCapacities returns the capacity of each worker. A worker that accepts no new tasks has nothing
-// free.
+// WorkerCapacities returns the capacity of each worker. A worker that accepts no new tasks has
+// nothing free.
 func (placer *Placer[P]) WorkerCapacities() []WorkerCapacity {
-	var rooms []WorkerCapacity
+	var capacities []WorkerCapacity
 	for position := range placer.fleet.workers {
 		workerState := &placer.fleet.workers[position]
 		if !workerState.present {
 			continue
 		}
-		room := WorkerCapacity{Rack: workerState.worker.Rack, Capacity: workerState.worker.Capacity}
+		worker := WorkerCapacity{Rack: workerState.worker.Rack, Capacity: workerState.worker.Capacity}
 		if workerState.usable {
-			room.Free = placer.fleet.Free(position)
+			worker.Free = placer.fleet.Free(position)
 		}
-		rooms = append(rooms, room)
+		capacities = append(capacities, worker)
 	}
-	return rooms
+	return capacities
 }
 
 // Loads returns the load of each urgency at now.
--- a/pkg/placer/tree.go
+++ b/pkg/placer/tree.go
@@ -14,10 +14,10 @@
 }
 
 // set stores the resources of a position.
-func (tree *maxTree) set(position int, room identifier.Resources) {
+func (tree *maxTree) set(position int, resources identifier.Resources) {
 	tree.grow(position + 1)
 	node := tree.size + position
-	tree.nodes[node] = room
+	tree.nodes[node] = resources
 	for node /= 2; node >= 1; node /= 2 {
 		higher := tree.nodes[2*node].Max(tree.nodes[2*node+1])
 		if higher == tree.nodes[node] {
--- a/pkg/queuer/admission.go
+++ b/pkg/queuer/admission.go
@@ -54,23 +54,23 @@
 		before += team.backlogs.workBefore(now, candidate)
 	}
 	fair, free := queue.capacities(now, team, candidate)
-	verdict := team.fits(now, candidate, before, fair)
-	if verdict.Admitted {
-		return verdict
+	decision := team.fits(now, candidate, before, fair)
+	if decision.Admitted {
+		return decision
 	}
 	if !queue.overloaded(now, candidate.Slots) {
 		candidate.MaxDelay = scale(candidate.MaxDelay, queue.Settings.NormalWaitFactor)
 		return queue.fitsAllSlots(now, candidate)
 	}
 	if free <= fair {
-		return verdict
+		return decision
 	}
 	candidate.MaxDelay = scale(candidate.MaxDelay, queue.Settings.OverloadWaitFactor)
-	verdict = team.fits(now, candidate, before, free)
+	decision = team.fits(now, candidate, before, free)
 	if whole := queue.fitsAllSlots(now, candidate); !whole.Admitted {
 		return whole
 	}
-	return verdict
+	return decision
 }
 
 // overloaded reports whether more work is offered than the slots can do. In this case
@@ -83,31 +83,31 @@
 // fitsAllSlots reports whether all slots together can finish the work of all teams that
 // is due before the job in time.
 func (queue *Queue[P, O]) fitsAllSlots(now identifier.Moment, candidate Candidate) AdmissionDecision {
-	verdict := AdmissionDecision{Admitted: true}
-	verdict.Wait = divide(queue.backlogs.workBefore(now, candidate), float64(max(candidate.Slots, 1)))
-	if late := verdict.Wait - candidate.MaxDelay; late > 0 {
-		verdict.Admitted = false
-		verdict.RetryAfter = late
+	decision := AdmissionDecision{Admitted: true}
+	decision.Wait = divide(queue.backlogs.workBefore(now, candidate), float64(max(candidate.Slots, 1)))
+	if late := decision.Wait - candidate.MaxDelay; late > 0 {
+		decision.Admitted = false
+		decision.RetryAfter = late
 	}
-	return verdict
+	return decision
 }
 
 // fits reports whether the job can be served in time by the given number of slots, when
 // the slot time before goes ahead of it.
 func (team *team[P]) fits(now identifier.Moment, candidate Candidate, before time.Duration, capacity float64) AdmissionDecision {
-	verdict := AdmissionDecision{Admitted: true, Wait: divide(before, capacity)}
+	decision := AdmissionDecision{Admitted: true, Wait: divide(before, capacity)}
 	if before == 0 {
-		return verdict
+		return decision
 	}
-	late := max(verdict.Wait, divide(before+candidate.Work, capacity)-candidate.Ideal) - candidate.MaxDelay
+	late := max(decision.Wait, divide(before+candidate.Work, capacity)-candidate.Ideal) - candidate.MaxDelay
 	if late <= 0 && team.backlogs.of(candidate.Urgent).delaysLaterJobs(now, candidate.Due, before+candidate.Work, capacity*candidate.MaxWaitFraction) {
 		late = divide(candidate.Work, capacity)
 	}
 	if late > 0 {
-		verdict.Admitted = false
-		verdict.RetryAfter = late
+		decision.Admitted = false
+		decision.RetryAfter = late
 	}
-	return verdict
+	return decision
 }
 
 // maxOfferedRatio caps the rate of offered work as a multiple of the slots, so that the
--- a/pkg/queuer/queue.go
+++ b/pkg/queuer/queue.go
@@ -68,7 +68,7 @@
 	work        time.Duration
 	// weights is the sum of the active teams' weights.
 	weights int
-	// offered is the rate of the work passed to Assess, admitted that of the work pushed.
+	// offered is the rate of the work passed to Evaluate, admitted that of the work pushed.
 	offered  decayingRate
 	admitted decayingRate
 	backlogs backlogs
