--- a/pkg/allocator/backfill_test.go
+++ b/pkg/allocator/backfill_test.go
@@ -12,10 +12,10 @@
 	{"lookup", 0.689, 2, 200 * time.Millisecond},
 }
 
-// TestRoomBehindTasksThatFitNowhere guards against capacity that stays free because the first
+// TestCapacityBehindTasksThatFitNowhere guards against capacity that stays free because the first
 // waiting jobs fit nowhere: 58 servers get load of up to a fifth more than their capacity, of tasks
 // that fill half of a server or a third, and the sizes vary by a fifth.
-func TestRoomBehindTasksThatFitNowhere(t *testing.T) {
+func TestCapacityBehindTasksThatFitNowhere(t *testing.T) {
 	const perJob = 0.236*8*0.06 + 0.075*4*0.9 + 0.689*2*0.2
 	const servers, tasksPerServer = 58, 7.0 / 3
 	for _, want := range []struct{ share, worth float64 }{{1.0, 0.895}, {1.2, 0.805}} {
--- a/pkg/allocator/evacuating_test.go
+++ b/pkg/allocator/evacuating_test.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestEvacuationTellsOfNoRoom guards against other leads that hand jobs to an evacuated failure
-// domain.
-func TestEvacuationTellsOfNoRoom(t *testing.T) {
+// TestEvacuationAnnouncesNoCapacity guards against other leads that hand jobs to an evacuated
+// failure domain.
+func TestEvacuationAnnouncesNoCapacity(t *testing.T) {
 	load := newLoadOf(2, 4)
 	load.simulate(20, time.Second)
 	for _, want := range []struct {
--- a/pkg/allocator/messages.go
+++ b/pkg/allocator/messages.go
@@ -112,7 +112,7 @@
 	Kind   EndKind
 }
 
-// PollReturned carries the answer to a HoldServer.
+// PollReturned carries the answer to a PollServer.
 type PollReturned struct {
 	Server identifier.ServerIncarnation
 	// Answering is the incarnation that answered, if the answer names it.
--- a/pkg/allocator/planning.go
+++ b/pkg/allocator/planning.go
@@ -62,8 +62,8 @@
 }
 
 // toleratedLateness divides a job's time into the part, a quarter, by which the job may be late, as
-// predicted, and still be admitted. Predictions rest on declared times that are off by two fifths, and most
-// jobs with a slight predicted lateness are in time.
+// predicted, and still be admitted. Predictions rest on declared times that are off by two fifths,
+// and most jobs with a slight predicted lateness are in time.
 const toleratedLateness = 4
 
 // tasksAhead counts the queued tasks of the jobs that come before a job.
--- a/pkg/allocator/resizing_test.go
+++ b/pkg/allocator/resizing_test.go
@@ -8,12 +8,12 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// TestRoomThatShrinksIsToldToTheNextLead guards against a start that exceeds a server's capacity
+// TestShrunkCapacityIsReportedToTheNextLead guards against a start that exceeds a server's capacity
 // seconds after it has shrunk: a heartbeat reports a smaller capacity to the lead, the lead is
 // lost, and the next lead places by the server's first report until the next heartbeat. This
 // happens if only the first report and the last one are broadcast. A capacity that changes with
 // each heartbeat is broadcast once.
-func TestRoomThatShrinksIsToldToTheNextLead(t *testing.T) {
+func TestShrunkCapacityIsReportedToTheNextLead(t *testing.T) {
 	lead := &allocator.Allocator{FailureDomain: "leuven", Settings: allocator.DefaultSettings()}
 	report := messenger.ServerReport{
 		Server: "s1", Service: "desk", Address: "s1", FailureDomain: "leuven", Sequence: 1, Capacity: identifier.Resources{MilliCPU: 32000},
--- a/pkg/assessor/assessor.go
+++ b/pkg/assessor/assessor.go
@@ -35,10 +35,10 @@
 	// MaxEjectedFraction is the largest fraction of all slots that may be ejected.
 	MaxEjectedFraction float64
 	// EjectionTime is how long the first ejection lasts. Each further ejection before a
-	// full recovery lasts twice as long as the previous one, up to EjectWaitMax.
+	// full recovery lasts twice as long as the previous one, up to MaxEjectionTime.
 	EjectionTime    time.Duration
 	MaxEjectionTime time.Duration
-	// SlowThreshold and SlowEjectAt are base 2 logarithms of observed over expected
+	// SlowThreshold and SlowEjectThreshold are base 2 logarithms of observed over expected
 	// run time. Above the first the allowance shrinks, from the second on the server
 	// is ejected.
 	SlowThreshold      float64
--- a/pkg/claimer/requester.go
+++ b/pkg/claimer/requester.go
@@ -12,7 +12,7 @@
 
 // RequesterSettings holds the timeouts of a claim.
 type RequesterSettings struct {
-	// Resend is the time without an answer after which the claim is sent again, to the
+	// Resend is the time without an answer after which the claim is resent, to the
 	// next keeper.
 	Resend time.Duration
 	// GiveUp is the time after which a claim without an answer counts as unavailable.
--- a/pkg/forwarder/output.go
+++ b/pkg/forwarder/output.go
@@ -86,7 +86,7 @@
 	Reply messenger.LookupReply
 }
 
-// HolderAnswered answers a HolderAsked.
+// HolderAnswered answers a ClaimHolderQueried.
 type HolderAnswered struct {
 	Claimant identifier.SubmissionID
 	Answer   *messenger.JobAnswer
--- a/pkg/forwarder/replicas.go
+++ b/pkg/forwarder/replicas.go
@@ -25,7 +25,7 @@
 	// always fits.
 	BatchRecords int
 	BatchBytes   int
-	// Resend is how long to wait for a receipt before a replica is sent again.
+	// Resend is how long to wait for a receipt before a replica is resent.
 	Resend time.Duration
 }
 
@@ -69,8 +69,8 @@
 	forwarder.timers.Set(timerKey{kind: timerReplicas}, due)
 }
 
-// UnreplicatedRecords returns how many records have still to be copied to another host; zero if no other
-// host of the failure domain lives.
+// UnreplicatedRecords returns how many records have still to be copied to another host; zero if no
+// other host of the failure domain lives.
 func (forwarder *Forwarder) UnreplicatedRecords() int {
 	if forwarder.replications == nil || forwarder.secondHost("") == "" {
 		return 0
--- a/pkg/gossiper/gossiper.go
+++ b/pkg/gossiper/gossiper.go
@@ -19,8 +19,8 @@
 // Gossiper is one host's view of the others. Set the exported fields, then call Tick whenever
 // NextDeadline is due or an input arrives.
 type Gossiper struct {
-	// Self describes this host. Its incarnation is raised when a peer knows a higher or a conflicting
-	// one.
+	// Self describes this host. Its incarnation is raised when a peer knows a higher or a
+	// conflicting one.
 	Self Member
 	// Seeds are the hosts known from the settings. Only Host and Addresses.Peers are used; an entry
 	// for Self is ignored.
@@ -152,8 +152,8 @@
 	gossiper.updateDigest(self)
 	gossiper.nextFlush = identifier.Never
 	gossiper.enqueueRumor(memberRumor(gossiper.Self.Host), originated)
-	// The first probes are at random times, so that hosts that start together do not go on probing at
-	// the same moments.
+	// The first probes are at random times, so that hosts that start together do not go on probing
+	// at the same moments.
 	settings := gossiper.Settings
 	gossiper.nextLocalProbe = gossiper.randomMoment(settings.LocalProbeInterval)
 	gossiper.nextRemoteProbe = gossiper.randomMoment(settings.RemoteProbeInterval)
--- a/pkg/gossiper/inputs.go
+++ b/pkg/gossiper/inputs.go
@@ -23,8 +23,8 @@
 	Value []byte
 }
 
-// ClusterRecordPublished publishes a cluster-wide record with a version that the caller assigns. It is
-// ignored unless its version is above the known one.
+// ClusterRecordPublished publishes a cluster-wide record with a version that the caller assigns. It
+// is ignored unless its version is above the known one.
 type ClusterRecordPublished struct{ Record Record }
 
 // LeaveRequested makes this host announce that it leaves. It goes on answering until its process
--- a/pkg/gossiper/network_test.go
+++ b/pkg/gossiper/network_test.go
@@ -174,8 +174,8 @@
 	net.now = end
 }
 
-// tick passes inputs to a node. A late node gets timers and messages late, because both are scheduled
-// with its lateness.
+// tick passes inputs to a node. A late node gets timers and messages late, because both are
+// scheduled with its lateness.
 func (net *network) tick(current *node, inputs ...Input) {
 	outputs := current.gossiper.Tick(current.local(net.now), inputs)
 	for _, output := range outputs {
--- a/pkg/gossiper/sync.go
+++ b/pkg/gossiper/sync.go
@@ -7,9 +7,9 @@
 )
 
 // A digest that differs adds mismatchWeight, one that agrees subtracts one, and the whole state is
-// compared at mismatchLimit: a single difference is usually an update that is still on its way. Where
-// hosts persistently disagree, those of the smaller part meet a difference at least every second
-// time, so that their count grows even though they agree among themselves.
+// compared at mismatchLimit: a single difference is usually an update that is still on its way.
+// Where hosts persistently disagree, those of the smaller part meet a difference at least every
+// second time, so that their count grows even though they agree among themselves.
 const (
 	mismatchWeight = 2
 	mismatchLimit  = 6
@@ -19,8 +19,8 @@
 // each host of a returning failure domain would start one.
 const returnSyncInterval = time.Second
 
-// compareDigest starts a comparison of the whole state with a host whose digest keeps differing. This
-// repairs whatever the updates missed because of lost messages or partitions.
+// compareDigest starts a comparison of the whole state with a host whose digest keeps differing.
+// This repairs whatever the updates missed because of lost messages or partitions.
 func (gossiper *Gossiper) compareDigest(host identifier.HostID, digest uint64) {
 	entity := gossiper.members.Get(host)
 	if entity == nil {
--- a/pkg/identifier/incarnations.go
+++ b/pkg/identifier/incarnations.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// ServerIncarnation identifies one incarnation of a called backend server: the server's id and, if the
-// server reports it, its start time. Incarnations are compared for equality only: a machine's clock may
-// step back, so a later start need not have a later time.
+// ServerIncarnation identifies one incarnation of a called backend server: the server's id and, if
+// the server reports it, its start time. Incarnations are compared for equality only: a machine's
+// clock may step back, so a later start need not have a later time.
 type ServerIncarnation string
 
 // incarnationSeparator can't occur in a server's id.
@@ -21,7 +21,8 @@
 	return ServerIncarnation(string(server) + incarnationSeparator + strconv.FormatInt(int64(startedAt), 10))
 }
 
-// IncarnationWithoutStartTime returns the incarnation of a server that doesn't report its start time.
+// IncarnationWithoutStartTime returns the incarnation of a server that doesn't report its start
+// time.
 func IncarnationWithoutStartTime(server BackendServerID) ServerIncarnation {
 	return ServerIncarnation(server)
 }
--- a/pkg/inquirer/messages.go
+++ b/pkg/inquirer/messages.go
@@ -8,7 +8,8 @@
 // Input is a message or event that Tick applies.
 type Input interface{ isInquirerInput() }
 
-// CapacityRequested delivers a request that the lead of the job's home has not referred to this cell.
+// CapacityRequested delivers a request that the lead of the job's home has not referred to this
+// cell.
 type CapacityRequested struct {
 	From    identifier.HostID
 	Request messenger.CapacityRequest
--- a/pkg/journaler/fuzz_test.go
+++ b/pkg/journaler/fuzz_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// checkRecovered checks the state that Open recovered. From now on it counts as acknowledged, because
-// the opener of the journal acts on it.
+// checkRecovered checks the state that Open recovered. From now on it counts as acknowledged,
+// because the opener of the journal acts on it.
 func (test *machine) checkRecovered(t *rapid.T, recovered journaler.Recovered) {
 	found := modelOf(recovered)
 	for _, possible := range test.possible {
--- a/pkg/keeper/messages.go
+++ b/pkg/keeper/messages.go
@@ -59,7 +59,7 @@
 	Term   identifier.Term
 }
 
-// History answers a HistoryWanted.
+// History answers a HistoryRequested.
 type History struct {
 	Waiter   uint64
 	Versions []configurer.Version
--- a/pkg/starter/messages.go
+++ b/pkg/starter/messages.go
@@ -82,7 +82,7 @@
 	Result messenger.StartResult
 }
 
-// StartReturned delivers the result of a start that this host requested by RunWanted.
+// StartReturned delivers the result of a start that this host requested by StartRequested.
 type StartReturned struct{ Returned supervisor.StartReturned }
 
 func (*CallServer) isStarterOutput()    {}
--- a/pkg/starter/starter.go
+++ b/pkg/starter/starter.go
@@ -22,9 +22,9 @@
 
 // Settings holds the connection limits of the starters and the timeout of their orders.
 type Settings struct {
-	// HostConnections is how many connections one starter opens to one server. FewConnections
-	// applies instead if the failure domain has so few hosts that each may open more: a call whose
-	// answer is lost blocks its connection while other calls wait for it.
+	// HostConnections is how many connections one starter opens to one server.
+	// SmallDomainConnections applies instead if the failure domain has so few hosts that each may
+	// open more: a call whose answer is lost blocks its connection while other calls wait for it.
 	HostConnections        int
 	SmallDomainConnections int
 	// LeadConnections is how many of a server's connections are reserved for the calls of its lead
@@ -165,7 +165,8 @@
 	starter.emit(&CallServer{Start: start, For: caller, Connections: starter.connectionLimit(start)})
 }
 
-// startFromOrder returns the start that another host has ordered for a server in this failure domain.
+// startFromOrder returns the start that another host has ordered for a server in this failure
+// domain.
 func (starter *Starter) startFromOrder(order *messenger.StartOrder) *supervisor.StartRun {
 	return &supervisor.StartRun{
 		Server: order.Server, FailureDomain: starter.FailureDomain, Service: order.Service, Address: order.Address, Run: order.RunKey, Epoch: order.Epoch, LeaseEnd: order.LeaseEnd, Payload: order.Payload,
--- a/pkg/supervisor/messages.go
+++ b/pkg/supervisor/messages.go
@@ -85,7 +85,8 @@
 // EvacuationsChanged reports the failure domains in which no run may be started from now on.
 type EvacuationsChanged struct{ Evacuated messenger.EvacuatedDomains }
 
-// ShutdownStarted reports that this host is about to shut down, whether or not jobs are still running.
+// ShutdownStarted reports that this host is about to shut down, whether or not jobs are still
+// running.
 type ShutdownStarted struct{}
 
 func (*EvacuationsChanged) isSupervisorInput() {}
