--- a/pkg/allocator/admission.go
+++ b/pkg/allocator/admission.go
@@ -129,8 +129,8 @@
 		return false
 	}
 	job.granted = true
-	for _, held := range job.request.ActiveRuns {
-		allocator.adopt(job, held)
+	for _, activeRun := range job.request.ActiveRuns {
+		allocator.adopt(job, activeRun)
 	}
 	for index := range job.tasks {
 		if task := &job.tasks[index]; task.run == nil && !task.done {
@@ -148,34 +148,34 @@
 // What this host knew of the server before is no proof: another lead with a higher epoch may have
 // started the run there since. The task would run twice, and the log would show a run that was
 // adopted as "not listed" and ends well.
-func (allocator *Allocator) adopt(job *job, held messenger.ActiveRun) {
-	key := messenger.RunKey{Job: job.request.Job, Task: held.TaskRequest.Task, Run: held.Run}
-	task := job.task(held.TaskRequest.Task)
-	if end := allocator.unmatchedEnds.Get(unmatchedEnd{server: held.Server, run: key}); end != nil {
-		allocator.logAdopted(key, held.Server, "ended: "+end.String())
+func (allocator *Allocator) adopt(job *job, activeRun messenger.ActiveRun) {
+	key := messenger.RunKey{Job: job.request.Job, Task: activeRun.TaskRequest.Task, Run: activeRun.Run}
+	task := job.task(activeRun.TaskRequest.Task)
+	if end := allocator.unmatchedEnds.Get(unmatchedEnd{server: activeRun.Server, run: key}); end != nil {
+		allocator.logAdopted(key, activeRun.Server, "ended: "+end.String())
 		if *end == EndDone {
 			task.done = true
 			allocator.emit(&NotifyDone{To: job.from, Done: messenger.TaskDone{RunKey: key}})
 		}
 		return
 	}
-	server := allocator.servers.Get(held.Server)
+	server := allocator.servers.Get(activeRun.Server)
 	if server == nil {
-		server = allocator.joinUnannounced(job, held)
+		server = allocator.joinUnannounced(job, activeRun)
 	}
 	known := server.runs[key]
 	if known != nil {
-		allocator.logAdopted(key, held.Server, "listed")
+		allocator.logAdopted(key, activeRun.Server, "listed")
 		server.used = server.used.Sub(known.needs)
 	} else {
-		allocator.logAdopted(key, held.Server, server.knownState())
-		known = &run{key: key, server: held.Server, job: job, grantedAt: allocator.now, absentAfter: allocator.now}
+		allocator.logAdopted(key, activeRun.Server, server.knownState())
+		known = &run{key: key, server: activeRun.Server, job: job, grantedAt: allocator.now, absentAfter: allocator.now}
 		server.runs[key] = known
 		allocator.assumeOtherLeases(server)
 	}
-	known.needs = held.TaskRequest.Needs
+	known.needs = activeRun.TaskRequest.Needs
 	allocator.assignRun(known, job)
-	known.setExpectedTime(allocator.now, allocator.estimates.expectedRunTime(job.request.Queue, held.TaskRequest.Declared))
+	known.setExpectedTime(allocator.now, allocator.estimates.expectedRunTime(job.request.Queue, activeRun.TaskRequest.Declared))
 	allocator.timers.Set(overdueTimer(known), allocator.now.Add(known.overdueAfter(slowAfter)))
 	server.used = server.used.Add(known.needs)
 	if task.account.IsSuspect() {
--- a/pkg/allocator/jobs.go
+++ b/pkg/allocator/jobs.go
@@ -136,9 +136,9 @@
 	for _, requested := range request.Tasks {
 		created.tasks = append(created.tasks, task{requested: requested, account: allocator.accountOf(request.Job, requested)})
 	}
-	for _, held := range request.ActiveRuns {
-		created.tasks = append(created.tasks, task{requested: held.TaskRequest, account: allocator.accountOf(request.Job, held.TaskRequest)})
-		created.lastRun = max(created.lastRun, held.Run)
+	for _, activeRun := range request.ActiveRuns {
+		created.tasks = append(created.tasks, task{requested: activeRun.TaskRequest, account: allocator.accountOf(request.Job, activeRun.TaskRequest)})
+		created.lastRun = max(created.lastRun, activeRun.Run)
 	}
 	allocator.schedule(created)
 	allocator.jobs.Put(request.Job, created)
--- a/pkg/allocator/reports.go
+++ b/pkg/allocator/reports.go
@@ -162,11 +162,11 @@
 // joinUnannounced adds a backend server that only a job's host has named, since an earlier lead
 // knew it. Its capacity is unknown, so it gets no start until it has reported itself; it is called
 // to find out what became of the run.
-func (allocator *Allocator) joinUnannounced(job *job, held messenger.ActiveRun) *server {
+func (allocator *Allocator) joinUnannounced(job *job, activeRun messenger.ActiveRun) *server {
 	allocator.join(&messenger.ServerReport{
-		Server: held.Server, Service: job.request.Service, Address: held.Address, FailureDomain: allocator.FailureDomain,
+		Server: activeRun.Server, Service: job.request.Service, Address: activeRun.Address, FailureDomain: allocator.FailureDomain,
 	})
-	return allocator.servers.Get(held.Server)
+	return allocator.servers.Get(activeRun.Server)
 }
 
 func (allocator *Allocator) scheduleForget(server *server) {
--- a/pkg/allocator/servers_test.go
+++ b/pkg/allocator/servers_test.go
@@ -9,12 +9,12 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// TestWhatIsFixedForALife guards against a working backend server that counts as gone, so that its
-// tasks run twice, and against a task that starts on a server of another service. Both come about
-// if a second writer sends a heartbeat under the id of a living server, with another address or
-// service, and the lead adopts from each heartbeat what is fixed for an incarnation: calls go to
-// that address from then on, and whoever is there denies the id.
-func TestWhatIsFixedForALife(t *testing.T) {
+// TestReportFixedForAnIncarnation guards against a working backend server that counts as gone, so
+// that its tasks run twice, and against a task that starts on a server of another service. Both
+// come about if a second writer sends a heartbeat under the id of a living server, with another
+// address or service, and the lead adopts from each heartbeat what is fixed for an incarnation:
+// calls go to that address from then on, and whoever is there denies the id.
+func TestReportFixedForAnIncarnation(t *testing.T) {
 	created := &allocator.Allocator{FailureDomain: "leuven", Settings: allocator.DefaultSettings()}
 	tick := func(at time.Duration, inputs ...allocator.Input) []allocator.Output {
 		return created.Tick(identifier.Moment(at), inputs)
--- a/pkg/allocator/unclaimed.go
+++ b/pkg/allocator/unclaimed.go
@@ -94,8 +94,8 @@
 
 // namesRun reports whether a request names a run.
 func namesRun(request *messenger.CapacityRequest, run *run) bool {
-	return slices.ContainsFunc(request.ActiveRuns, func(held messenger.ActiveRun) bool {
-		return held.TaskRequest.Task == run.key.Task && held.Run == run.key.Run && held.Server == run.server
+	return slices.ContainsFunc(request.ActiveRuns, func(activeRun messenger.ActiveRun) bool {
+		return activeRun.TaskRequest.Task == run.key.Task && activeRun.Run == run.key.Run && activeRun.Server == run.server
 	})
 }
 
--- a/pkg/claimer/requester.go
+++ b/pkg/claimer/requester.go
@@ -121,9 +121,9 @@
 func (requester *Requester) apply(input Input) {
 	switch input := input.(type) {
 	case *ClaimRequested:
-		requester.handleWanted(input.Claim)
+		requester.handleClaimRequested(input.Claim)
 	case *ReleaseRequested:
-		requester.handleReleased(input.Release)
+		requester.handleReleaseRequested(input.Release)
 	case *KeepersChanged:
 		requester.handleKeepersChanged(input.Keepers)
 	case *Decided:
@@ -149,15 +149,15 @@
 	})
 }
 
-func (requester *Requester) handleWanted(claim Claim) {
+func (requester *Requester) handleClaimRequested(claim Claim) {
 	pending := &pendingClaim{claim: claim, giveUpAt: requester.now.Add(requester.Settings.GiveUp)}
 	requester.pending.Put(claim.Submission, pending)
 	requester.addToBatch(pending)
 }
 
-// handleReleased gives up a claim. One that is still pending may be granted after its
+// handleReleaseRequested gives up a claim. One that is still pending may be granted after its
 // release; that is then reported as a late grant.
-func (requester *Requester) handleReleased(release Release) {
+func (requester *Requester) handleReleaseRequested(release Release) {
 	if pending := requester.pending.Get(release.Submission); pending != nil {
 		requester.pending.Remove(release.Submission)
 		requester.watchLateGrant(pending)
--- a/pkg/configurer/follower.go
+++ b/pkg/configurer/follower.go
@@ -121,7 +121,7 @@
 func (follower *Follower) apply(input Input) {
 	switch input := input.(type) {
 	case *VersionAnnounced:
-		follower.handleVersionSeen(input)
+		follower.handleVersionAnnounced(input)
 	case *VersionFetched:
 		follower.adopt(input.Version)
 	case *VersionRequested:
@@ -131,8 +131,8 @@
 	}
 }
 
-// handleVersionSeen records which host has a newer version and fetches it at once.
-func (follower *Follower) handleVersionSeen(input *VersionAnnounced) {
+// handleVersionAnnounced records which host has a newer version and fetches it at once.
+func (follower *Follower) handleVersionAnnounced(input *VersionAnnounced) {
 	if input.Version <= follower.inForce.Version || input.Version < follower.newest {
 		return
 	}
--- a/pkg/dispatcher/admission.go
+++ b/pkg/dispatcher/admission.go
@@ -102,7 +102,7 @@
 }
 
 // refuseUnlessSpilled returns a refusal for a fresh job that can be served neither here nor in
-// another failure domain, or nil. A job that is handed over still counts toward its team's rate.
+// another failure domain, or nil. A spilled job still counts toward its team's rate.
 func (dispatcher *Dispatcher) refuseUnlessSpilled(cell *cell, job *job) *messenger.JobAnswer {
 	if refusal := dispatcher.refuseGuest(cell, job); refusal != nil {
 		return refusal
--- a/pkg/dispatcher/evacuating.go
+++ b/pkg/dispatcher/evacuating.go
@@ -20,7 +20,7 @@
 	return dispatcher.evacuations.Has(dispatcher.FailureDomain)
 }
 
-// evacuateQueue hands over the jobs that wait in an evacuated failure domain. A job that no other
+// evacuateQueue spills the jobs that wait in an evacuated failure domain. A job that no other
 // failure domain accepts ends at once, as not run if none of its tasks can have started.
 func (dispatcher *Dispatcher) evacuateQueue(cell *cell) {
 	for entry := cell.queue.Next(); entry != nil; entry = cell.queue.Next() {
--- a/pkg/dispatcher/guestqueries.go
+++ b/pkg/dispatcher/guestqueries.go
@@ -13,7 +13,7 @@
 // A lead that misses two hosts, which may be the only ones that know a submission, queries the
 // leads of the other failure domains for the jobs of its home that they have accepted (guests).
 //
-// Without this query it would mistake the resubmission of a job that was handed over for a new
+// Without this query it would mistake the resubmission of a spilled job for a new
 // job and start it at home: tasks of one submission would run in two failure domains. The replies
 // are merged with the records of the takeover. A job that another lead has accepted is requested
 // from that lead before any of its tasks starts here.
--- a/pkg/dispatcher/input.go
+++ b/pkg/dispatcher/input.go
@@ -57,7 +57,7 @@
 	SenderNotLive bool
 }
 
-// SpillAnswered delivers the answer of a job that was handed over.
+// SpillAnswered delivers the answer of a spilled job.
 type SpillAnswered struct {
 	From   identifier.HostID
 	Answer *messenger.JobAnswer
--- a/pkg/dispatcher/output.go
+++ b/pkg/dispatcher/output.go
@@ -75,7 +75,7 @@
 }
 
 // RecordSpill asks a second host, one of Holders or any other of the failure domain, to record
-// that a job is about to be handed over.
+// that a job is about to be spilled.
 type RecordSpill struct {
 	Holders []identifier.HostID
 	Record  messenger.CopyRecord
@@ -99,7 +99,7 @@
 	Submission identifier.SubmissionID
 }
 
-// CancelSpill cancels a job that was handed over.
+// CancelSpill cancels a spilled job.
 type CancelSpill struct {
 	To     identifier.HostID
 	Cancel messenger.Cancel
--- a/pkg/dispatcher/recovery.go
+++ b/pkg/dispatcher/recovery.go
@@ -51,7 +51,7 @@
 	dispatcher.resume(cell, job, unmatched)
 }
 
-// querySpilled queries another failure domain for a job that an earlier lead may have handed over.
+// querySpilled queries another failure domain for a job that an earlier lead may have spilled.
 // Nothing of it is started there or here before the reply: the earlier lead may have received a
 // refusal and started the job at home.
 func (dispatcher *Dispatcher) querySpilled(job *job, spilledTo identifier.FailureDomain) {
--- a/pkg/dispatcher/remotes.go
+++ b/pkg/dispatcher/remotes.go
@@ -9,7 +9,7 @@
 
 // SpillSettings configures when a job is handed to another failure domain.
 type SpillSettings struct {
-	// RoundTrip and Margin together are the wait at home above which a job is handed over.
+	// RoundTrip and Margin together are the wait at home above which a job is spilled.
 	RoundTrip time.Duration
 	Margin    time.Duration
 	// SpareShare is how many slots the other lead must have free beyond the job's tasks, as a share
@@ -17,10 +17,10 @@
 	SpareShare float64
 	// NoticeInterval is the minimum time between two load notices of a cell.
 	NoticeInterval time.Duration
-	// RecordWait is how long a second host may take to record that a job is handed over before the
+	// RecordWait is how long a second host may take to record that a job is spilled before the
 	// job stays at home.
 	RecordWait time.Duration
-	// QueryInterval is the interval at which the home asks for a job that was handed over.
+	// QueryInterval is the interval at which the home lead queries a spilled job.
 	QueryInterval time.Duration
 }
 
@@ -48,7 +48,7 @@
 	host        identifier.HostID
 	epoch       identifier.Epoch
 	unreachable bool
-	// free is the number of free slots in its last notice minus the tasks handed over since.
+	// free is the number of free slots in its last notice minus the tasks spilled since.
 	free identifier.Slots
 }
 
--- a/pkg/dispatcher/spilling.go
+++ b/pkg/dispatcher/spilling.go
@@ -14,7 +14,7 @@
 // Four rules ensure that it runs at most once:
 //   - Before the job leaves, a second host of the home records where it goes. A new home lead then
 //     queries that failure domain before it starts anything.
-//   - A job that was handed over starts at home only after a refusal that says "not run".
+//   - A spilled job starts at home only after a refusal that says "not run".
 //   - The lead that received it never hands it on, so a job can't go back and forth.
 //   - A lead accepts nothing from a home lead that another one has replaced.
 
@@ -77,7 +77,7 @@
 	dispatcher.timers.Set(job.timer(timerSpill), dispatcher.now.Add(dispatcher.Settings.Spill.RecordWait))
 }
 
-// sendSpilled hands over the jobs whose record a second host holds.
+// sendSpilled sends the jobs whose record a second host holds.
 func (dispatcher *Dispatcher) sendSpilled(input *SpillRecorded) {
 	for _, submission := range input.Submissions {
 		job := dispatcher.jobs.Get(submission)
@@ -112,8 +112,8 @@
 	}})
 }
 
-// expireSpill keeps a job at home if its record was not confirmed, and resends the query for a job
-// that was handed over.
+// expireSpill keeps a job at home if its record was not confirmed, and resends the query for a
+// spilled job.
 func (dispatcher *Dispatcher) expireSpill(submission identifier.SubmissionID) {
 	job := dispatcher.jobs.Get(submission)
 	switch {
@@ -157,7 +157,7 @@
 	})
 }
 
-// recordSpillAnswer handles the answer of a job that was handed over. After "not run" the job
+// recordSpillAnswer handles the answer of a spilled job. After "not run" the job
 // starts at home.
 func (dispatcher *Dispatcher) recordSpillAnswer(input *SpillAnswered) {
 	dispatcher.outputs.add(&ConfirmSpill{To: input.From, Submission: input.Answer.Submission})
@@ -196,7 +196,7 @@
 	dispatcher.failJob(job, messenger.ReasonTaskUnknown, detail)
 }
 
-// stopSpilled cancels a job that was handed over.
+// stopSpilled cancels a spilled job.
 func (dispatcher *Dispatcher) stopSpilled(job *job) {
 	if target := dispatcher.remoteOf(job); target != nil {
 		cancel := messenger.Cancel{Submission: job.spec.Submission, Caller: job.spec.Caller}
--- a/pkg/forwarder/copies.go
+++ b/pkg/forwarder/copies.go
@@ -7,8 +7,8 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// holdCopies stores copies of submissions for a lead and confirms them in one message.
-func (forwarder *Forwarder) holdCopies(input *CopiesRequested) {
+// storeCopies stores copies of submissions for a lead and confirms them in one message.
+func (forwarder *Forwarder) storeCopies(input *CopiesRequested) {
 	held := make([]identifier.SubmissionID, 0, len(input.Records))
 	for _, record := range input.Records {
 		if forwarder.refuseStaleLead(input.From, record.Cell, record.Epoch) {
@@ -211,8 +211,8 @@
 	forwarder.replicateIfLeaving(answer.Submission)
 }
 
-// holdAnswer stores the second copy of an answer.
-func (forwarder *Forwarder) holdAnswer(input *AnswerCopyArrived) {
+// storeAnswerCopy stores the second copy of an answer.
+func (forwarder *Forwarder) storeAnswerCopy(input *AnswerCopyArrived) {
 	submission := input.Copy.Answer.Submission
 	cell := messenger.CellOf(submission, forwarder.Settings.Cells)
 	if input.Copy.Epoch > 0 && forwarder.refuseStaleLead(input.From, cell, input.Copy.Epoch) {
--- a/pkg/forwarder/forwarder.go
+++ b/pkg/forwarder/forwarder.go
@@ -188,13 +188,13 @@
 	case *LeaveRequested:
 		forwarder.startLeaving()
 	case *ReplicasArrived:
-		forwarder.holdReplicas(input)
+		forwarder.storeReplicas(input)
 	case *ReplicasHeld:
 		forwarder.recordReplicasHeld(input)
 	case *AnswerReplicationRequested:
 		forwarder.replicate(input.Submission)
 	case *CopiesRequested:
-		forwarder.holdCopies(input)
+		forwarder.storeCopies(input)
 	case *CopiesHeld:
 		forwarder.recordCopiesHeld(input)
 	case *JobSpilled:
@@ -206,7 +206,7 @@
 	case *AnswerSent:
 		forwarder.keepOwnAnswer(input.Answer)
 	case *AnswerCopyArrived:
-		forwarder.holdAnswer(input)
+		forwarder.storeAnswerCopy(input)
 	case *AnswerCopyHeld:
 		forwarder.recordAnswerCopyHeld(input)
 	case *TakeoverQueried:
--- a/pkg/forwarder/replicas.go
+++ b/pkg/forwarder/replicas.go
@@ -254,8 +254,8 @@
 	}
 }
 
-// holdReplicas stores records that another host cannot keep alone, and confirms them.
-func (forwarder *Forwarder) holdReplicas(input *ReplicasArrived) {
+// storeReplicas stores records that another host cannot keep alone, and confirms them.
+func (forwarder *Forwarder) storeReplicas(input *ReplicasArrived) {
 	receipt := messenger.ReplicaReceipt{}
 	for _, replica := range input.Replicas {
 		submission := replica.Record.Submission
--- a/pkg/starter/starter.go
+++ b/pkg/starter/starter.go
@@ -129,7 +129,7 @@
 		starter.liveHosts[input.FailureDomain] = input.Living
 		clear(starter.starterSets)
 	case *PeerConnectionChanged:
-		starter.handlePeerChanged(input)
+		starter.handlePeerConnectionChanged(input)
 	case *EvacuationsChanged:
 		starter.evacuations = input.Evacuated
 	case *ConnectionLimitsChanged:
@@ -211,9 +211,9 @@
 	}
 }
 
-// handlePeerChanged records whether there is a connection to another host. Orders that were sent on
-// a connection that ended get no result.
-func (starter *Starter) handlePeerChanged(input *PeerConnectionChanged) {
+// handlePeerConnectionChanged records whether there is a connection to another host. Orders that
+// were sent on a connection that ended get no result.
+func (starter *Starter) handlePeerConnectionChanged(input *PeerConnectionChanged) {
 	if input.Connected {
 		starter.connected[input.Host] = true
 		return
--- a/pkg/supervisor/groups.go
+++ b/pkg/supervisor/groups.go
@@ -306,10 +306,10 @@
 // domain and one more. If both are silent, this host is more likely to be partitioned itself.
 const maxLeadsTried = 2
 
-// handleLeadKnown records the lead of a cell. Groups whose request the former lead had are
+// handleLeadChanged records the lead of a cell. Groups whose request the former lead had are
 // requested again from the new one. The requests list their runs, so that the new lead knows
 // which jobs these belong to.
-func (supervisor *Supervisor) handleLeadKnown(input *LeadChanged) {
+func (supervisor *Supervisor) handleLeadChanged(input *LeadChanged) {
 	changed := lead{host: input.Host, epoch: input.Epoch}
 	if known := supervisor.leads.Get(input.Cell); known != nil && *known == changed {
 		return
--- a/pkg/supervisor/supervisor.go
+++ b/pkg/supervisor/supervisor.go
@@ -157,7 +157,7 @@
 	case *ShutdownStarted:
 		supervisor.endAll()
 	case *LeadChanged:
-		supervisor.handleLeadKnown(input)
+		supervisor.handleLeadChanged(input)
 	case *GrantArrived:
 		supervisor.lastResponseAt[input.From] = supervisor.now
 		supervisor.handleGrant(input)
