--- a/pkg/allocator/reports.go
+++ b/pkg/allocator/reports.go
@@ -192,7 +192,7 @@
 
 // handleLeave records that a backend server has announced its end. It ends once the announcement is
 // answered, and until then its runs go on and may end well; if they were placed elsewhere on the
-// announcement alone, a task would run twice. So the server is asked for its runs until the end.
+// announcement alone, a task would run twice. So the server is queried for its runs until the end.
 func (allocator *Allocator) handleLeave(server *server) {
 	allocator.retire(server, "left")
 	if server.needsPolling() {
--- a/pkg/coordinator/handover_test.go
+++ b/pkg/coordinator/handover_test.go
@@ -7,7 +7,7 @@
 	"github.com/stoathitch/stoathitch/pkg/messenger"
 )
 
-// fillSlots fills the slots of leuven and its queue, so that the next job is handed off.
+// fillSlots fills the slots of leuven and its queue, so that the next job is spilled.
 func (network *network) fillSlots(callerHost *fakeHost) {
 	job := newJob("occupant", "team", 16, time.Second)
 	job.MayRun = bothDomains[:1]
@@ -19,7 +19,7 @@
 // although the other failure domain has it.
 // Sequence: a lead that sees no other host of its failure domain hands a job off. The others return
 // and hold its records, and one of them takes over the cell.
-// Cause: only a second host remembered where a job was handed off to, and a lead that is alone has
+// Cause: only a second host recorded where a job was spilled to, and a lead that is alone has
 // none. The next lead found a record without the other failure domain, and no backend server at
 // home that has the job.
 func TestLeadRemembersWhereItHandsJobsTo(t *testing.T) {
--- a/pkg/coordinator/losthome_test.go
+++ b/pkg/coordinator/losthome_test.go
@@ -79,7 +79,7 @@
 
 // Symptom: a job runs at home although it ran in another failure domain.
 // Sequence: as above, while the other failure domain is disconnected; the third host knows the job
-// from a resubmission, but not where it was handed off to. The other failure domain is reconnected
+// from a resubmission, but not where it was spilled to. The other failure domain is reconnected
 // in time, or not.
 // Cause: a lead that may miss records considered a job that no backend server at home has as not
 // started, without an answer from where the job may run as well.
--- a/pkg/coordinator/spill_test.go
+++ b/pkg/coordinator/spill_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// Symptom: a job that was handed off runs a second time at home, or hangs.
+// Symptom: a spilled job runs a second time at home, or hangs.
 // Sequence: it runs in the other failure domain when the hosts there become unreachable for good,
 // or when its home lead dies and another host takes over the cell.
 // Cause: no host at home can know its outcome, so it must not start there.
--- a/pkg/dispatcher/confirming.go
+++ b/pkg/dispatcher/confirming.go
@@ -30,8 +30,8 @@
 	dispatcher.timers.Set(job.timer(timerConfirm), dispatcher.now.Add(dispatcher.Settings.AnswerResend))
 }
 
-// resendUnconfirmedAnswer resends an answer whose replication is not confirmed and asks for another
-// host to hold it. After UnreplicatedAnswerWait it goes on without a second holder.
+// resendUnconfirmedAnswer resends an answer whose replication is not confirmed and requests that
+// another host hold it. After UnreplicatedAnswerWait it goes on without a second holder.
 func (dispatcher *Dispatcher) resendUnconfirmedAnswer(submission identifier.SubmissionID) {
 	job := dispatcher.jobs.Get(submission)
 	if job == nil || job.state != jobFinished || job.answerReplicated {
--- a/pkg/dispatcher/guestqueries.go
+++ b/pkg/dispatcher/guestqueries.go
@@ -116,7 +116,7 @@
 
 // unmatchedRecords lists the submissions for which backend servers here have tasks, but this lead
 // has no job. An earlier lead of this cell may have accepted them from the home, and its records
-// are lost. The list may contain submissions of other homes, whose leads never ask for them there.
+// are lost. The list may contain submissions of other homes, whose leads never query them there.
 func (dispatcher *Dispatcher) unmatchedRecords(cell *cell) []messenger.CopyRecord {
 	var records []messenger.CopyRecord
 	for submission := range cell.unmatched {
--- a/pkg/dispatcher/guestqueries_test.go
+++ b/pkg/dispatcher/guestqueries_test.go
@@ -12,8 +12,8 @@
 
 // TestFullListOfGuestsIsNotComplete guards against a job that runs at home although another failure
 // domain has it, because a list of guests that was cut off counts as complete. A lead that misses
-// two hosts asks for the home's jobs, and the reply has the maximum number of records; a job that
-// an earlier lead knew is not among them. The lead must ask for that job separately.
+// two hosts queries the home's jobs, and the reply has the maximum number of records; a job that
+// an earlier lead knew is not among them. The lead must query that job separately.
 func TestFullListOfGuestsIsNotComplete(t *testing.T) {
 	const away = identifier.FailureDomain("away")
 	for records, want := range map[int]int{1: 0, 50_000: 1} {
--- a/pkg/dispatcher/guests.go
+++ b/pkg/dispatcher/guests.go
@@ -74,7 +74,7 @@
 	return false
 }
 
-// answerHomeLead answers a home lead, possibly a new one, that asks for a job again.
+// answerHomeLead answers a home lead, possibly a new one, that queries a job again.
 func (dispatcher *Dispatcher) answerHomeLead(known *job, input *SpillArrived) {
 	if known.homeLead == "" {
 		// The submission is at home here: its id is in use for another request.
--- a/pkg/dispatcher/input.go
+++ b/pkg/dispatcher/input.go
@@ -63,7 +63,7 @@
 	Answer *messenger.JobAnswer
 }
 
-// GuestsQueried asks for this cell's guests from one home: its jobs that this lead has accepted.
+// GuestsQueried requests this cell's guests from one home: its jobs that this lead has accepted.
 type GuestsQueried struct {
 	From  identifier.HostID
 	Query messenger.GuestQuery
--- a/pkg/dispatcher/lookups.go
+++ b/pkg/dispatcher/lookups.go
@@ -22,7 +22,7 @@
 	question messenger.LookupNumber
 }
 
-// lookUp answers a host that asks for a submission, on behalf of the submission's own caller only.
+// lookUp answers a host that looks up a submission, on behalf of the submission's own caller only.
 // A submission that is still running is answered again when it ends. During a takeover no host can
 // say that a submission is unknown, so the host has to retry. A job of another failure domain is
 // answered by its home only: a job that is refused here may run there.
