--- a/pkg/dispatcher/input.go
+++ b/pkg/dispatcher/input.go
@@ -57,13 +57,13 @@
 	SenderNotLive bool
 }
 
-// SpillAnswered delivers the answer of a job that was handed over.
+// SpillAnswered delivers the answer of a spilled job.
 type SpillAnswered struct {
 	From   identifier.HostID
 	Answer *messenger.JobAnswer
 }
 
-// GuestsQueried asks for this cell's guests from one home: its jobs that this lead has accepted.
+// GuestsQueried requests this cell's guests from one home: its jobs that this lead has accepted.
 type GuestsQueried struct {
 	From  identifier.HostID
 	Query messenger.GuestQuery
@@ -88,8 +88,8 @@
 // HostReturned reports that a host of the failure domain can be reached, possibly again.
 type HostReturned struct {
 	Host identifier.HostID
-	// WithoutState reports that the host runs a new process and that the previous one has not handed over
-	// its records.
+	// WithoutState reports that the host runs a new process and that the previous one has not
+	// handed over its records.
 	WithoutState bool
 }
 
@@ -138,8 +138,8 @@
 type ClaimDecided struct {
 	Submission identifier.SubmissionID
 	Verdict    ClaimVerdict
-	// Holder is the submission that holds the claim. It may be Submission itself, which then held the
-	// claim already.
+	// Holder is the submission that holds the claim. It may be Submission itself, which then held
+	// the claim already.
 	Holder identifier.SubmissionID
 	// HolderHome is the failure domain whose lead has the holder's answer.
 	HolderHome identifier.FailureDomain
