--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -383,7 +383,7 @@
 		})
 	case *dispatcher.ClaimReleased:
 		coordinator.releaseClaim(output)
-	case *dispatcher.SecondHolderWanted:
+	case *dispatcher.AnswerReplicationRequested:
 		coordinator.notifyForwarder(&forwarder.AnswerReplicationRequested{Submission: output.Submission})
 	case *dispatcher.AnswerWanted:
 		if output.Holder == self || !coordinator.reachable(output.Holder) {
--- a/pkg/dispatcher/confirming.go
+++ b/pkg/dispatcher/confirming.go
@@ -15,13 +15,13 @@
 
 func (*RecordsReplicated) isDispatcherInput() {}
 
-// SecondHolderWanted requests that another host of the failure domain hold the answer of a
+// AnswerReplicationRequested requests that another host of the failure domain hold the answer of a
 // submission.
-type SecondHolderWanted struct {
+type AnswerReplicationRequested struct {
 	Submission identifier.SubmissionID
 }
 
-func (*SecondHolderWanted) isDispatcherOutput() {}
+func (*AnswerReplicationRequested) isDispatcherOutput() {}
 
 // awaitSecondHolder sets the timer that retries until a second host holds the answer of a finished
 // job. The answer, its receipt or the waiting host may be lost, and backend servers would
@@ -47,7 +47,7 @@
 	if job.homeLead != "" {
 		dispatcher.outputs.add(&AnswerSpill{To: job.homeLead, Answer: job.answer})
 	}
-	dispatcher.outputs.add(&SecondHolderWanted{Submission: submission})
+	dispatcher.outputs.add(&AnswerReplicationRequested{Submission: submission})
 	dispatcher.awaitSecondHolder(job)
 }
 
