--- a/pkg/coordinator/intentplanner.go
+++ b/pkg/coordinator/intentplanner.go
@@ -143,7 +143,7 @@
 		intentPlanner.coordinator.intentDriver.handleUpdate(&update)
 		return
 	}
-	intentPlanner.coordinator.outputs.toPeer(host, PeerMessage{IntentNews: &update})
+	intentPlanner.coordinator.outputs.toPeer(host, PeerMessage{IntentUpdate: &update})
 }
 
 // reviewAll proposes plans for intents that wait for one, replaces plans that are out of date and
--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -295,8 +295,8 @@
 	ConfigWanted  bool                `cbor:"18,keyasint,omitempty"`
 	Config        *configurer.Version `cbor:"19,keyasint,omitempty"`
 	// Intents.
-	IntentSync *IntentSync           `cbor:"40,keyasint,omitempty"`
-	IntentNews *planner.DriverUpdate `cbor:"41,keyasint,omitempty"`
+	IntentSync   *IntentSync           `cbor:"40,keyasint,omitempty"`
+	IntentUpdate *planner.DriverUpdate `cbor:"41,keyasint,omitempty"`
 	// Jobs that need not be remembered, and the backend servers that are called.
 	CapacityRequest *messenger.CapacityRequest `cbor:"50,keyasint,omitempty"`
 	CapacityRelease *messenger.CapacityRelease `cbor:"51,keyasint,omitempty"`
--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -177,8 +177,8 @@
 		coordinator.handleKeeperReply(message.KeeperReply)
 	case message.IntentSync != nil:
 		coordinator.intentPlanner.handleSync(from, message.IntentSync)
-	case message.IntentNews != nil:
-		coordinator.intentDriver.handleUpdate(message.IntentNews)
+	case message.IntentUpdate != nil:
+		coordinator.intentDriver.handleUpdate(message.IntentUpdate)
 	case message.ConfigWanted:
 		coordinator.notifyFollower(&configurer.VersionRequested{From: from})
 	case message.Config != nil:
