--- a/pkg/coordinator/allocation.go
+++ b/pkg/coordinator/allocation.go
@@ -195,8 +195,8 @@
 		coordinator.notifySupervisor(&supervisor.TaskDoneArrived{From: from, Done: *message.TaskDone})
 	case message.CapacityNotice != nil:
 		coordinator.notifyAllocators(&allocator.NoticeArrived{Notice: *message.CapacityNotice})
-	case message.CellMemory != nil:
-		coordinator.cellPersister.handleStoredCell(message.CellMemory)
+	case message.StoredCell != nil:
+		coordinator.cellPersister.handleStoredCell(message.StoredCell)
 	case message.StartOrder != nil:
 		coordinator.notifyStarter(&starter.OrderArrived{From: from, Order: *message.StartOrder})
 	case message.StartResult != nil:
--- a/pkg/coordinator/cellpersister.go
+++ b/pkg/coordinator/cellpersister.go
@@ -87,7 +87,7 @@
 	for _, state := range coordinator.gossiper.Members() {
 		member := state.Member
 		if state.Living() && member.Host != coordinator.Self.Host && slices.Contains(member.Roles, gossiper.RoleKeeper) {
-			coordinator.outputs.toPeer(member.Host, PeerMessage{CellMemory: storedCell})
+			coordinator.outputs.toPeer(member.Host, PeerMessage{StoredCell: storedCell})
 		}
 	}
 }
@@ -103,7 +103,7 @@
 	if slices.Contains(state.Member.Roles, gossiper.RoleKeeper) {
 		for cell := range cellPersister.changed {
 			if storedCell, leads := cellPersister.ownCell(messenger.CellNumber(cell)); leads && len(storedCell.Reports) > 0 {
-				coordinator.outputs.toPeer(host, PeerMessage{CellMemory: &storedCell})
+				coordinator.outputs.toPeer(host, PeerMessage{StoredCell: &storedCell})
 			}
 		}
 	}
@@ -112,7 +112,7 @@
 	}
 	for ref, storedCell := range cellPersister.cells {
 		if ref.FailureDomain == state.Member.FailureDomain {
-			coordinator.outputs.toPeer(host, PeerMessage{CellMemory: &storedCell})
+			coordinator.outputs.toPeer(host, PeerMessage{StoredCell: &storedCell})
 		}
 	}
 }
--- a/pkg/coordinator/messages.go
+++ b/pkg/coordinator/messages.go
@@ -306,7 +306,7 @@
 	TaskDone        *messenger.TaskDone        `cbor:"55,keyasint,omitempty"`
 	CapacityNotice  *messenger.CapacityNotice  `cbor:"56,keyasint,omitempty"`
 	ServerReports   []messenger.ServerReport   `cbor:"57,keyasint,omitempty"`
-	CellMemory      *messenger.StoredCell      `cbor:"58,keyasint,omitempty"`
+	StoredCell      *messenger.StoredCell      `cbor:"58,keyasint,omitempty"`
 	// LeadFollowed is sent after the capacity requests that name runs.
 	LeadFollowed    *messenger.LeadFollowed    `cbor:"59,keyasint,omitempty"`
 	StartOrder      *messenger.StartOrder      `cbor:"60,keyasint,omitempty"`
