--- a/pkg/coordinator/intentdriver.go
+++ b/pkg/coordinator/intentdriver.go
@@ -187,7 +187,7 @@
 	message := &IntentSync{FailureDomain: coordinator.Self.FailureDomain, Epoch: intentDriver.epoch, Since: intentDriver.seenVersion}
 	if intentDriver.driver != nil {
 		status := intentDriver.driver.Status(coordinator.now)
-		message.Picture = &status
+		message.Status = &status
 	}
 	keepers := coordinator.keepersInOrder()
 	if len(keepers) == 0 {
--- a/pkg/coordinator/intentplanner.go
+++ b/pkg/coordinator/intentplanner.go
@@ -113,7 +113,7 @@
 		}
 		return
 	}
-	driver := &drivingHost{host: from, epoch: sync.Epoch, since: sync.Since, at: intentPlanner.coordinator.now, status: sync.Picture}
+	driver := &drivingHost{host: from, epoch: sync.Epoch, since: sync.Since, at: intentPlanner.coordinator.now, status: sync.Status}
 	first := intentPlanner.drivers.Get(sync.FailureDomain) == nil || intentPlanner.drivers.Get(sync.FailureDomain).status == nil
 	if !first && driver.status == nil {
 		// A new driver knows no workers yet, but their capacity is the same as before.
@@ -121,7 +121,7 @@
 	}
 	intentPlanner.drivers.Put(sync.FailureDomain, driver)
 	intentPlanner.sendNews(machine, from, sync.FailureDomain, sync.Since)
-	if first && sync.Picture != nil {
+	if first && sync.Status != nil {
 		intentPlanner.reviewAt = intentPlanner.coordinator.now
 	}
 }
--- a/pkg/coordinator/intents.go
+++ b/pkg/coordinator/intents.go
@@ -56,8 +56,8 @@
 	FailureDomain identifier.FailureDomain `cbor:"1,keyasint,omitempty"`
 	Epoch         identifier.Epoch         `cbor:"2,keyasint,omitempty"`
 	Since         identifier.LogIndex      `cbor:"3,keyasint,omitempty"`
-	// Picture is nil until the driver runs.
-	Picture *planner.DomainStatus `cbor:"4,keyasint,omitempty"`
+	// Status is nil until the driver runs.
+	Status *planner.DomainStatus `cbor:"4,keyasint,omitempty"`
 }
 
 // WorkerEvent carries messages or events of a worker.
