--- a/pkg/coordinator/intentplanner.go
+++ b/pkg/coordinator/intentplanner.go
@@ -250,7 +250,7 @@
 	for _, domain := range intentPlanner.failureDomains() {
 		driver := intentPlanner.drivers.Get(domain)
 		fresh := driver != nil && driver.status != nil &&
-			intentPlanner.coordinator.now.Sub(driver.at) <= intentPlanner.coordinator.Settings.Intents.MaxPictureAge
+			intentPlanner.coordinator.now.Sub(driver.at) <= intentPlanner.coordinator.Settings.Intents.MaxStatusAge
 		if fresh {
 			proposer.Domains = append(proposer.Domains, *driver.status)
 			continue
--- a/pkg/coordinator/intents.go
+++ b/pkg/coordinator/intents.go
@@ -16,9 +16,9 @@
 	// SyncInterval is the time between two syncs of a driving host with the leading keeper. A sync
 	// carries the status of its workers.
 	SyncInterval time.Duration
-	// MaxPictureAge is the age beyond which a status is ignored, because its failure domain can't be
+	// MaxStatusAge is the age beyond which a status is ignored, because its failure domain can't be
 	// reached.
-	MaxPictureAge time.Duration
+	MaxStatusAge time.Duration
 	// ReviewInterval is the time between two reviews of the intents that wait for a plan.
 	ReviewInterval time.Duration
 	// RenewPlans is the time between two checks of unconfirmed plans.
@@ -40,7 +40,7 @@
 	return IntentSettings{
 		Lease:          10 * time.Second,
 		SyncInterval:   time.Second,
-		MaxPictureAge:  5 * time.Second,
+		MaxStatusAge:   5 * time.Second,
 		ReviewInterval: time.Second,
 		RenewPlans:     5 * time.Second,
 		ConfirmWithin:  planner.DefaultConfirmTimeout,
