--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -313,7 +313,7 @@
 // sendForwarderOutput sends outputs that are always for other hosts.
 func (coordinator *Coordinator) sendForwarderOutput(output forwarder.Output) {
 	switch output := output.(type) {
-	case *forwarder.HoldCopies:
+	case *forwarder.StoreCopies:
 		coordinator.outputs.toPeer(output.To, PeerMessage{CopyRequest: output.Records})
 	case *forwarder.ConfirmCopies:
 		coordinator.outputs.toPeer(output.To, PeerMessage{CopyReceipt: output.Submissions})
--- a/pkg/forwarder/output.go
+++ b/pkg/forwarder/output.go
@@ -21,8 +21,8 @@
 	Deadline identifier.Moment
 }
 
-// HoldCopies requests that another host hold the second copy of submissions.
-type HoldCopies struct {
+// StoreCopies requests that another host hold the second copy of submissions.
+type StoreCopies struct {
 	To      identifier.HostID
 	Records []messenger.CopyRecord
 }
@@ -126,7 +126,7 @@
 
 func (*AnswerCaller) isForwarderOutput()      {}
 func (*ForwardJob) isForwarderOutput()        {}
-func (*HoldCopies) isForwarderOutput()        {}
+func (*StoreCopies) isForwarderOutput()       {}
 func (*ConfirmCopies) isForwarderOutput()     {}
 func (*ConfirmAnswer) isForwarderOutput()     {}
 func (*HoldAnswer) isForwarderOutput()        {}
--- a/pkg/forwarder/relay_test.go
+++ b/pkg/forwarder/relay_test.go
@@ -30,7 +30,7 @@
 	})
 	requested := 0
 	for _, output := range outputs {
-		if _, wanted := output.(*forwarder.HoldCopies); wanted {
+		if _, wanted := output.(*forwarder.StoreCopies); wanted {
 			requested++
 		}
 	}
--- a/pkg/forwarder/relays.go
+++ b/pkg/forwarder/relays.go
@@ -67,7 +67,7 @@
 		return
 	}
 	relay.copyAt = second
-	forwarder.emit(&HoldCopies{To: second, Records: []messenger.CopyRecord{{
+	forwarder.emit(&StoreCopies{To: second, Records: []messenger.CopyRecord{{
 		Submission: submission,
 		Caller:     first.Job.Caller,
 		Job:        first.Job.Job,
--- a/pkg/forwarder/submissions.go
+++ b/pkg/forwarder/submissions.go
@@ -98,7 +98,7 @@
 	localSubmission.copyAt = second
 	record := forwarder.recordOf(localSubmission)
 	record.Epoch = forwarder.leads.Get(forwarder.cellOf(localSubmission.job)).epoch
-	forwarder.emit(&HoldCopies{To: second, Records: []messenger.CopyRecord{record}})
+	forwarder.emit(&StoreCopies{To: second, Records: []messenger.CopyRecord{record}})
 	due := identifier.Earlier(forwarder.now.Add(forwarder.Settings.CopyWait), localSubmission.deadline)
 	forwarder.timers.Set(timerKey{kind: timerCopyWait, submission: localSubmission.job.Submission}, due)
 }
