--- a/pkg/coordinator/routing.go
+++ b/pkg/coordinator/routing.go
@@ -317,7 +317,7 @@
 		coordinator.outputs.toPeer(output.To, PeerMessage{CopyRequest: output.Records})
 	case *forwarder.ConfirmCopies:
 		coordinator.outputs.toPeer(output.To, PeerMessage{CopyReceipt: output.Submissions})
-	case *forwarder.HoldAnswer:
+	case *forwarder.StoreAnswerCopy:
 		coordinator.outputs.toPeer(output.To, PeerMessage{AnswerCopy: &output.Copy})
 	case *forwarder.ConfirmAnswerCopy:
 		coordinator.outputs.toPeer(output.To, PeerMessage{AnswerCopyReceipt: output.Submission})
--- a/pkg/forwarder/answers.go
+++ b/pkg/forwarder/answers.go
@@ -129,7 +129,7 @@
 	if known := forwarder.leads.Get(forwarder.cellOf(localSubmission.job)); known != nil {
 		copied.Epoch = known.epoch
 	}
-	forwarder.emit(&HoldAnswer{To: neighbour, Copy: copied})
+	forwarder.emit(&StoreAnswerCopy{To: neighbour, Copy: copied})
 }
 
 // awaitSecondHolder waits for a second host to hold the answer. Meanwhile the backend servers
@@ -163,7 +163,7 @@
 		if localSubmission.awaitsSecondHolder {
 			localSubmission.awaitsSecondHolder = false
 			forwarder.timers.Clear(timerKey{kind: timerSecondHolder, submission: submission})
-			forwarder.emit(&HoldAnswer{To: second, Copy: messenger.AnswerCopy{Answer: localSubmission.answer}})
+			forwarder.emit(&StoreAnswerCopy{To: second, Copy: messenger.AnswerCopy{Answer: localSubmission.answer}})
 		}
 		return true
 	})
--- a/pkg/forwarder/output.go
+++ b/pkg/forwarder/output.go
@@ -39,8 +39,8 @@
 	Submission identifier.SubmissionID
 }
 
-// HoldAnswer requests that another host hold the second copy of an answer.
-type HoldAnswer struct {
+// StoreAnswerCopy requests that another host hold the second copy of an answer.
+type StoreAnswerCopy struct {
 	To   identifier.HostID
 	Copy messenger.AnswerCopy
 }
@@ -129,7 +129,7 @@
 func (*StoreCopies) isForwarderOutput()       {}
 func (*ConfirmCopies) isForwarderOutput()     {}
 func (*ConfirmAnswer) isForwarderOutput()     {}
-func (*HoldAnswer) isForwarderOutput()        {}
+func (*StoreAnswerCopy) isForwarderOutput()   {}
 func (*ConfirmAnswerCopy) isForwarderOutput() {}
 func (*SendAnswer) isForwarderOutput()        {}
 func (*ForwardCancel) isForwarderOutput()     {}
--- a/pkg/forwarder/relays.go
+++ b/pkg/forwarder/relays.go
@@ -107,5 +107,5 @@
 	if relay == nil || second == "" {
 		return
 	}
-	forwarder.emit(&HoldAnswer{To: second, Copy: messenger.AnswerCopy{Answer: answer}})
+	forwarder.emit(&StoreAnswerCopy{To: second, Copy: messenger.AnswerCopy{Answer: answer}})
 }
