--- a/pkg/claimer/requester.go
+++ b/pkg/claimer/requester.go
@@ -48,8 +48,8 @@
 	Command Command
 }
 
-// Verdicts reports decisions to whoever requested the claims.
-type Verdicts struct{ Decisions []Decision }
+// ClaimsDecided reports decisions to whoever requested the claims.
+type ClaimsDecided struct{ Decisions []Decision }
 
 // LateGrants names submissions whose claims were granted after they had timed out.
 //
@@ -63,7 +63,7 @@
 func (*KeepersChanged) isClaimerInput()   {}
 func (*Decided) isClaimerInput()          {}
 func (*Ask) isClaimerOutput()             {}
-func (*Verdicts) isClaimerOutput()        {}
+func (*ClaimsDecided) isClaimerOutput()   {}
 func (*LateGrants) isClaimerOutput()      {}
 
 // Requester requests claims from the keepers. The claims of one tick are sent in one
@@ -234,7 +234,7 @@
 	}
 	requester.batch = Command{}
 	if len(requester.verdicts) > 0 {
-		outputs = append(outputs, &Verdicts{Decisions: requester.verdicts})
+		outputs = append(outputs, &ClaimsDecided{Decisions: requester.verdicts})
 		requester.verdicts = nil
 	}
 	if len(requester.lateGrants) > 0 {
--- a/pkg/coordinator/keeping.go
+++ b/pkg/coordinator/keeping.go
@@ -202,7 +202,7 @@
 		})
 	case *claimer.LateGrants:
 		coordinator.notifyDispatcher(&dispatcher.ClaimsGrantedLate{Submissions: output.Submissions})
-	case *claimer.Verdicts:
+	case *claimer.ClaimsDecided:
 		for _, decision := range output.Decisions {
 			coordinator.notifyDispatcher(claimDecided(decision))
 		}
