--- a/pkg/dispatcher/output.go
+++ b/pkg/dispatcher/output.go
@@ -8,7 +8,7 @@
 // Output is a message that the caller of Tick must send.
 type Output interface{ isDispatcherOutput() }
 
-// ToServer is the batch of one tick for one backend server. Received are the tasks whose answers
+// ToServer is the batch of one tick for one backend server. Acknowledged are the tasks whose answers
 // are acknowledged.
 type ToServer struct {
 	Server       identifier.BackendServerID
--- a/pkg/explainer/explainer.go
+++ b/pkg/explainer/explainer.go
@@ -49,7 +49,7 @@
 }
 
 // Explainer keeps the newest steps of all submissions in a ring buffer. Set Bound before
-// the first Note.
+// the first Record.
 type Explainer struct {
 	// Bound is the maximum number of steps kept; zero keeps none.
 	Bound int
--- a/pkg/forwarder/output.go
+++ b/pkg/forwarder/output.go
@@ -45,7 +45,7 @@
 	Copy messenger.AnswerCopy
 }
 
-// ConfirmAnswerCopy confirms to the sender of a HoldAnswer that the copy is held.
+// ConfirmAnswerCopy confirms to the sender of a StoreAnswerCopy that the copy is held.
 type ConfirmAnswerCopy struct {
 	To         identifier.HostID
 	Submission identifier.SubmissionID
--- a/pkg/logwriter/pacer.go
+++ b/pkg/logwriter/pacer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// pacerInterval is the minimum time between two lines that a Pacer admits.
+// pacerInterval is the minimum time between two lines that a RateLimiter allows.
 const pacerInterval = time.Second
 
 // RateLimiter limits the rate of log lines caused by remote peers. A peer that is refused, or
--- a/pkg/tracer/deployment.go
+++ b/pkg/tracer/deployment.go
@@ -17,7 +17,7 @@
 	// Slots and Connections are counts per executor.
 	Slots       identifier.Slots
 	Connections int
-	// OneWayDelay is the one-way network delay between failure domains; ClientOneWay is
+	// OneWayDelay is the one-way network delay between failure domains; ClientOneWayDelay is
 	// the one between a caller and an entry host.
 	OneWayDelay       time.Duration
 	ClientOneWayDelay time.Duration
--- a/pkg/tracer/event.go
+++ b/pkg/tracer/event.go
@@ -56,7 +56,7 @@
 	Tasks    []Task
 }
 
-// Task is one task of a job. RunTime is its real run time, Declared the run time
+// Task is one task of a job. RunTime is its real run time, DeclaredRunTime the run time
 // that the caller declared.
 type Task struct {
 	RunTime         time.Duration
